--- a/Libraries/LibGateway/CrashMemory.cpp
+++ b/Libraries/LibGateway/CrashHistory.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/CrashMemory.h>
+#include <LibGateway/CrashHistory.h>
 
 #include <LibBase/Hash.h>
 
--- a/Libraries/LibGateway/JobLooks.cpp
+++ b/Libraries/LibGateway/JobCheckSchedule.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/JobLooks.h>
+#include <LibGateway/JobCheckSchedule.h>
 
 namespace Dogwoodkeel
 {
--- a/Libraries/LibGateway/PromptPartGuard.cpp
+++ b/Libraries/LibGateway/PromptPartBlocklist.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/PromptPartGuard.h>
+#include <LibGateway/PromptPartBlocklist.h>
 
 #include <LibBase/Hash.h>
 
--- a/Services/Gateway/CrashExchange.h
+++ b/Services/Gateway/CrashExchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <LibGateway/CrashMemory.h>
-#include <LibGateway/PromptPartGuard.h>
+#include <LibGateway/CrashHistory.h>
+#include <LibGateway/PromptPartBlocklist.h>
 #include <LibProxy/ConnectProbe.h>
 #include <Services/Gateway/GatewayMetrics.h>
 #include <Services/Gateway/PeerNetwork.h>
--- a/Services/Gateway/Gateway.h
+++ b/Services/Gateway/Gateway.h
@@ -2,8 +2,8 @@
 
 #include <LibBase/Clock.h>
 #include <LibBase/TrafficMeter.h>
-#include <LibGateway/CrashMemory.h>
-#include <LibGateway/PromptPartGuard.h>
+#include <LibGateway/CrashHistory.h>
+#include <LibGateway/PromptPartBlocklist.h>
 #include <LibMembership/RelayPicker.h>
 #include <LibMembership/RelayRole.h>
 #include <LibProxy/CallerServer.h>
--- a/Services/Gateway/GatewayContext.h
+++ b/Services/Gateway/GatewayContext.h
@@ -3,8 +3,8 @@
 #include <LibBase/Clock.h>
 #include <LibDispatch/FirstEventEstimate.h>
 #include <LibDispatch/ItemEstimate.h>
-#include <LibGateway/CrashMemory.h>
-#include <LibGateway/PromptPartGuard.h>
+#include <LibGateway/CrashHistory.h>
+#include <LibGateway/PromptPartBlocklist.h>
 #include <LibPlatform/StoreClock.h>
 #include <LibProxy/OutboundPool.h>
 #include <LibTask/EventLoop.h>
--- a/Services/Gateway/JobRunners.h
+++ b/Services/Gateway/JobRunners.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibGateway/JobLooks.h>
+#include <LibGateway/JobCheckSchedule.h>
 #include <LibGateway/ServingConfiguration.h>
 #include <LibMembership/ViewSettling.h>
 #include <LibSettings/Generated/Settings.h>
--- a/Tests/LibGateway/TestCrashMemory.cpp
+++ b/Tests/LibGateway/TestCrashHistory.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibGateway/CrashMemory.h>
+#include <LibGateway/CrashHistory.h>
 
 #include <doctest/doctest.h>
 
--- a/Tests/LibGateway/TestJobLooks.cpp
+++ b/Tests/LibGateway/TestJobCheckSchedule.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibGateway/JobLooks.h>
+#include <LibGateway/JobCheckSchedule.h>
 
 #include <doctest/doctest.h>
 
--- a/Tests/LibGateway/TestPromptPartGuard.cpp
+++ b/Tests/LibGateway/TestPromptPartBlocklist.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibGateway/PromptPartGuard.h>
+#include <LibGateway/PromptPartBlocklist.h>
 
 #include <doctest/doctest.h>
 
