--- a/Libraries/LibGateway/BatchTypes.h
+++ b/Libraries/LibGateway/BatchTypes.h
@@ -10,25 +10,25 @@
 namespace Dogwoodkeel
 {
 
-/** Names an item within all jobs. */
+/** Identifies an item among the items of all jobs. */
 using ItemId = StrongType<struct ItemIdTag, std::string>;
 
 /** One request of a batch job. */
 struct JobItem
 {
     ItemId id;
-    /** Path and query that a replica gets. */
+    /** Path and query of the request that is sent to a replica. */
     std::string target;
     HeaderList headers;
     std::string body;
-    /** Tokens of the prompt and of the longest output. */
+    /** Tokens of the prompt plus the maximum number of output tokens. */
     std::uint64_t tokens = 0;
 };
 
-/** How an item ended. */
+/** The final state of an item. */
 enum class ItemOutcome {
     Completed,
-    /** It can't be done, failed too often, or its job ended before it. */
+    /** The item is invalid, failed too often, or its job ended before the item completed. */
     Abandoned,
 };
 
@@ -37,7 +37,7 @@
 {
     ItemId id;
     ItemOutcome outcome = ItemOutcome::Completed;
-    /** The data of all its events, joined by line feeds. */
+    /** The data of all events of the output stream, joined by line feeds. */
     std::string output;
 };
 
--- a/Libraries/LibGateway/CallerAccess.cpp
+++ b/Libraries/LibGateway/CallerAccess.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** @return the access of a request that needs a key. */
+/** @return the access of a request to a resource that requires a key. */
 Access accessByKey(const WorkspaceDirectory &workspaces, const Credentials &credentials)
 {
     switch (credentials.state) {
--- a/Libraries/LibGateway/CallerAccess.h
+++ b/Libraries/LibGateway/CallerAccess.h
@@ -9,10 +9,10 @@
 namespace Dogwoodkeel
 {
 
-/** Whether a request is served, by the configuration in force on this node. */
+/** Whether the configuration in force on this node permits a request. */
 enum class AccessOutcome {
     Granted,
-    /** This node has none, so it can't tell. */
+    /** This node has no configuration yet, so it cannot decide. */
     NoConfiguration,
     NoRoute,
     NoKey,
@@ -21,27 +21,27 @@
     UnknownKey,
 };
 
-/** @return the outcome's name, for logs. */
+/** @return the name of the outcome for logs. */
 std::string_view nameOf(AccessOutcome outcome);
 
-/** Who may do what. Pointers are valid as long as the configuration. */
+/** The result of an access check. Its pointers are valid as long as the configuration exists. */
 struct Access
 {
     AccessOutcome outcome = AccessOutcome::NoConfiguration;
     /** Null for calls on batch jobs, which have no route of their own. */
     const Route *route = nullptr;
-    /** Whose request it is; null if callers need no key, or the route is public and no known key was given. */
+    /** The workspace that sent the request; null if callers need no key, or if the route is public and no known key was given. */
     const Workspace *workspace = nullptr;
 
-    /** @return whether a newer configuration may allow what this one refuses. */
+    /** @return whether the request is refused and a newer configuration may permit it. */
     bool mayChange() const;
 };
 
-/** @return what the Authorization lines of a request hold. */
+/** @return the credentials in the Authorization header lines of a request. */
 Credentials credentialsOf(const HeaderList &headers);
 
 /**
- * Decide about a request to a route.
+ * Decides whether a request to a route is permitted.
  * @param configuration null if this node has none
  */
 Access decideAccess(const ServingConfiguration *configuration,
@@ -49,7 +49,7 @@
                     std::string_view path,
                     const Credentials &credentials);
 
-/** Decide about a call on a batch job, which belongs to a workspace and not to a route. */
+/** Decides whether a call on a batch job is permitted. A job belongs to a workspace, not to a route. */
 Access decideJobAccess(const ServingConfiguration *configuration, const Credentials &credentials);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibGateway/CrashMemory.cpp
+++ b/Libraries/LibGateway/CrashMemory.cpp
@@ -11,26 +11,30 @@
 namespace
 {
 
+/** A request with this many crashes is refused or held. */
 constexpr int mostCrashes = 3;
-/** For so long after it was served a request is not taken for the cause of crashes. */
+/** A request that was served within this time is not considered the cause of crashes. */
 constexpr std::chrono::seconds servedRecently{30};
-/** A bound on memory: far more than one node serves within that time. */
+/** Limits memory; far more than one node serves within that time. */
 constexpr std::size_t mostServed = 20000;
-/** Longer than a caller goes on sending the same request, short enough for a replica's fault to be mended. */
+/** How long crashes are kept. Longer than a caller keeps retrying a request, short enough for a fixed replica to be used again. */
 constexpr std::chrono::minutes remembered{2};
-/** A bound on memory: far more than there can be at the rate at which replicas come back. */
+/** Limits memory; far more than can occur at the rate at which crashed replicas restart. */
 constexpr std::size_t mostEntries = 20000;
-/** Connections that the network resets together break within 10 ms of each other, as measured on a node of half a core with
- * thirty of them. Replicas that crash one after the other under a request are at least a round trip and a start apart. */
+/**
+ * Disconnects within this time count as simultaneous. Connections that the network resets together are lost within 10 ms of each
+ * other on a node with half a core and thirty connections. Crashes of successive replicas under one request are at least a round
+ * trip and the start of a run apart.
+ */
 constexpr std::chrono::milliseconds sameMoment{50};
 static_assert(sameMoment < CrashMemory::judgeAfter);
-/** An item's pause after its third crash. It doubles with each further one, as it is then ever likelier to be the cause. */
+/** How long an item is held after its third crash. Doubles with each further crash, which makes it more likely the cause. */
 constexpr std::chrono::seconds firstHold{5};
 constexpr int mostDoublings = 6;
-/** Further ones change nothing. */
+/** Further replicas would not change the hold time. */
 constexpr std::size_t mostReplicas = mostCrashes + mostDoublings;
 
-/** Add replicas to those that crashed under a request. */
+/** Adds replicas to those that crashed under a request, without duplicates. */
 void join(std::vector<std::uint64_t> &replicas, const std::vector<std::uint64_t> &more)
 {
     for (const std::uint64_t replica : more) {
@@ -87,7 +91,7 @@
 
 JudgedBreak CrashMemory::judge(const Break &next) const
 {
-    // Tries of one request follow each other: what breaks them in turn is not one reset of many connections.
+    // Attempts of one request run one after another, so their disconnects are not one reset of many connections.
     const auto other = std::ranges::find_if(this->breaks, [&next](const Break &candidate) {
         return candidate.run.replica != next.run.replica && candidate.run.fingerprint != next.run.fingerprint
             && std::chrono::abs(candidate.time - next.time) <= sameMoment;
@@ -141,7 +145,7 @@
     }
     const SteadyTime lastCrash = this->clock.now() - reported.age;
     const std::optional<SteadyTime> lastServed = this->served.last(reported.fingerprint);
-    // The other node may not have been told yet that it was served since.
+    // The other node may not have received yet that the request was served since.
     if (lastServed && *lastServed >= lastCrash) {
         return;
     }
--- a/Libraries/LibGateway/CrashMemory.h
+++ b/Libraries/LibGateway/CrashMemory.h
@@ -17,98 +17,109 @@
 namespace Dogwoodkeel
 {
 
-/** A run of a request that ended with its connection. */
+/** A run of a request on a replica that ended because the connection was lost. */
 struct BrokenRun
 {
-    /** Hash of what the request asks for. */
+    /** Hash of the contents of the request; copies of a request have the same. */
     std::uint64_t fingerprint = 0;
     EndpointName replica;
     Address address{};
     ServiceName service{};
-    /** Names of the parts of its prompt that other requests may have too. */
+    /** Names of the parts of its prompt that other requests may share. */
     std::vector<std::string> promptParts{};
-    /** Events that the replica had written in this run. */
+    /** Number of events that the replica had sent in this run. */
     std::uint32_t events = 0;
 
     bool operator==(const BrokenRun &) const = default;
 };
 
-/** What a broken run is taken for. */
+/** An interrupted run and the cause that was determined for it. */
 struct JudgedBreak
 {
     BrokenRun run;
-    /** Whether its replica crashed; else connections to several replicas broke at once, and only these can tell why. */
+    /**
+     * Whether the replica crashed. If not, connections to several replicas were lost at the same time, and the cause is unknown
+     * until the replicas are probed.
+     */
     bool isCrash = false;
-    /** If that is open: another replica at which a connection broke at the same moment. */
+    /** If the cause is unknown: another replica to which a connection was lost at the same time. */
     EndpointName otherReplica{};
-    /** How long before or after this one the other connection broke. */
+    /** Absolute time difference between the losses of the two connections. */
     std::chrono::milliseconds apart{0};
 };
 
 /**
- * Remembers which requests were running when their replica broke off. A request that crashes each replica that runs it
- * comes again with new ids; unless it is recognised, it takes one replica after the other away from everybody else.
- * Ordinary requests meet a crash by chance once, seldom twice; after the third, one is refused for a while. One that many callers
- * send may meet several at once, and is told from it by having been served.
+ * Counts replica crashes per request content, to detect and refuse requests that crash the replicas that run them.
+ *
+ * Requests are identified by a fingerprint of their contents, because a caller retries with new ids, and an undetected request
+ * would crash one replica after another. An ordinary request meets one crash by chance, rarely two; after the third crash a
+ * request is refused for a while. A request that many callers send may meet several crashes at once without being the cause;
+ * it is not refused if it was served recently.
  */
 class CrashMemory
 {
 public:
-    /** A break is judged this long after it: until then it may turn out to be one of many. */
+    /** Delay between a disconnect and its classification: other connections may be lost at the same time. */
     static constexpr std::chrono::milliseconds judgeAfter{60};
 
     explicit CrashMemory(const Clock &clock);
 
-    /** A connection broke while a request ran on it. Whether its replica crashed is judged a little later. */
+    /** Records that a connection was lost while a request ran on it. The disconnect is classified after `classificationDelay`. */
     void noteBreak(const BrokenRun &run);
 
-    /** @return whether a break of the request that is not judged yet would be the crash after which it is refused. */
+    /** @return whether an unclassified disconnect of the request, if it is a crash, brings the request to the crash limit. */
     bool isLastCrashInDoubt(std::uint64_t fingerprint) const;
 
-    /** Judge the breaks that are old enough. Crashes are noted here, once for copies of a request. */
+    /**
+     * Classifies the disconnects that are older than `classificationDelay`, and records the crashes among them.
+     * @return the classified disconnects; copies of a request on one replica give one entry
+     */
     std::vector<JudgedBreak> judgeBreaks();
 
-    /** A replica crashed while it ran the request. Its crash counts once, however many copies it ran and nodes report it. */
+    /**
+     * Records that a replica crashed while it ran the request. Each replica counts once per request, regardless of how many
+     * copies it ran and how many nodes report the crash.
+     */
     void noteCrash(std::uint64_t fingerprint, const EndpointName &replica);
 
     /**
-     * A replica has answered the request whole: it crashes nothing.
-     * @return whether crashes were held against it, as they may be at other nodes
+     * Records that a replica answered the request completely, and removes the crashes that were attributed to it.
+     * @return whether crashes were attributed to it; other nodes may have them too
      */
     bool noteServed(std::uint64_t fingerprint);
 
-    /** What a node knows of a request that met crashes. */
+    /** The crashes that a node attributes to a request. */
     struct Known
     {
         std::uint64_t fingerprint = 0;
-        /** Hashes of the replicas that crashed. */
+        /** Hashes of the names of the replicas that crashed. */
         std::vector<std::uint64_t> replicas{};
-        /** How long ago the last one did. */
+        /** Time since the last crash. */
         std::chrono::milliseconds age{0};
     };
 
     /**
-     * @return what is remembered: requests with more crashes first, the most recent first of those with as many
-     * @param most how many requests at most
+     * @return the requests with crashes, ordered by descending number of crashes, then by ascending age
+     * @param maxCount maximum number of requests
      */
     std::vector<Known> known(std::size_t most) const;
 
-    /** Another node remembers crashes. */
+    /** Merges the crashes that another node attributes to a request. */
     void merge(const Known &reported);
 
-    /** @return how many crashes a request has met that are remembered. */
+    /** @return the number of recorded crashes of a request that have not expired. */
     int crashesOf(std::uint64_t fingerprint) const;
 
-    /** @return whether an online request has to be refused. */
+    /** @return whether an online request must be refused. */
     bool isRefused(std::uint64_t fingerprint) const;
 
-    /** @return whether a batch item has to wait. It is tried again after a pause, as somebody has to find out some day. */
+    /** @return whether a batch item must wait. It is retried after a delay, as only a run shows whether it is the cause. */
     bool isHeld(std::uint64_t fingerprint) const;
 
 private:
     struct Entry
     {
-        /** Hashes of the replicas that crashed. */
+        /** Hashes of the names of the replicas that crashed. */
         std::vector<std::uint64_t> replicas;
         SteadyTime last{};
     };
@@ -128,9 +139,9 @@
     const Clock &clock;
     std::map<std::uint64_t, Entry> entries;
     ServedTimes served;
-    /** In order of time: those to be judged, and before them those that they are compared with. */
+    /** Ordered by time. Classified ones are kept at the front while later ones are compared with them. */
     std::deque<Break> breaks;
-    /** So many at the front of `breaks` are judged. */
+    /** Number of classified entries at the front of `disconnects`. */
     std::size_t judgedBreaks = 0;
 };
 
--- a/Libraries/LibGateway/EventSplitter.cpp
+++ b/Libraries/LibGateway/EventSplitter.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** @return what stands behind the field's name and colon, without the one space that may follow it. */
+/** @return the value after the field's name and colon, without one leading space, or nothing if it is another field. */
 std::optional<std::string_view> fieldValue(std::string_view line, std::string_view name)
 {
     if (!line.starts_with(name) || line.size() <= name.size() || line[name.size()] != ':') {
@@ -43,7 +43,7 @@
     return event;
 }
 
-/** @return the place behind the first empty line, or npos. */
+/** @return the offset after the first empty line, or npos. */
 std::size_t eventEnd(std::string_view text, std::size_t from)
 {
     for (std::size_t feed = text.find('\n', from); feed != std::string_view::npos; feed = text.find('\n', feed + 1)) {
--- a/Libraries/LibGateway/EventSplitter.h
+++ b/Libraries/LibGateway/EventSplitter.h
@@ -10,33 +10,34 @@
 namespace Dogwoodkeel
 {
 
-/** Events of replicas hold a few tokens; one of so many bytes is no event, and must not fill the node's memory. */
+/** Maximum size of an event in bytes. Events of replicas hold a few tokens; a larger one is invalid and would exhaust memory. */
 inline constexpr std::size_t largestStreamEvent = 1'048'576;
 
-/** One whole event of a stream (HTML Living Standard, section 9.2). */
+/** One complete server-sent event (HTML Living Standard, section 9.2). */
 struct StreamEvent
 {
-    /** The event as it came, with the empty line that ends it. */
+    /** The event as received, including the empty line that ends it. */
     std::string text;
-    /** Its id, if it has one that is a number. */
+    /** The id of the event, if it is a number. */
     std::optional<std::uint64_t> id;
-    /** Its data lines, joined by line feeds. */
+    /** The data lines of the event, joined by line feeds. */
     std::string data;
 };
 
-/** Splits a stream of server-sent events into whole events, which can then be passed on or dropped as a whole. */
+/** Splits a stream of server-sent events into complete events, so that each is forwarded or dropped as a whole. */
 class EventSplitter
 {
 public:
-    /** @param largestEvent in bytes; a longer one makes the stream broken */
+    /** @param maxEventBytes a longer event makes the stream invalid */
     explicit EventSplitter(std::size_t largestEvent);
 
-    /** @return the events that are whole with these bytes. */
+    /** @return the events that these bytes complete. */
     std::vector<StreamEvent> feed(std::string_view bytes);
 
-    /** @return whether bytes of an event that is not whole are held. */
+    /** @return whether the buffer holds bytes of an incomplete event. */
     bool hasRest() const;
 
+    /** @return whether an incomplete event exceeded the maximum size. */
     bool isBroken() const;
 
 private:
--- a/Libraries/LibGateway/JobLedger.cpp
+++ b/Libraries/LibGateway/JobLedger.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** A transaction of the store holds a hundred entries and a megabyte; a result takes one row, a long one several. */
+/** A transaction of the store holds a hundred entries and a megabyte. A result takes one row, a long one several. */
 constexpr std::size_t mostResults = 20;
 constexpr std::size_t mostOutput = 400'000;
 
--- a/Libraries/LibGateway/JobLedger.h
+++ b/Libraries/LibGateway/JobLedger.h
@@ -14,55 +14,55 @@
 {
 
 /**
- * What a runner knows of its job: the head as it was read or written last, and what is to be added to it.
+ * Tracks the stored state of a job for its runner: the head as last read or written, and the results and failures to be added.
  *
- * A write may take effect without an answer, and another runner may write meanwhile. So after each write that failed the
- * head is read again, and adopt() drops from what is to be added what is listed already.
+ * A write may take effect although its answer is lost, and another runner may write concurrently. So the head is read again
+ * after each failed write, and adopt() drops pending results that the head already lists.
  */
 class JobLedger
 {
 public:
-    /** What the next write adds to the job. */
+    /** The contents of one write to the job. */
     struct Write
     {
         JobHead head;
         std::vector<ItemResult> results;
     };
 
-    /** Take the head as it was read. */
+    /** Applies the head as read from the store. */
     void adopt(const JobHead &head, RowVersion version);
 
-    /** An item has its result. @param item its number in the submission */
+    /** Adds the result of an item, unless it already has one. @param item its number in the submission */
     void add(std::uint32_t item, ItemResult result);
 
-    /** An item failed at a replica. @return how often it has, by this runner's count and those before it */
+    /** Records that an item failed at a replica. @return the number of its failures, including those of earlier runners */
     std::uint32_t fail(std::uint32_t item);
 
-    /** @return whether an item has a result, listed or not. */
+    /** @return whether an item has a result, written or pending. */
     bool hasResult(std::uint32_t item) const;
 
-    /** @return whether an item is listed. */
+    /** @return whether the stored head lists the result of an item. */
     bool isListed(std::uint32_t item) const;
 
-    /** @return whether there is something to write. */
+    /** @return whether results or failures are to be written. */
     bool hasNews() const;
 
-    /** @return what to write next. */
+    /** @return the next write, limited to the size of a transaction. */
     Write nextWrite();
 
-    /** A write took effect. @param version that the head has by it */
+    /** Applies a write that took effect. @param version the version of the head after the write */
     void confirm(const JobHead &written, RowVersion version);
 
-    /** A write may not have taken effect: what it held is still to be written. */
+    /** Records that a write may not have taken effect, so its contents are still to be written. */
     void noteFailedWrite();
 
     const JobHead &head() const;
     RowVersion version() const;
 
-    /** @return whether all items are listed. */
+    /** @return whether the stored head lists the results of all items. */
     bool isComplete() const;
 
-    /** @return results that are not written yet. */
+    /** @return the number of results that are not written yet. */
     std::size_t unwritten() const;
 
 private:
--- a/Libraries/LibGateway/JobLooks.h
+++ b/Libraries/LibGateway/JobLooks.h
@@ -14,27 +14,30 @@
 {
 
 /**
- * When the open jobs are looked at again: each some time after its row was last read or it was last looked at. A job whose row
- * changes all the time is at work and needs no look.
+ * Schedules the periodic checks of open jobs. A job is due one interval after its row was last read or it was last checked.
+ * A job whose row keeps changing makes progress and needs no check.
  */
 class JobLooks
 {
 public:
-    /** How long a row stands still before its job is looked at. */
+    /** How long the row of a job stays unchanged before the job is checked. */
     static constexpr std::chrono::seconds interval{2};
 
     explicit JobLooks(const Clock &clock);
 
-    /** The row of an open job was read. */
+    /** Schedules the check of an open job one interval from now, as its row was read. */
     void noteRow(const JobId &job);
 
-    /** A job is not open any more. */
+    /** Removes a job that is no longer open. */
     void forget(const JobId &job);
 
-    /** No job is known any more. */
+    /** Removes all jobs. */
     void clear();
 
-    /** @return the jobs to look at now, those that have waited longest first; at most so many. */
+    /**
+     * Returns the jobs whose check is due, longest overdue first, and schedules their next checks.
+     * @param maxCount maximum number of jobs
+     */
     std::vector<JobId> takeDue(std::size_t most);
 
 private:
--- a/Libraries/LibGateway/JobRows.cpp
+++ b/Libraries/LibGateway/JobRows.cpp
@@ -17,10 +17,12 @@
 constexpr const char *progressPrefix = "progress/";
 constexpr const char *resultPrefix = "result/";
 constexpr std::string_view openPrefix = "job/";
-/** Sorts before the open jobs: whoever reads the table in parts has this row's version before it counts the jobs, and so
- * finds out if another job was accepted meanwhile. */
+/**
+ * Sorts before the rows of open jobs, so that a reader that pages through the table has the version of this row before it counts
+ * the jobs, and detects that another job was accepted meanwhile.
+ */
 constexpr const char *orderPrefix = "accepted/";
-/** Row values are counted as they are sent, in base64, which takes four bytes for three; some is left for the rest. */
+/** The store limits rows by their base64 size, four bytes for three; 7/10 instead of 3/4 leaves capacity for the remainder of the row. */
 constexpr std::size_t encodedNumerator = 7;
 constexpr std::size_t encodedDenominator = 10;
 
@@ -38,7 +40,7 @@
     return prefix + digits;
 }
 
-/** @return a name that is unique in its workspace as one that is unique in all; safe in row keys and object names. */
+/** @return a name that is unique across workspaces, and valid in row keys and object names. */
 std::string scoped(const WorkspaceName &workspace, std::string_view name)
 {
     if (workspace.value().empty()) {
@@ -115,8 +117,8 @@
 {
     const std::size_t size = std::max<std::size_t>(1, rowBytes * encodedNumerator / encodedDenominator);
     std::vector<std::string> pieces;
-    for (std::size_t place = 0; place < encoded.size(); place += size) {
-        pieces.push_back(encoded.substr(place, size));
+    for (std::size_t offset = 0; offset < encoded.size(); offset += size) {
+        pieces.push_back(encoded.substr(offset, size));
     }
     return pieces;
 }
@@ -127,7 +129,7 @@
     const std::vector<std::string> pieces = split(encode(record), rowBytes);
     std::vector<RowPut> puts;
     for (std::size_t piece = 0; piece < pieces.size(); ++piece) {
-        // The last piece has a key of its own, so that a reader knows when it has them all.
+        // The last chunk has a distinct key, so that a reader detects that the result is complete.
         const bool isLast = piece + 1 == pieces.size();
         const std::string key = resultKey(position) + (isLast ? "/z" : pieceKey("/p", piece));
         puts.push_back({{jobTable, job.value(), key}, pieces[piece]});
@@ -197,8 +199,9 @@
 
 std::map<std::uint32_t, Generated> readProgress(const std::vector<StoredRow> &rows)
 {
-    // Two runners may have written parts of the same item side by side. A part follows another only if it is of the same run,
-    // or of a run of the same software that was asked to go on just there: whatever else is joined was never one generation.
+    // Two runners may have written parts of the same item concurrently. A part continues another only if it is from the same run,
+    // or from a run of the same software version that was resumed exactly there. Any other combination is a text that no
+    // replica generated.
     std::map<std::uint32_t, Generated> items;
     std::map<std::uint32_t, std::uint64_t> lastRuns;
     for (const StoredRow &row : rows) {
--- a/Libraries/LibGateway/OpenConfirmation.cpp
+++ b/Libraries/LibGateway/OpenConfirmation.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** Between two questions while the store does not answer. */
+/** Delay between two queries while the store does not reply. */
 constexpr std::chrono::milliseconds retryPause{400};
 
 } // namespace
@@ -26,7 +26,7 @@
 
 SteadyTime OpenConfirmation::askTime() const
 {
-    // A job may be ended while this machine is suspended.
+    // The steady clock stops while the machine is suspended, but the job may end meanwhile.
     return this->clock.now() + std::chrono::duration_cast<SteadyTime::duration>(this->clock.suspended());
 }
 
@@ -92,7 +92,7 @@
     case Reply::Open:
         this->isRenewing = false;
         this->note(asked);
-        // An answer that was long on its way may be too old already.
+        // A reply that was delayed may already be too old.
         this->callBack(this->validAge());
         return;
     case Reply::Closed:
--- a/Libraries/LibGateway/OpenConfirmation.h
+++ b/Libraries/LibGateway/OpenConfirmation.h
@@ -14,51 +14,53 @@
 {
 
 /**
- * How long ago the platform's store showed that a job was open. What other nodes report of a job's end may be lost or late, so
- * nobody acts on a job but by an answer of the store that is recent enough.
+ * Confirms with the platform's store that a job is open, and caches the confirmation while it is recent enough.
+ *
+ * Reports of other nodes about the end of a job may be lost or late, so a job is only acted on while the store has recently
+ * confirmed that it is open.
  */
 class OpenConfirmation
 {
 public:
-    /** What the store says of the job. */
+    /** The state of the job according to the store. */
     enum class Reply {
         Open,
-        /** The job was ended, is complete, or was never there. */
+        /** The job was ended, is complete, or does not exist. */
         Closed,
         /** The store did not answer. */
         Unknown,
     };
 
-    /** Gets the age of the confirmation, or nothing if the store did not answer. Not called for a job that is closed. */
+    /** Receives the age of the confirmation, or nothing if the store did not answer. Not called if the job is closed. */
     using Confirmed = std::function<void(std::optional<std::chrono::milliseconds> age)>;
 
     struct Hooks
     {
-        /** Ask the store whether the job is open. */
+        /** Queries the store whether the job is open. */
         std::function<void(std::function<void(Reply)>)> ask;
-        /** The store says that the job is closed. */
+        /** Called when the store replies that the job is closed. */
         std::function<void()> closed;
     };
 
-    /** @param validity how old an answer may be that is acted on */
+    /** @param validity maximum age of a confirmation */
     OpenConfirmation(Scheduler &scheduler, const Clock &clock, std::chrono::milliseconds validity, Hooks hooks);
     ~OpenConfirmation();
     OpenConfirmation(const OpenConfirmation &) = delete;
     OpenConfirmation &operator=(const OpenConfirmation &) = delete;
 
-    /** @return the time that is to be noted with the answer to a question asked now. */
+    /** @return the time to record for the reply to a query that is sent now. */
     SteadyTime askTime() const;
 
-    /** The store has shown that the job is open. @param asked askTime() of before the question */
+    /** Records that the store confirmed the job as open. @param queriedAt queryTime() before the query was sent */
     void note(SteadyTime asked);
 
-    /** Call back at once if the last answer is recent enough, else once the store has answered. */
+    /** Calls back immediately if the last confirmation is recent enough, otherwise once the store has replied or failed to. */
     void request(Confirmed confirmed);
 
-    /** Ask the store whatever is known: there is a sign that the job is closed. */
+    /** Discards the confirmation and queries the store, as there are signs that the job is closed. */
     void renew();
 
-    /** Call nobody back any more. */
+    /** Drops all pending callbacks and queries. */
     void cancel();
 
 private:
@@ -74,9 +76,9 @@
     std::optional<SteadyTime> confirmed;
     std::vector<Confirmed> waiting;
     bool isAsking = false;
-    /** The store is asked until it answers, though nobody waits. */
+    /** Whether the store is queried until it replies, even if no callback is waiting. */
     bool isRenewing = false;
-    /** Counts the questions; only the answer to the last one counts. */
+    /** Number of the last query; replies to earlier ones are ignored. */
     std::uint64_t question = 0;
     TimerId retryTimer = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/Libraries/LibGateway/PromptPartGuard.cpp
+++ b/Libraries/LibGateway/PromptPartGuard.cpp
@@ -14,29 +14,27 @@
 namespace
 {
 
-/** Crashes that a part has to explain alone: sound requests meet one by chance, seldom several without being served between. */
+/** Crashes that a part must explain to be blocked. Valid requests meet one by chance, rarely several without being served between. */
 constexpr int fewestCrashes = 4;
-/** Of a part that is in many requests, as prompts with it were served a moment before, or that explains but some of the crashes.
- */
+/** The same for a part that was served recently, so it occurs in many requests, or that explains only some of the crashes. */
 constexpr int fewestCrashesIfUncertain = 8;
 constexpr std::chrono::seconds servedRecently{30};
-/** Crashes this close together may have one cause outside of the requests: a failure domain that is lost, a network's reset. */
+/** Crashes within this time may have one cause outside the requests, such as a lost failure domain or a network reset. */
 constexpr std::chrono::milliseconds sameMoment{60};
-/** Nodes tell of the same crash within this time, as each judges it and tells the others. */
+/** Nodes report the same crash within this time, as each classifies it and notifies the others. */
 constexpr std::chrono::milliseconds sameCrash{500};
 constexpr std::chrono::minutes crashesRetained{5};
 constexpr std::size_t mostCrashes = 128;
-/** How long a part is blocked after the last crash that it explains. It doubles each time that it crashes a replica afterwards.
- */
+/** How long a part is blocked after the last crash that it explains. Doubles each time it crashes a replica after a block. */
 constexpr std::chrono::minutes firstBlock{2};
 constexpr std::uint32_t mostDoublings = 4;
-/** A block that has been over for so long is forgotten. */
+/** How long an expired block is kept, so that the next block of the same part is longer. */
 constexpr std::chrono::hours blocksRetained{2};
 constexpr std::size_t mostBlocks = 1000;
-/** A bound on memory: far more parts than one node serves within the time that counts. */
+/** Limits memory; far more parts than one node serves within `crashRetention`. */
 constexpr std::size_t mostServed = 20000;
 
-/** Tells whether a crash came later than the moment of the one that was counted last, and then counts it. */
+/** @return whether a crash is separate in time from the last counted one; if so, it becomes the last counted one. */
 bool isApart(SteadyTime time, std::optional<SteadyTime> &counted)
 {
     if (counted && time - *counted <= sameMoment) {
@@ -230,7 +228,7 @@
 {
     const SteadyTime lastCrash = this->clock.now() - reported.age;
     const std::optional<SteadyTime> last = this->served.last(reported.part);
-    // The other node may not have been told that a prompt with it was served since.
+    // The other node may not have received yet that a prompt with the part was served since.
     if (reported.times == 0 || (last && *last >= lastCrash) || this->blocks.size() >= mostBlocks) {
         return;
     }
--- a/Libraries/LibGateway/PromptPartGuard.h
+++ b/Libraries/LibGateway/PromptPartGuard.h
@@ -17,22 +17,23 @@
 namespace Dogwoodkeel
 {
 
-/** Names a part of prompts among those of all services, by a hash. */
+/** Identifies a part of prompts, across all services, by a hash. */
 using PromptPart = std::uint64_t;
 
-/** @return the parts of a prompt at a service, in their order. */
+/** @return the parts of a prompt for a service, in the order of their names. */
 std::vector<PromptPart> promptParts(const ServiceName &service, const std::vector<std::string> &names);
 
-/** Events after which a run has shown that its prompt can be served: the first one may still leave a replica that goes down. */
+/** Events after which a prompt counts as served. A replica that is crashing may still send the first event. */
 inline constexpr std::uint32_t eventsOfServedPrompt = 2;
 
 /**
- * Finds the parts of prompts under which replicas crash, and blocks them.
+ * Detects the parts of prompts that crash replicas, and blocks requests that have them.
  *
- * Requests with such a part need have nothing else in common, and sound requests have their other parts. A crash is held against
- * the parts of all requests that the replica had hardly begun to answer. A part is blocked once it explains several crashes, at
- * moments apart, since a prompt with it was last served; crashes that a blocked part explains are held against no other one. Of
- * parts that explain as many, the one that was never served, or comes later in the prompt, is blocked.
+ * Requests with such a part may have nothing else in common, and their other parts also occur in valid requests. A crash is
+ * attributed to the parts of all requests to which the replica had sent fewer than `minEventsOfServedPrompt` events. A part is
+ * blocked once it explains several crashes at separate times since a prompt with it was last served. Crashes that a blocked part
+ * explains are not attributed to other parts. Among parts that explain equally many crashes, the one served least recently, or
+ * never, is blocked; then the one that is later in the prompt.
  */
 class PromptPartGuard
 {
@@ -40,62 +41,68 @@
     explicit PromptPartGuard(const Clock &clock);
 
     /**
-     * A replica crashed when it had hardly begun to answer a request; called for each such request.
-     * @param parts those that other requests may have too, in their order
+     * Records that a replica crashed before it had sent `minEventsOfServedPrompt` events of a request. Called for each such
+     * request.
+     * @param parts the parts of the prompt that other requests may share, in order
      */
     void noteCrash(const EndpointName &replica, const std::vector<PromptPart> &parts);
 
     /**
-     * A prompt with these parts was served.
-     * @return those of them that crashes were held against: no other node holds them against these any more once it is told
+     * Records that a prompt with these parts was served, and unblocks them.
+     * @return the parts to which crashes were attributed; other nodes must be notified so that they unblock them too
      */
     std::vector<PromptPart> noteServed(const std::vector<PromptPart> &parts);
 
-    /** @return whether a request with these parts must not be sent. */
+    /** @return whether a request with these parts must not be sent to a replica. */
     bool isBlocked(const std::vector<PromptPart> &parts) const;
 
-    /** What a node knows of a blocked part. */
+    /** A blocked part, as nodes exchange it. */
     struct Blocked
     {
         PromptPart part = 0;
-        /** How long ago the last crash was that it explains. */
+        /** Time since the last crash that the part explains. */
         std::chrono::milliseconds age{0};
-        /** How often it was blocked. */
+        /** How many times the part was blocked. */
         std::uint32_t times = 0;
     };
 
-    /** @return the parts that are blocked now, the most recent first. @param most how many at most */
+    /**
+     * @param maxCount maximum number of parts
+     * @return the parts that are blocked now, ordered by ascending age
+     */
     std::vector<Blocked> blocked(std::size_t most) const;
 
-    /** Another node has blocked a part. */
+    /** Applies a block that another node reported, unless the part was served since. */
     void merge(const Blocked &reported);
 
 private:
-    /** One replica's crash. */
+    /** The crash of one replica. */
     struct Crash
     {
         EndpointName replica;
         SteadyTime time{};
-        /** By the part, how far behind the start of a prompt it stood. */
+        /** The suspected parts, each with its index in the prompt. */
         std::map<PromptPart, std::size_t> parts;
     };
 
     struct Block
     {
-        /** When the last crash was that it explains. */
+        /** Time of the last crash that the part explains. */
         SteadyTime lastCrash{};
         std::uint32_t times = 0;
     };
 
-    /** How strongly a part is suspected. */
+    /** A part that may cause crashes, and the evidence against it. */
     struct Suspect
     {
         PromptPart part = 0;
-        /** Crashes that it would explain. */
+        /** Number of crashes that it would explain. */
         int crashes = 0;
-        /** Those that nothing explains yet, since the first of these. */
+        /** Number of crashes that no blocked part explains, since the first crash that this part would explain. */
         int allCrashes = 0;
+        /** When a prompt with the part was last served. */
         SteadyTime served{};
+        /** Largest index of the part in a prompt. */
         std::size_t depth = 0;
     };
 
--- a/Libraries/LibGateway/RecentReplicas.cpp
+++ b/Libraries/LibGateway/RecentReplicas.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/** A bound on memory, several times the connections to replicas that a node keeps. */
+/** Limits memory; several times the number of connections to replicas that a node keeps. */
 constexpr std::size_t mostReplicas = 1024;
 
 } // namespace
--- a/Libraries/LibGateway/RecentReplicas.h
+++ b/Libraries/LibGateway/RecentReplicas.h
@@ -8,18 +8,19 @@
 namespace Dogwoodkeel
 {
 
-/** The replicas that a node was given places at most recently: those to which it may have open connections. */
+/** The replicas at which a node was most recently given slots. It may have open connections to them. */
 class RecentReplicas
 {
 public:
+    /** Adds or updates a replica. Beyond a limit, the address that was added first is dropped. */
     void note(const ServingReplica &replica);
 
-    /** @return the replica with an address, or null. */
+    /** @return the replica at an address, or null. */
     const ServingReplica *findAt(const Address &address) const;
 
 private:
     std::map<Address, ServingReplica> byAddress;
-    /** Addresses in the order in which they were first noted. */
+    /** Addresses in the order in which they were first added. */
     std::deque<Address> order;
 };
 
--- a/Libraries/LibGateway/ReplicaChanges.h
+++ b/Libraries/LibGateway/ReplicaChanges.h
@@ -7,12 +7,12 @@
 namespace Dogwoodkeel
 {
 
-/** What changed in the list of replicas. One that went to another service stands in both: removed, then put. */
+/** Changes of a list of replicas. A replica that moved to another service is in both lists; removals apply first. */
 struct ReplicaChanges
 {
-    /** Those that are new, or not as they were. */
+    /** New or changed replicas. */
     std::vector<ServingReplica> put;
-    /** Those that are gone, as they were last. */
+    /** Removed replicas, with their last known state. */
     std::vector<ServingReplica> removed;
 
     bool isEmpty() const
--- a/Libraries/LibGateway/ReplicaList.cpp
+++ b/Libraries/LibGateway/ReplicaList.cpp
@@ -81,7 +81,7 @@
         this->erase(former.instance);
         this->restarted(former);
     }
-    // An address belongs to one replica at a time: whoever had it before is gone, whatever the list still says.
+    // An address belongs to one replica at a time, so the replica that had it before no longer exists, even if it is still listed.
     const ServingReplica *const sameAddress = this->findAt(replica.address);
     if (sameAddress != nullptr && sameAddress->instance != replica.instance) {
         this->erase(EndpointName(sameAddress->instance));
--- a/Libraries/LibGateway/ReplicaList.h
+++ b/Libraries/LibGateway/ReplicaList.h
@@ -16,76 +16,78 @@
 namespace Dogwoodkeel
 {
 
-/** @return a hash of an entry; that of a list is the XOR of those of its entries. */
+/** @return a hash of an entry. The hash of a list is the XOR of the hashes of its entries. */
 std::uint64_t fingerprintOf(const ServingReplica &replica);
 
 /**
- * The replicas that the platform lists. While the platform is away, entries of replicas that live lapse, and they are back
- * a little after its return; so an entry that goes around an outage is kept for that time, or all requests would be refused
- * for want of a replica.
+ * The replicas that the platform lists.
  *
- * Finding one, and changing one, takes the same time however many there are: each node takes each change of each replica.
+ * During an outage of the platform, entries of live replicas lapse and reappear shortly after it ends. An entry that is removed
+ * during or shortly after an outage is therefore kept for a while; otherwise all requests would be refused for lack of replicas.
+ *
+ * The cost of a look-up or a change does not grow with the list, as each node applies each change of each replica.
  */
 class ReplicaList
 {
 public:
     using Replicas = std::unordered_map<EndpointName, ServingReplica>;
 
-    /** Told of the incarnation that is over when a replica has started again under its name. */
+    /** Called with the previous incarnation when a replica has restarted under the same registered name. */
     using Restarted = std::function<void(const ServingReplica &former)>;
 
-    /** @param lapsedKept how long after the platform's return a missing entry is kept */
+    /** @param lapsedKept how long missing entries are kept after an outage of the platform ended */
     ReplicaList(const Clock &clock, std::chrono::milliseconds lapsedKept, Restarted restarted);
 
-    /** Take a whole list, as it is after a start or a gap in what was followed. */
+    /** Replaces the list by a complete one, read after a start or a gap in the followed changes. Missing entries may be kept. */
     void replaceAll(const std::vector<ServingReplica> &replicas);
 
-    /** Take a whole list from a node that kept to this class itself: nothing beside it is kept. */
+    /** Replaces the list by that of another node, which has already applied the rules for lapsed entries. No other entry is kept. */
     void replaceNow(const std::vector<ServingReplica> &replicas);
 
-    /** Take a new or changed entry. */
+    /** Adds or updates an entry. */
     void put(const ServingReplica &replica);
 
-    /** Take the end of an entry. */
+    /** Removes an entry, or marks it as lapsed during or shortly after an outage. */
     void remove(const EndpointName &registeredName);
 
     /**
-     * An entry can't be read any more: it names no replica to use until it is right again. What runs there goes on, as at one
-     * that leaves, for most likely the replica is as it was and only its entry is spoilt.
+     * Marks an entry as unreadable: its replica is treated as draining until a valid entry is put. Running requests continue, as
+     * most likely the replica is unchanged and only its entry is invalid.
      */
     void holdBack(const EndpointName &registeredName);
 
-    /** Drop the entries whose time is over. */
+    /** Removes the lapsed entries once their retention has ended. */
     void expire();
 
-    /** The platform could not be reached just now. */
+    /** Records that the platform is unreachable. */
     void noteOutage();
 
-    /** The platform answered. */
+    /** Records that the platform answered. */
     void noteAnswer();
 
-    /** @return whether the platform has not answered since an outage began. */
+    /** @return whether the platform has not answered since it was last unreachable. */
     bool isOut() const;
 
-    /** @return what changed since the last call. */
+    /** @return the changes since the last call. */
     ReplicaChanges takeChanges();
 
-    /** @return the entry with an address, or null. */
+    /** @return the entry at an address, or null. */
     const ServingReplica *findAt(const Address &address) const;
 
     /** @return the entry under a registered name, or null. */
     const ServingReplica *findRegistered(const EndpointName &registeredName) const;
 
-    /** @return whether entries are kept that the platform does not list any more. */
+    /** @return whether entries are kept that the platform no longer lists. */
     bool hasLapsed() const;
 
-    /** @return a hash of all entries, whatever their order; the same lists have the same. */
+    /** @return a hash of all entries that does not depend on their order. */
     std::uint64_t fingerprint() const;
 
-    /** @return the entries by instance, lapsed ones that are still kept among them. */
+    /** @return the entries by instance, including lapsed ones that are still kept. */
     const Replicas &replicas() const;
 
 private:
+    /** @return whether removed entries are kept, as the platform is unreachable or was until recently. */
     bool isAroundOutage() const;
     void erase(const EndpointName &instance);
     void change(const EndpointName &instance);
@@ -94,10 +96,10 @@
     std::chrono::milliseconds lapsedKept;
     Restarted restarted;
     Replicas list;
-    /** An address, and a registered name, belong to one replica at a time. */
+    /** Each address and each registered name belongs to one replica at a time. */
     std::map<Address, EndpointName> byAddress;
     std::unordered_map<EndpointName, EndpointName> byRegisteredName;
-    /** Entries that are gone from the platform. */
+    /** Entries that the platform no longer lists. */
     std::unordered_set<EndpointName> lapsed;
     std::unordered_set<EndpointName> changed;
     std::unordered_map<EndpointName, ServingReplica> removed;
--- a/Libraries/LibGateway/ReplicaRing.cpp
+++ b/Libraries/LibGateway/ReplicaRing.cpp
@@ -68,7 +68,7 @@
         }
         const auto own = domains.find(near);
         const std::size_t ownSize = own != domains.end() ? own->second.size() : 0;
-        // What one side has too few of, the other gives.
+        // If the local domain or the other domains have too few replicas, the other side provides the remainder.
         const std::size_t wantedFar = std::max(most / 4, most - std::min(most, ownSize));
         const std::size_t wantedNear = most - std::min(wantedFar, far);
         if (own != domains.end()) {
@@ -79,7 +79,7 @@
             if (domain == near || far == 0) {
                 continue;
             }
-            // In proportion to what each of the other failure domains has, without a rest.
+            // In proportion to the replicas of each remote failure domain; the shares add up to the total without rounding loss.
             const std::size_t share = left * ring.size() / far;
             addBehind(ring, node, share, choice);
             left -= share;
--- a/Libraries/LibGateway/ReplicaRing.h
+++ b/Libraries/LibGateway/ReplicaRing.h
@@ -11,47 +11,49 @@
 {
 
 /**
- * Gives each node a few replicas of each service, for the time when it has nobody to ask. What a node holds, and what it is told
- * of changes, does not grow with the replicas then. The nodes' sets overlap evenly, so that all of them alone still use all
- * replicas alike.
+ * Assigns each node a small set of replicas of each service, which it uses while no dispatcher answers.
+ *
+ * The size of a set, and the number of changes that are sent to a node, do not grow with the number of replicas. The sets overlap
+ * evenly, so that nodes that place requests on their own still use all replicas equally.
  */
 class ReplicaRing
 {
 public:
-    /** What a node is given. */
+    /** The set of replicas for one node. */
     struct Choice
     {
         std::vector<ServingReplica> replicas;
-        /** That of a ReplicaList with just these. */
+        /** Fingerprint of a ReplicaList with exactly these replicas. */
         std::uint64_t fingerprint = 0;
     };
 
-    /** Take a new or changed replica. */
+    /** Adds or updates a replica. A draining replica is removed. */
     void put(const ServingReplica &replica);
 
     void remove(const ServingReplica &replica);
 
-    /** Forget all. */
+    /** Removes all replicas. */
     void clear();
 
     /**
-     * @param node hash of who wants to know
-     * @param near three quarters of the replicas are of this failure domain, as far as it has so many
-     * @param most how many of each service
-     * @return replicas that take requests: those behind the node's own place on a ring (consistent hashing)
+     * @param node hash that identifies the node
+     * @param localDomain failure domain that provides three quarters of the replicas, if it has enough
+     * @param maxCount maximum number of replicas of each service
+     * @return replicas that accept requests: those that follow the position of the node on a ring (consistent hashing)
      */
     Choice choose(std::uint64_t node, const FailureDomain &near, std::size_t most) const;
 
 private:
-    /** The replicas of a service in one failure domain, by a hash of their names. */
     struct Entry
     {
         ServingReplica replica;
         std::uint64_t fingerprint = 0;
     };
+    /** The replicas of a service in one failure domain, by a hash of their names. */
     using Ring = std::map<std::uint64_t, Entry>;
     using Service = std::map<FailureDomain, Ring>;
 
+    /** Adds up to `maxCount` replicas that follow a position on a ring. */
     static void addBehind(const Ring &ring, std::uint64_t place, std::size_t most, Choice &choice);
 
     std::map<ServiceName, Service> services;
--- a/Libraries/LibGateway/ServedTimes.h
+++ b/Libraries/LibGateway/ServedTimes.h
@@ -11,27 +11,27 @@
 namespace Dogwoodkeel
 {
 
-/** Remembers when replicas last served something, by its hash, for a span of time at least. */
+/** Records when requests or prompt parts, identified by a hash, were last served. Keeps each time for at least a given span. */
 class ServedTimes
 {
 public:
     /**
-     * @param span how long a time is remembered at least
-     * @param most beyond so many hashes in one span times are forgotten sooner
+     * @param span minimum time for which an entry is kept
+     * @param maxEntries with more hashes than this in one span, entries are dropped earlier
      */
     ServedTimes(const Clock &clock, std::chrono::milliseconds span, std::size_t most);
 
-    /** It was served now. */
+    /** Records that the hash was served now. */
     void note(std::uint64_t hash);
 
-    /** @return when it was served last, or nothing if that is not remembered. */
+    /** @return when the hash was last served, or nothing if no time is kept for it. */
     std::optional<SteadyTime> last(std::uint64_t hash) const;
 
 private:
     const Clock &clock;
     std::chrono::milliseconds span;
     std::size_t most;
-    /** Of this span, and of the one before. */
+    /** Entries of the current and of the previous span. */
     std::unordered_map<std::uint64_t, SteadyTime> current;
     std::unordered_map<std::uint64_t, SteadyTime> before;
     SteadyTime spanStart;
--- a/Libraries/LibGateway/ServingConfiguration.h
+++ b/Libraries/LibGateway/ServingConfiguration.h
@@ -13,18 +13,18 @@
 namespace Dogwoodkeel
 {
 
-/** Names a service that routes send requests to. */
+/** Identifies a service, which is the target of routes. */
 using ServiceName = StrongType<struct ServiceNameTag, std::string>;
 
-/** What may be done with the requests of a route. */
+/** How the requests of a route may be executed. */
 enum class RouteKind {
-    /** Idempotent, with a whole answer. */
+    /** Idempotent; the answer is sent as a whole. */
     Idempotent,
-    /** Runs at most once, with a whole answer. */
+    /** Executed at most once; the answer is sent as a whole. */
     NonIdempotent,
     /** Generates a stream of events. */
     Stream,
-    /** Takes batch jobs, whose items generate streams of events. */
+    /** Accepts batch jobs, whose items generate streams of events. */
     Batch,
 };
 
@@ -32,70 +32,70 @@
 struct RouteTarget
 {
     ServiceName service;
-    /** Its share of the requests, against the other targets' weights. */
+    /** Share of the requests, relative to the weights of the other targets. */
     std::uint32_t weight = 1;
 
     bool operator==(const RouteTarget &) const = default;
 };
 
-/** Which requests go where, and how. */
+/** A rule that maps requests to services, and states how they are executed. */
 struct Route
 {
     std::string name;
     std::string host;
-    /** Begins and ends with a slash. */
+    /** Path prefix; begins and ends with a slash. */
     std::string prefix;
     RouteKind kind = RouteKind::NonIdempotent;
     std::vector<RouteTarget> targets;
-    /** Longest time that a request may be kept waiting; zero: no bound beside the caller's. */
+    /** Maximum time that a request may wait; zero: only the caller's limit applies. */
     std::chrono::milliseconds timeout{0};
-    /** Within which an answer, or a stream's first event, is on time. */
+    /** Target time until the answer, or the first event of a stream. */
     std::chrono::milliseconds objective{0};
-    /** Longest pause between two events of a stream that is on time. */
+    /** Target for the maximum pause between two events of a stream. */
     std::chrono::milliseconds longestPause{0};
-    /** The most urgent is 0. */
+    /** 0 is the most urgent. */
     std::int32_t priority = 0;
-    /** Replicas that one attempt of a caller may be sent to. */
+    /** Maximum number of replicas to which one attempt of a caller is sent. */
     std::uint32_t maxAttempts = 1;
-    /** Whether a broken stream may go on at another replica. */
+    /** Whether an interrupted stream may be resumed at another replica. */
     bool isResumable = false;
-    /** Whether its callers need no key. */
+    /** Whether callers need no key. */
     bool isPublic = false;
-    /** Batch: tokens that may wait on the route, of each workspace if there are any; 0: no limit. */
+    /** Batch: maximum number of waiting tokens on the route, per workspace if there are workspaces; 0: no limit. */
     std::uint64_t waitingTokens = 0;
-    /** Batch: when all results are due, counted from the job's first submission. */
+    /** Batch: time from the first submission of a job until all its results are due. */
     std::chrono::milliseconds completionTarget{0};
-    /** Batch: when an item may be given up, counted from the job's first submission. */
+    /** Batch: time from the first submission of a job until its items may be abandoned. */
     std::chrono::seconds retention{0};
 
     bool operator==(const Route &) const = default;
 };
 
-/** What is known in advance of a service's model engines. */
+/** Static properties of the model engines of a service. */
 struct EngineTraits
 {
-    /** Requests that one replica runs side by side. */
+    /** Requests that one replica runs concurrently. */
     std::uint32_t slots = 0;
-    /** Tokens that one replica's memory holds. */
+    /** Tokens that fit into the memory of one replica. */
     std::uint64_t memoryTokens = 0;
 
     bool operator==(const EngineTraits &) const = default;
 };
 
-/** A service: replicas that answer the same requests. */
+/** A service: a set of replicas that serve the same requests. */
 struct Service
 {
     ServiceName name;
     std::string healthPath;
-    /** Connections that one replica takes, from all nodes together. */
+    /** Maximum number of connections to one replica, from all nodes together. */
     std::uint32_t maxConnections = 0;
-    /** For a service of model engines. */
+    /** Present if the replicas are model engines. */
     std::optional<EngineTraits> engine;
 
     bool operator==(const Service &) const = default;
 };
 
-/** What callers may send. Zero: not stated. */
+/** Limits on what callers send, as stated in the configuration. Zero: not stated. */
 struct StatedLimits
 {
     std::uint64_t headBytes = 0;
@@ -106,7 +106,7 @@
     bool operator==(const StatedLimits &) const = default;
 };
 
-/** One version of the configuration that operators put into force. */
+/** One version of the configuration that operators put in force. */
 struct ServingConfiguration
 {
     std::uint64_t version = 0;
@@ -116,13 +116,13 @@
     /** Null: callers need no key. */
     std::shared_ptr<const WorkspaceDirectory> workspaces;
 
-    /** @return the route with the longest prefix that begins the path, among those of the host, or null. */
+    /** @return the route of the host with the longest prefix of the path, or null. */
     const Route *findRoute(std::string_view host, std::string_view path) const;
 
-    /** @return the route of that name, or null. */
+    /** @return the route with that name, or null. */
     const Route *findRoute(std::string_view name) const;
 
-    /** @return the service of that name, or null. */
+    /** @return the service with that name, or null. */
     const Service *findService(const ServiceName &name) const;
 };
 
@@ -130,13 +130,13 @@
 
 /**
  * @param workspace null if callers need no key
- * @return the priority of its requests on a route; the most urgent is 0. The workspace's goes before the route's.
+ * @return the priority of requests on a route; 0 is the most urgent. The workspace's priority takes precedence over the route's.
  */
 std::uint32_t priorityOf(const Route &route, const Workspace *workspace);
 
 /**
- * @param point from 0 to below 1; the same point gives the same target as long as the weights stay
- * @return the target at that point of the weights, or null if there is none
+ * @param point in [0, 1); the same point gives the same target as long as the weights do not change
+ * @return the target at that point of the cumulative weights, or null if no target has a weight
  */
 const RouteTarget *chooseTarget(const Route &route, double point);
 
--- a/Libraries/LibGateway/ServingReplica.h
+++ b/Libraries/LibGateway/ServingReplica.h
@@ -9,21 +9,21 @@
 namespace Dogwoodkeel
 {
 
-/** One incarnation of a replica, as it told of itself on the platform. */
+/** One incarnation of a replica, as it registered itself on the platform. */
 struct ServingReplica
 {
-    /** Names this incarnation among all: after a restart it is another, also if the registered name stays. */
+    /** Identifies this incarnation. Changes with a restart, even if the registered name stays the same. */
     EndpointName instance;
-    /** The name under which it registers itself, and by which a request says whom it is meant for. */
+    /** The name under which it registers itself, and by which requests state the intended replica. */
     EndpointName registeredName;
     ServiceName service;
     Address address;
     FailureDomain failureDomain;
-    /** Requests that it runs side by side. */
+    /** Requests that it runs concurrently. */
     std::uint32_t slots = 1;
-    /** Whether it is leaving: it finishes what it has and takes nothing new. */
+    /** Whether it is leaving: it finishes running requests and accepts no new ones. */
     bool isDraining = false;
-    /** Of its software, not of a model's weights. */
+    /** Version of its software, not of the weights of a model. */
     SoftwareVersion version{};
 
     bool operator==(const ServingReplica &) const = default;
--- a/Libraries/LibGateway/StreamOrigins.cpp
+++ b/Libraries/LibGateway/StreamOrigins.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-/** A bound on memory: some ten times what a node is told of at the rate at which a fleet serves. */
+/** Limits memory; about ten times the entries that a node receives at the rate at which a fleet serves. */
 constexpr std::size_t mostEntries = 20000;
-/** Longer than any caller waits; what is stated beyond it is not believed. */
+/** Longer than any caller waits; longer stated lifetimes are cut to it. */
 constexpr std::chrono::minutes longestLifetime{2};
 
 } // namespace
--- a/Libraries/LibGateway/StreamOrigins.h
+++ b/Libraries/LibGateway/StreamOrigins.h
@@ -14,7 +14,7 @@
 namespace Dogwoodkeel
 {
 
-/** Where a stream began: whoever goes on with it has to go on there. */
+/** The service and software version that started a stream. The stream may only be resumed there. */
 struct StreamOrigin
 {
     ServiceName service;
@@ -23,22 +23,23 @@
     bool operator==(const StreamOrigin &) const = default;
 };
 
-/** Remembers where streams began, as long as their callers may take them up again. */
+/** Stores the origins of streams for as long as their callers may resume them. Memory is bounded. */
 class StreamOrigins
 {
 public:
     explicit StreamOrigins(const Clock &clock);
 
     /**
-     * @param request hash of the id of the attempt that brought the stream's first event
-     * @param lifetime how long the caller may come again
+     * Records the origin of a stream.
+     * @param request hash of the id of the attempt that received the first event of the stream
+     * @param lifetime how long the caller may resume the stream
      */
     void note(std::uint64_t request, const StreamOrigin &origin, std::chrono::milliseconds lifetime);
 
-    /** @return where the stream of a request began, or nothing if that is not known. */
+    /** @return the origin of the stream of a request, or nothing if it is not known. */
     std::optional<StreamOrigin> find(std::uint64_t request) const;
 
-    /** @return how many streams are remembered. */
+    /** @return the number of stored origins. */
     std::size_t count() const;
 
 private:
@@ -52,7 +53,7 @@
 
     const Clock &clock;
     std::unordered_map<std::uint64_t, Entry> entries;
-    /** By the time at which they may be forgotten. */
+    /** Requests by the time at which their entries expire. */
     std::multimap<SteadyTime, std::uint64_t> order;
 };
 
--- a/Tests/LibGateway/TestCallerAccess.cpp
+++ b/Tests/LibGateway/TestCallerAccess.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("who may use a route: key by route")
+TEST_CASE("access to a route depends on the key and on whether the route is public")
 {
     struct Case
     {
@@ -77,7 +77,7 @@
     CHECK(decideJobAccess(&keyless, {}).outcome == AccessOutcome::Granted);
 }
 
-TEST_CASE("a call on a batch job needs a key, whatever routes there are")
+TEST_CASE("a call on a batch job needs a key, even if there are public routes")
 {
     const ServingConfiguration keyed = configuration(true);
     CHECK(decideJobAccess(nullptr, credentialsOf(withKey("Bearer good"))).outcome == AccessOutcome::NoConfiguration);
@@ -86,8 +86,8 @@
     CHECK(decideJobAccess(&keyed, credentialsOf(withKey("Bearer good"))).workspace->name == WorkspaceName("a"));
 }
 
-// Guards against a 401 or 404 of a node that others know to be out of date.
-TEST_CASE("a newer configuration may allow all that is refused, but not make one where there is none")
+// Guards against a final 401 or 404 from a node whose configuration is out of date.
+TEST_CASE("only a refusal by an existing configuration may change with a newer one")
 {
     const ServingConfiguration keyed = configuration(true);
     CHECK(decide(&keyed, "/none/", {}).mayChange());
@@ -97,7 +97,7 @@
     CHECK_FALSE(decide(nullptr, "/closed/x", {}).mayChange());
 }
 
-TEST_CASE("a workspace's priority goes before the route's")
+TEST_CASE("a workspace's priority takes precedence over the route's")
 {
     Route urgent;
     urgent.priority = 0;
--- a/Tests/LibGateway/TestCrashMemory.cpp
+++ b/Tests/LibGateway/TestCrashMemory.cpp
@@ -15,7 +15,7 @@
 const EndpointName c{"c"};
 const EndpointName d{"d"};
 
-/** @return the requests that met a crash. */
+/** @return the fingerprints of the requests that met a crash. */
 std::vector<std::uint64_t> crashesOf(const std::vector<JudgedBreak> &judged)
 {
     std::vector<std::uint64_t> crashed;
@@ -29,9 +29,9 @@
 
 } // namespace
 
-// A request crashes each replica that runs it, and its caller sends it again, with another id and to another node. Each
-// time a replica is gone for some seconds.
-TEST_CASE("a request that crashed three replicas is refused until it is forgotten")
+// A request crashes each replica that runs it, and its caller retries it with another id at another node. Each crash makes a
+// replica unavailable for some seconds.
+TEST_CASE("a request that crashed three replicas is refused until its crashes expire")
 {
     ManualClock clock;
     CrashMemory crashes(clock);
@@ -47,10 +47,9 @@
     CHECK_FALSE(crashes.isRefused(7));
 }
 
-// The connections of one node are all reset at the same moment, three times in half a minute: a fault of the network, not
-// of what ran on them. A batch item that is taken for the cause is not run again for minutes, though replicas are idle,
-// and the caller's job stays open.
-TEST_CASE("connections to several replicas that break at once are no crash")
+// All connections of one node are reset at the same time, several times in half a minute, because of a network fault. A batch
+// item that is considered the cause is not run again for minutes, although replicas are idle, and its job stays open.
+TEST_CASE("simultaneous disconnects from several replicas are not crashes")
 {
     ManualClock clock;
     CrashMemory crashes(clock);
@@ -66,9 +65,9 @@
     CHECK_FALSE(crashes.isHeld(7));
 }
 
-// A replica crashes and takes four copies of the same request with it, as callers ask for the same thing at once. Counted
-// as four crashes, the request would be refused to everybody, though it has met one crash only.
-TEST_CASE("copies of a request that break with one replica are one crash")
+// A replica crashes while it runs four copies of the same request from different callers. If that counted as four crashes, the
+// request would be refused to all callers, although it has met only one crash.
+TEST_CASE("copies of a request that one replica ran count as one crash")
 {
     ManualClock clock;
     CrashMemory crashes(clock);
@@ -83,8 +82,8 @@
     CHECK_FALSE(crashes.isRefused(7));
 }
 
-// A request crashes one replica after the other. Each node learns of it, and the third crash is the last for two minutes.
-TEST_CASE("replicas that break one after the other are crashes")
+// A request crashes one replica after another. All nodes are notified, and after the third crash it is refused for two minutes.
+TEST_CASE("disconnects from replicas one after another are crashes")
 {
     ManualClock clock;
     CrashMemory crashes(clock);
@@ -97,9 +96,9 @@
     CHECK(crashes.isRefused(7));
 }
 
-// Replicas crash by chance, three times under the same item. It must run some day, but an item that does crash what runs it
-// must not take a replica away from everybody each second: it is tried after pauses that grow.
-TEST_CASE("an item that met three crashes is held for pauses that double")
+// Three replicas crash under the same item, perhaps by chance. The item must be run eventually, but if it is the cause, it must not
+// crash a replica every second. So it is retried after growing delays.
+TEST_CASE("an item that met three crashes is held for delays that double")
 {
     ManualClock clock;
     CrashMemory crashes(clock);
@@ -119,8 +118,8 @@
     CHECK_FALSE(crashes.isHeld(7));
 }
 
-// Two nodes were told of the same crashes: added up, ordinary requests that met one crash by chance would be refused.
-TEST_CASE("crashes that another node remembers too count once, and no longer than there")
+// Two nodes know the same crashes. If they were added up, ordinary requests that met one crash by chance would be refused.
+TEST_CASE("crashes that another node reports too count once and expire at the same time as there")
 {
     ManualClock clock;
     CrashMemory here(clock);
@@ -146,8 +145,8 @@
     CHECK_FALSE(here.isRefused(7));
 }
 
-// A request crashes its replica, and a moment later the one to which its node sends it again.
-TEST_CASE("a request that breaks two replicas in turn has met two crashes")
+// A request crashes its replica, and shortly after that the replica to which its node resends it.
+TEST_CASE("successive disconnects of a request from two replicas are two crashes")
 {
     ManualClock clock;
     CrashMemory crashes(clock);
@@ -160,7 +159,7 @@
     CHECK(crashesOf(crashes.judgeBreaks()) == std::vector<std::uint64_t>{7});
 }
 
-// Several nodes had copies of a request at one replica, and each reports its crash: an ordinary request would be refused.
+// Several nodes ran copies of a request on one replica, and each reports the crash. An ordinary request must not be refused.
 TEST_CASE("a crash of one replica that several nodes report counts once")
 {
     ManualClock clock;
@@ -171,8 +170,8 @@
     CHECK(crashes.crashesOf(7) == 1);
 }
 
-// Nodes were out of contact while a request crashed replicas under each of them: none would ever know of three.
-TEST_CASE("crashes that different nodes saw are joined")
+// A request crashed replicas of two partitioned nodes, neither of which saw three crashes. Their counts must be merged.
+TEST_CASE("crashes that different nodes recorded are merged")
 {
     ManualClock clock;
     CrashMemory here(clock);
@@ -186,8 +185,8 @@
     CHECK(here.isRefused(7));
 }
 
-// A crash meets all requests at its replica: those that met it by chance must not crowd out the one that crashed several.
-TEST_CASE("of more requests than can be told those with most crashes are")
+// A crash affects all requests on its replica. Those that met it by chance must not displace the one that crashed several.
+TEST_CASE("if requests exceed the report limit, those with the most crashes are reported")
 {
     ManualClock clock;
     CrashMemory crashes(clock);
@@ -203,8 +202,8 @@
     CHECK(known.front().fingerprint == 7);
 }
 
-// Many callers send the same request, and a failure domain is lost with several replicas that ran it: it is still served.
-TEST_CASE("a request that was served a moment ago is not refused for crashes, and is once that is long ago")
+// Many callers send the same request, and several replicas that run it are lost with a failure domain. It is still served.
+TEST_CASE("a request that was served recently is not refused for crashes, but is refused once that is no longer recent")
 {
     ManualClock clock;
     CrashMemory crashes(clock);
@@ -219,8 +218,8 @@
     CHECK(crashes.isRefused(7));
 }
 
-// Another node has served a request that this one refuses for crashes which it met by chance.
-TEST_CASE("a request that is served has crashed nothing")
+// A request is refused for crashes that it met by chance, and then served, for example by another node.
+TEST_CASE("a served request has its crashes removed")
 {
     ManualClock clock;
     CrashMemory crashes(clock);
@@ -231,7 +230,7 @@
     const std::vector<CrashMemory::Known> before = crashes.known(1);
     CHECK(crashes.noteServed(7));
     CHECK_FALSE(crashes.isRefused(7));
-    // Of a node that was not told of it.
+    // A report of a node that has not received yet that the request was served.
     crashes.merge(before.front());
     CHECK(crashes.crashesOf(7) == 0);
     clock.advance(std::chrono::seconds(31));
--- a/Tests/LibGateway/TestEventSplitter.cpp
+++ b/Tests/LibGateway/TestEventSplitter.cpp
@@ -4,7 +4,7 @@
 
 using namespace Dogwoodkeel;
 
-TEST_CASE("events are told whole, with their id and data")
+TEST_CASE("events are returned whole, with their id and data")
 {
     EventSplitter splitter(1000);
     CHECK(splitter.feed("id: 1\ndata: a").empty());
@@ -19,14 +19,14 @@
     CHECK_FALSE(splitter.hasRest());
 }
 
-TEST_CASE("an event over the bound makes the stream broken")
+TEST_CASE("an event over the maximum size makes the stream invalid")
 {
     EventSplitter splitter(10);
     splitter.feed("data: 0123456789");
     CHECK(splitter.isBroken());
 }
 
-TEST_CASE("an id that is no number is none")
+TEST_CASE("an id that is not a number is ignored")
 {
     EventSplitter splitter(1000);
     const std::vector<StreamEvent> events = splitter.feed("id: 1x\ndata: a\n\n");
--- a/Tests/LibGateway/TestJobLedger.cpp
+++ b/Tests/LibGateway/TestJobLedger.cpp
@@ -23,10 +23,10 @@
 
 } // namespace
 
-// A write has no answer. While the next is on its way, the head is read and shows that the first took effect after all. The
-// answer to the next write then comes to results of which some are gone already: taking away as many as it wrote would take
-// results that nobody has written, or more than there are.
-TEST_CASE("a write that is confirmed after the head was read again takes away what is listed, and nothing else")
+// A write gets no answer. While the next one is in flight, the head is read and shows that the first took effect. When the next
+// write is confirmed, some of its results are no longer pending. Removing as many pending results as it wrote would remove results
+// that were never written, or more than there are.
+TEST_CASE("a write that is confirmed after the head was read again removes only listed results")
 {
     JobLedger ledger;
     ledger.adopt(headOf(3), 1);
@@ -42,7 +42,7 @@
     CHECK_FALSE(ledger.isListed(2));
 }
 
-TEST_CASE("results are added behind those that are listed, in the order in which they came")
+TEST_CASE("results are appended to the listed ones in the order in which they were added")
 {
     JobLedger ledger;
     ledger.adopt(headOf(3, {2}), 1);
@@ -59,9 +59,10 @@
     CHECK_FALSE(ledger.hasNews());
 }
 
-// A runner dies with failures of an item counted. The next must not begin at none: the item would be sent to more replicas
-// than its route allows. Nor may a write whose answer was lost count a failure twice: the item would be given up too early.
-TEST_CASE("failures are counted over runners, and none twice")
+// A runner fails after it counted failures of an item. The next runner must not start at zero, or the item would be sent to more
+// replicas than its route permits. A write whose answer was lost must not count a failure twice, or the item would be abandoned
+// too early.
+TEST_CASE("failures are counted across runners, each of them once")
 {
     JobLedger first;
     first.adopt(headOf(2), 1);
@@ -76,7 +77,7 @@
     CHECK(second.fail(0) == 2);
 }
 
-TEST_CASE("a write holds no more than a transaction takes, and at least one result")
+TEST_CASE("a write does not exceed the size of a transaction, and holds at least one result")
 {
     JobLedger ledger;
     ledger.adopt(headOf(50), 1);
--- a/Tests/LibGateway/TestJobLooks.cpp
+++ b/Tests/LibGateway/TestJobLooks.cpp
@@ -14,8 +14,8 @@
 
 } // namespace
 
-// A single look may find nobody who can be told: a job that was looked at but once would be left lying.
-TEST_CASE("a job is looked at again and again for as long as it is open")
+// A single check may find no node that can be notified. A job that is checked only once could stay without a runner.
+TEST_CASE("a job is checked periodically while it is open")
 {
     ManualClock clock;
     JobLooks looks(clock);
@@ -31,7 +31,7 @@
     CHECK(looks.takeDue(many).empty());
 }
 
-TEST_CASE("a job whose row changes is not looked at")
+TEST_CASE("a job whose row changes is not checked")
 {
     ManualClock clock;
     JobLooks looks(clock);
@@ -42,8 +42,8 @@
     }
 }
 
-// A bound that always gave the same jobs would leave the others without a look.
-TEST_CASE("where more jobs are due than are taken at once, all have their turn")
+// If the limit always selected the same jobs, the others would never be checked.
+TEST_CASE("if more jobs are due than the limit, the remaining ones come next")
 {
     ManualClock clock;
     JobLooks looks(clock);
--- a/Tests/LibGateway/TestOpenConfirmation.cpp
+++ b/Tests/LibGateway/TestOpenConfirmation.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::chrono::milliseconds validity{1500};
 
-/** A clock that can be told that the machine was suspended. */
+/** A clock with an adjustable time for which the machine was suspended. */
 class SuspendableClock final : public Clock
 {
 public:
@@ -44,7 +44,7 @@
     const ManualClock &running;
 };
 
-/** A confirmation before a store whose answers a test gives. */
+/** An OpenConfirmation whose queries the test answers in place of the store. */
 class Bench
 {
 public:
@@ -86,7 +86,7 @@
 
 } // namespace
 
-TEST_CASE("a recent answer confirms at once, an older one only after the store was asked again")
+TEST_CASE("a recent reply confirms immediately, after an older one the store is queried again")
 {
     Bench bench;
     bench.confirmation.note(bench.confirmation.askTime());
@@ -105,7 +105,7 @@
     CHECK(bench.ages[2] == std::chrono::milliseconds(0));
 }
 
-TEST_CASE("nobody is called back for a job that is closed")
+TEST_CASE("callbacks are not called for a closed job")
 {
     Bench bench;
     bench.request();
@@ -114,8 +114,8 @@
     CHECK(bench.closed == 1);
 }
 
-// The store can't be reached: items give their places back, and the store isn't asked without a pause for each of them.
-TEST_CASE("while the store does not answer, who asks is told so, and the store is asked now and then")
+// While the store is unreachable, items release their slots, and the store must not be queried immediately for each of them.
+TEST_CASE("while the store does not reply, requests fail and the store is queried periodically")
 {
     Bench bench;
     bench.request();
@@ -131,8 +131,8 @@
     CHECK(bench.ages.size() == 3);
 }
 
-// The answer shows what was true when the question was asked; the job may have been ended while it was on its way.
-TEST_CASE("an answer that was longer on its way than it is valid confirms nothing")
+// A reply shows the state at the time of the query; the job may have ended while the reply was in transit.
+TEST_CASE("a reply that took longer than its validity confirms nothing")
 {
     Bench bench;
     bench.request();
@@ -142,7 +142,7 @@
     CHECK_FALSE(bench.ages[0]);
 }
 
-TEST_CASE("the time for which the machine was suspended counts")
+TEST_CASE("the time for which the machine was suspended counts towards the age")
 {
     Bench bench;
     bench.confirmation.note(bench.confirmation.askTime());
@@ -152,7 +152,7 @@
     CHECK(bench.asked.size() == 1);
 }
 
-TEST_CASE("a sign that the job is closed outweighs a recent answer and a question that was asked before it")
+TEST_CASE("a sign that the job is closed invalidates a recent confirmation and earlier queries")
 {
     Bench bench;
     bench.confirmation.note(bench.confirmation.askTime());
@@ -167,7 +167,7 @@
     CHECK(bench.closed == 1);
 }
 
-TEST_CASE("a sign that the job is closed is followed up until the store answers")
+TEST_CASE("after a sign that the job is closed the store is queried until it replies")
 {
     Bench bench;
     bench.confirmation.renew();
--- a/Tests/LibGateway/TestPromptPartGuard.cpp
+++ b/Tests/LibGateway/TestPromptPartGuard.cpp
@@ -25,7 +25,7 @@
     {
     }
 
-    /** A replica crashes under requests with these parts. */
+    /** Simulates the crash of a replica that runs requests with these parts. */
     void crash(const std::vector<std::vector<PromptPart>> &requests)
     {
         const EndpointName replica("i-" + std::to_string(++this->lastReplica));
@@ -44,8 +44,8 @@
 
 } // namespace
 
-// No two requests are alike: what they have in common crashes one replica after the other.
-TEST_CASE("a part that was in the prompts of four crashes is blocked, and no other one")
+// All requests differ, but share a part that crashes one replica after another.
+TEST_CASE("only the part that is common to the prompts of four crashes is blocked")
 {
     Bench bench;
     bench.guard.noteServed({first, other});
@@ -60,8 +60,8 @@
     CHECK_FALSE(bench.guard.isBlocked({first, other}));
 }
 
-// One replica a minute is lost: few requests have the part, and each of them crashes what it reaches.
-TEST_CASE("a part under which replicas crash now and then is blocked as well")
+// Few requests have the part, and each of them crashes its replica, about one per minute.
+TEST_CASE("a part that crashes replicas infrequently is blocked")
 {
     Bench bench;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
@@ -73,8 +73,8 @@
     CHECK_FALSE(bench.guard.isBlocked({first, other}));
 }
 
-// Sound requests have the same first part, and all replicas are down most of the time: they are hardly served any more.
-TEST_CASE("crashes that a blocked part explains are held against no other one")
+// Valid requests share the first part, but are rarely served as all replicas are down most of the time.
+TEST_CASE("crashes that a blocked part explains are not attributed to other parts")
 {
     Bench bench;
     bench.guard.noteServed({first, other});
@@ -86,8 +86,8 @@
     CHECK_FALSE(bench.guard.isBlocked({first, other}));
 }
 
-// A node has just started, and has served nothing yet: the parts of the crashed prompts are all new to it.
-TEST_CASE("of parts that explain the same crashes, the one further behind in the prompt is blocked")
+// A node has just started and has served nothing yet, so all parts of the prompts are new to it.
+TEST_CASE("of parts that explain the same crashes, the one later in the prompt is blocked")
 {
     Bench bench;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
@@ -97,8 +97,8 @@
     CHECK_FALSE(bench.guard.isBlocked({first}));
 }
 
-// Two faulty parts come at the same time, each under half of the crashes.
-TEST_CASE("of two parts under which replicas crash, both are blocked")
+// Two faulty parts occur in the same period, each in half of the crashes.
+TEST_CASE("two parts that crash replicas are both blocked")
 {
     Bench bench;
     for (int crash = 0; crash < 4 * crashesToBlock; ++crash) {
@@ -110,8 +110,8 @@
     CHECK_FALSE(bench.guard.isBlocked({first}));
 }
 
-// Most requests of a crashed replica had been answered for a while: they tell nothing of what else crashed it.
-TEST_CASE("crashes that are held against no part do not hide one under which others crash")
+// Some replicas crash while they run only requests that are already served in part, which identify no suspect.
+TEST_CASE("crashes that are attributed to no part do not hide a part that causes others")
 {
     Bench bench;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
@@ -122,8 +122,8 @@
     CHECK(bench.guard.isBlocked({bad}));
 }
 
-// A part was sound until something changed at the replicas.
-TEST_CASE("a part that was served before its crashes is blocked all the same")
+// A part was harmless until the replicas changed.
+TEST_CASE("a part that was served before its crashes is blocked")
 {
     Bench bench;
     bench.guard.noteServed({first, bad});
@@ -136,7 +136,7 @@
     CHECK_FALSE(bench.guard.isBlocked({first}));
 }
 
-// Replicas crash by themselves now and then, and take requests of all kinds with them.
+// Replicas crash occasionally for other reasons while they run requests of all kinds.
 TEST_CASE("a part that is served between crashes is never blocked")
 {
     Bench bench;
@@ -148,8 +148,8 @@
     CHECK_FALSE(bench.guard.isBlocked({first, other}));
 }
 
-// A failure domain is lost, and with it many replicas at one moment; so are the requests that they had just begun.
-TEST_CASE("crashes at one moment count once")
+// Many replicas are lost with a failure domain at the same time, and so are the requests that they had just started.
+TEST_CASE("simultaneous crashes count once")
 {
     ManualClock clock;
     PromptPartGuard guard(clock);
@@ -160,8 +160,8 @@
     CHECK_FALSE(guard.isBlocked({first, other}));
 }
 
-// Several nodes lose requests with one replica, and each tells of it.
-TEST_CASE("notices of one replica's crash count once")
+// Several nodes lose requests with one replica, and each reports the crash.
+TEST_CASE("several notices of the crash of one replica count once")
 {
     ManualClock clock;
     PromptPartGuard guard(clock);
@@ -172,7 +172,7 @@
     CHECK_FALSE(guard.isBlocked({bad}));
 }
 
-// The fault may have been mended; but each wrong try costs a replica.
+// The fault may have been fixed since, but each wrong attempt crashes a replica.
 TEST_CASE("a block ends, and the first crash after it blocks for longer")
 {
     Bench bench;
@@ -188,8 +188,8 @@
     CHECK_FALSE(bench.guard.isBlocked({bad}));
 }
 
-// A request that was sent before the block ends well: the part was not the cause.
-TEST_CASE("a blocked part that is served is blocked no more, and the others are to be told")
+// A request that was sent before the block is served, which shows that the part is not the cause.
+TEST_CASE("a blocked part that is served is unblocked, and is returned so that other nodes are notified")
 {
     Bench bench;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
@@ -201,8 +201,8 @@
     CHECK(bench.guard.noteServed({bad, other}).empty());
 }
 
-// A node that missed a notice goes on to tell of a block that the others know to be wrong.
-TEST_CASE("a block of another node is taken over unless the part was served since")
+// A node that missed a notice keeps reporting a block that the others have already removed.
+TEST_CASE("a block that another node reports is applied unless the part was served since")
 {
     Bench bench;
     Bench late;
@@ -221,8 +221,8 @@
     CHECK_FALSE(late.guard.isBlocked({bad}));
 }
 
-// Requests of all kinds run while one part crashes replicas at random moments; some notices are lost.
-TEST_CASE("among many parts, only the one that crashes replicas is ever blocked")
+// Requests of all kinds run while one part crashes replicas at random times; some crashes show no request with the part.
+TEST_CASE("among many parts, only the one that crashes replicas is blocked")
 {
     for (unsigned seed = 1; seed <= 50; ++seed) {
         std::minstd_rand random(seed);
--- a/Tests/LibGateway/TestReplicaList.cpp
+++ b/Tests/LibGateway/TestReplicaList.cpp
@@ -17,9 +17,9 @@
 
 } // namespace
 
-// While the store is down, the entries of all replicas lapse, though the replicas live. On its return the list is empty for
-// a second or two. A node that believed it would refuse every request.
-TEST_CASE("entries that lapse around an outage are kept until they are back or their time is over")
+// While the store is down, the entries of all replicas lapse, although the replicas are alive. After the outage the list is empty
+// for a second or two. A node that applied it would refuse every request.
+TEST_CASE("entries that lapse during or after an outage are kept until they reappear or their retention ends")
 {
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
@@ -44,7 +44,7 @@
     CHECK(list.replicas().contains(EndpointName("a")));
 }
 
-TEST_CASE("in calm times an entry that goes is gone at once")
+TEST_CASE("without an outage an entry is removed immediately")
 {
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
@@ -53,7 +53,7 @@
     CHECK(list.replicas().size() == 1);
 }
 
-TEST_CASE("a replica that was draining is not kept around an outage")
+TEST_CASE("a draining replica is not kept during an outage")
 {
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
@@ -65,8 +65,8 @@
     CHECK(list.replicas().empty());
 }
 
-// A replica crashes and its address is given to another. Requests to the old entry would reach the new replica.
-TEST_CASE("an entry ends when another replica has its address")
+// A replica crashes and its address is reassigned. Requests to the old entry would reach the new replica.
+TEST_CASE("an entry is removed when another replica has its address")
 {
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
@@ -76,9 +76,9 @@
     CHECK(list.replicas().contains(EndpointName("b")));
 }
 
-// A replica crashes and starts again under its name, with nothing of what it had: its load, what it ran, the connections to it
-// and the failures that were held against it are those of the one before.
-TEST_CASE("a replica that starts again under its name takes the place of the one before")
+// A replica crashes and restarts under its registered name. The load, requests, connections and failures that are recorded for it
+// belong to the previous incarnation.
+TEST_CASE("a replica that restarts under its name replaces the previous incarnation")
 {
     ManualClock clock;
     std::vector<EndpointName> over;
@@ -102,8 +102,8 @@
     CHECK(list.replicas().empty());
 }
 
-// For a moment a good replica's entry is spoilt, and comes right again. What it runs must not be given up for that.
-TEST_CASE("a replica whose entry can't be read is held back until the entry is right again")
+// The entry of a healthy replica is invalid for a short time. Its running requests must not be aborted because of that.
+TEST_CASE("a replica with an unreadable entry is draining until the entry is valid again")
 {
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
@@ -120,7 +120,7 @@
     CHECK_FALSE(list.findRegistered(EndpointName("a"))->isDraining);
 }
 
-TEST_CASE("changes are told once, and what is back before it was told has not changed")
+TEST_CASE("changes are returned once, and an entry that reappears before the call is not returned as removed")
 {
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
@@ -140,8 +140,8 @@
     CHECK(list.takeChanges().removed.empty());
 }
 
-// Guards against a replica that both its former and its new service go on using.
-TEST_CASE("a replica that goes to another service is gone from the former one")
+// Guards against a replica that stays in use for its former service after it moved to another.
+TEST_CASE("a replica that moves to another service is removed from the former one")
 {
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
@@ -157,7 +157,7 @@
     CHECK(changes.put[0].service == ServiceName("t"));
 }
 
-TEST_CASE("a replica that moves to another address is found there alone")
+TEST_CASE("a replica that moves to another address is found only there")
 {
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
--- a/Tests/LibGateway/TestReplicaRing.cpp
+++ b/Tests/LibGateway/TestReplicaRing.cpp
@@ -55,7 +55,7 @@
 
 } // namespace
 
-TEST_CASE("what a node is told of replicas does not grow with them")
+TEST_CASE("the set of a node does not grow with the number of replicas")
 {
     for (const std::size_t count : {300U, 3000U, 10000U, 20000U}) {
         const ReplicaRing ring = ringOf(count);
@@ -67,7 +67,7 @@
     }
 }
 
-TEST_CASE("a few replicas are all told, with the fingerprint of their list")
+TEST_CASE("if there are few replicas, all are selected, with the fingerprint of their list")
 {
     ManualClock clock;
     ReplicaRing ring = ringOf(12);
@@ -80,9 +80,9 @@
     CHECK(ring.choose(7, FailureDomain("elsewhere"), setSize).replicas.size() == 13);
 }
 
-// While no dispatcher answers, each node places its requests within its set: replicas in many more sets than others would be
-// full.
-TEST_CASE("the sets of many nodes use all replicas alike")
+// While no dispatcher answers, each node places its requests within its set. Replicas that are in many more sets than others would
+// be overloaded.
+TEST_CASE("the sets of many nodes use all replicas evenly")
 {
     constexpr std::size_t replicaCount = 3000;
     constexpr std::size_t nodeCount = 1000;
@@ -101,7 +101,7 @@
     }
 }
 
-TEST_CASE("a replica that goes or drains changes one entry of the sets that have it, and no others")
+TEST_CASE("a draining replica changes one entry of the sets that contain it, and no other set")
 {
     ReplicaRing ring = ringOf(3000);
     const FailureDomain domain("z1");
@@ -120,7 +120,7 @@
     }
 }
 
-TEST_CASE("the replicas of recent places are found by their addresses, up to a bound")
+TEST_CASE("the replicas of recent slots are found by their addresses, up to a limit")
 {
     RecentReplicas recent;
     for (std::size_t number = 0; number < 3000; ++number) {
--- a/Tests/LibGateway/TestServingConfiguration.cpp
+++ b/Tests/LibGateway/TestServingConfiguration.cpp
@@ -4,7 +4,7 @@
 
 using namespace Dogwoodkeel;
 
-TEST_CASE("the longest prefix of the host begins the path")
+TEST_CASE("the route of the host with the longest matching prefix is found")
 {
     ServingConfiguration configuration;
     configuration.routes.push_back({.name = "short", .host = "h", .prefix = "/a/"});
@@ -16,7 +16,7 @@
     CHECK(configuration.findRoute("x", "/a/b") == nullptr);
 }
 
-TEST_CASE("targets get their weights' share, and one without weight gets nothing")
+TEST_CASE("targets are selected in proportion to their weights, and never with weight zero")
 {
     Route route;
     route.targets = {{ServiceName("a"), 90}, {ServiceName("b"), 0}, {ServiceName("c"), 10}};
--- a/Tests/LibGateway/TestStreamOrigins.cpp
+++ b/Tests/LibGateway/TestStreamOrigins.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("an origin is known as long as the stream's caller may come again")
+TEST_CASE("an origin is known as long as the caller may resume the stream")
 {
     ManualClock clock;
     StreamOrigins origins(clock);
@@ -26,8 +26,8 @@
     CHECK_FALSE(origins.find(1));
 }
 
-// An attempt is told once by its node and once more by whoever took its stream up: the later end counts.
-TEST_CASE("an origin that is told again is known for the longer time")
+// An attempt is reported by its node, and again by the node that resumed its stream. The later expiry counts.
+TEST_CASE("an origin that is reported again is kept until the later expiry")
 {
     ManualClock clock;
     StreamOrigins origins(clock);
@@ -39,8 +39,8 @@
     CHECK(origins.find(1) == origin);
 }
 
-// Callers state how long they wait, and may state anything.
-TEST_CASE("origins take bounded memory, whatever lifetimes are stated")
+// Callers state how long they wait, without any limit.
+TEST_CASE("the number of origins is bounded regardless of the stated lifetimes")
 {
     ManualClock clock;
     StreamOrigins origins(clock);
