--- a/Benchmarks/Measure/Feeds.cpp
+++ b/Benchmarks/Measure/Feeds.cpp
@@ -140,7 +140,7 @@
     const double begun = std::chrono::duration<double>(start.begun).count();
     const double read = begun + secondsOn(table * relays, FLAGS_store_mbps) + secondsOn(table, FLAGS_large_mbps);
     const double whole = static_cast<double>(listBytes(replicas));
-    const ReplicaRing::Choice choice = ring.choose(1, FailureDomain("domain-1"), FLAGS_set);
+    const ReplicaRing::Selection choice = ring.select(1, FailureDomain("domain-1"), FLAGS_set);
     const double set = static_cast<double>(listBytes(choice.replicas));
     const double sample = static_cast<double>(FLAGS_set * FLAGS_row_bytes);
 
--- a/Libraries/LibGateway/CrashMemory.cpp
+++ b/Libraries/LibGateway/CrashHistory.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/CrashMemory.h>
+#include <LibGateway/CrashHistory.h>
 
 #include <LibBase/Hash.h>
 
@@ -27,7 +27,7 @@
  * trip and the start of a run apart.
  */
 constexpr std::chrono::milliseconds sameMoment{50};
-static_assert(sameMoment < CrashMemory::judgeAfter);
+static_assert(sameMoment < CrashHistory::classificationDelay);
 /** How long an item is held after its third crash. Doubles with each further crash, which makes it more likely the cause. */
 constexpr std::chrono::seconds firstHold{5};
 constexpr int mostDoublings = 6;
@@ -46,50 +46,50 @@
 
 } // namespace
 
-CrashMemory::CrashMemory(const Clock &clock) : clock(clock), served(clock, servedRecently, mostServed)
+CrashHistory::CrashHistory(const Clock &clock) : clock(clock), served(clock, servedRecently, mostServed)
 {
 }
 
-void CrashMemory::noteBreak(const BrokenRun &run)
+void CrashHistory::recordDisconnect(const InterruptedRun &run)
 {
     this->breaks.push_back({run, this->clock.now()});
 }
 
-bool CrashMemory::isLastCrashInDoubt(std::uint64_t fingerprint) const
+bool CrashHistory::mayReachCrashLimit(std::uint64_t fingerprint) const
 {
     const auto firstOpen = this->breaks.begin() + static_cast<std::ptrdiff_t>(this->judgedBreaks);
-    return this->crashesOf(fingerprint) == mostCrashes - 1
+    return this->crashCount(fingerprint) == mostCrashes - 1
         && std::any_of(firstOpen, this->breaks.end(), [fingerprint](const Break &open) {
                return open.run.fingerprint == fingerprint;
            });
 }
 
-std::vector<JudgedBreak> CrashMemory::judgeBreaks()
+std::vector<ClassifiedDisconnect> CrashHistory::classifyDisconnects()
 {
     const SteadyTime now = this->clock.now();
-    std::vector<JudgedBreak> judged;
-    while (this->judgedBreaks < this->breaks.size() && now - this->breaks[this->judgedBreaks].time >= judgeAfter) {
+    std::vector<ClassifiedDisconnect> judged;
+    while (this->judgedBreaks < this->breaks.size() && now - this->breaks[this->judgedBreaks].time >= classificationDelay) {
         const Break &next = this->breaks[this->judgedBreaks++];
-        const bool isCopy = std::ranges::any_of(judged, [&next](const JudgedBreak &other) {
+        const bool isCopy = std::ranges::any_of(judged, [&next](const ClassifiedDisconnect &other) {
             return other.run.fingerprint == next.run.fingerprint && other.run.replica == next.run.replica;
         });
         if (!isCopy) {
             judged.push_back(this->judge(next));
         }
     }
-    while (this->judgedBreaks > 0 && now - this->breaks.front().time > judgeAfter + sameMoment) {
+    while (this->judgedBreaks > 0 && now - this->breaks.front().time > classificationDelay + sameMoment) {
         this->breaks.pop_front();
         --this->judgedBreaks;
     }
-    for (const JudgedBreak &entry : judged) {
+    for (const ClassifiedDisconnect &entry : judged) {
         if (entry.isCrash) {
-            this->noteCrash(entry.run.fingerprint, entry.run.replica);
+            this->recordCrash(entry.run.fingerprint, entry.run.replica);
         }
     }
     return judged;
 }
 
-JudgedBreak CrashMemory::judge(const Break &next) const
+ClassifiedDisconnect CrashHistory::judge(const Break &next) const
 {
     // Attempts of one request run one after another, so their disconnects are not one reset of many connections.
     const auto other = std::ranges::find_if(this->breaks, [&next](const Break &candidate) {
@@ -99,11 +99,11 @@
     if (other == this->breaks.end()) {
         return {next.run, true};
     }
-    const auto apart = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::abs(other->time - next.time));
-    return {next.run, false, other->run.replica, apart};
+    const auto timeDifference = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::abs(other->time - next.time));
+    return {next.run, false, other->run.replica, timeDifference};
 }
 
-CrashMemory::Entry &CrashMemory::entryOf(std::uint64_t fingerprint, SteadyTime time)
+CrashHistory::Entry &CrashHistory::entryOf(std::uint64_t fingerprint, SteadyTime time)
 {
     if (this->entries.size() >= mostEntries) {
         this->forgetOld();
@@ -116,29 +116,29 @@
     return entry;
 }
 
-void CrashMemory::noteCrash(std::uint64_t fingerprint, const EndpointName &replica)
+void CrashHistory::recordCrash(std::uint64_t fingerprint, const EndpointName &replica)
 {
     join(this->entryOf(fingerprint, this->clock.now()).replicas, {stableHash(replica.value())});
 }
 
-std::vector<CrashMemory::Known> CrashMemory::known(std::size_t most) const
+std::vector<CrashHistory::RequestCrashes> CrashHistory::requestCrashes(std::size_t most) const
 {
     const SteadyTime now = this->clock.now();
-    std::vector<Known> found;
+    std::vector<RequestCrashes> found;
     for (const auto &[fingerprint, entry] : this->entries) {
         const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.last);
         if (age <= remembered) {
             found.push_back({fingerprint, entry.replicas, age});
         }
     }
-    std::ranges::sort(found, [](const Known &one, const Known &other) {
+    std::ranges::sort(found, [](const RequestCrashes &one, const RequestCrashes &other) {
         return std::tuple(other.replicas.size(), one.age) < std::tuple(one.replicas.size(), other.age);
     });
     found.resize(std::min(found.size(), most));
     return found;
 }
 
-void CrashMemory::merge(const Known &reported)
+void CrashHistory::merge(const RequestCrashes &reported)
 {
     if (reported.age > remembered) {
         return;
@@ -152,33 +152,33 @@
     join(this->entryOf(reported.fingerprint, lastCrash).replicas, reported.replicas);
 }
 
-int CrashMemory::crashesOf(std::uint64_t fingerprint) const
+int CrashHistory::crashCount(std::uint64_t fingerprint) const
 {
     const auto found = this->entries.find(fingerprint);
     const bool isKnown = found != this->entries.end() && this->clock.now() - found->second.last <= remembered;
     return isKnown ? static_cast<int>(found->second.replicas.size()) : 0;
 }
 
-bool CrashMemory::noteServed(std::uint64_t fingerprint)
+bool CrashHistory::recordServed(std::uint64_t fingerprint)
 {
     this->served.note(fingerprint);
     return this->entries.erase(fingerprint) > 0;
 }
 
-bool CrashMemory::isServed(std::uint64_t fingerprint) const
+bool CrashHistory::isServed(std::uint64_t fingerprint) const
 {
     const std::optional<SteadyTime> last = this->served.last(fingerprint);
     return last && this->clock.now() - *last <= servedRecently;
 }
 
-bool CrashMemory::isRefused(std::uint64_t fingerprint) const
+bool CrashHistory::isRefused(std::uint64_t fingerprint) const
 {
-    return this->crashesOf(fingerprint) >= mostCrashes && !this->isServed(fingerprint);
+    return this->crashCount(fingerprint) >= mostCrashes && !this->isServed(fingerprint);
 }
 
-bool CrashMemory::isHeld(std::uint64_t fingerprint) const
+bool CrashHistory::isHeld(std::uint64_t fingerprint) const
 {
-    const int crashes = this->crashesOf(fingerprint);
+    const int crashes = this->crashCount(fingerprint);
     if (crashes < mostCrashes || this->isServed(fingerprint)) {
         return false;
     }
@@ -186,7 +186,7 @@
     return this->clock.now() - this->entries.at(fingerprint).last <= firstHold * (1 << doublings);
 }
 
-void CrashMemory::forgetOld()
+void CrashHistory::forgetOld()
 {
     const SteadyTime now = this->clock.now();
     std::erase_if(this->entries, [now](const auto &entry) {
--- a/Libraries/LibGateway/CrashMemory.h
+++ b/Libraries/LibGateway/CrashHistory.h
@@ -18,7 +18,7 @@
 {
 
 /** A run of a request on a replica that ended because the connection was lost. */
-struct BrokenRun
+struct InterruptedRun
 {
     /** Hash of the contents of the request; copies of a request have the same. */
     std::uint64_t fingerprint = 0;
@@ -30,13 +30,13 @@
     /** Number of events that the replica had sent in this run. */
     std::uint32_t events = 0;
 
-    bool operator==(const BrokenRun &) const = default;
+    bool operator==(const InterruptedRun &) const = default;
 };
 
 /** An interrupted run and the cause that was determined for it. */
-struct JudgedBreak
+struct ClassifiedDisconnect
 {
-    BrokenRun run;
+    InterruptedRun run;
     /**
      * Whether the replica crashed. If not, connections to several replicas were lost at the same time, and the cause is unknown
      * until the replicas are probed.
@@ -45,7 +45,7 @@
     /** If the cause is unknown: another replica to which a connection was lost at the same time. */
     EndpointName otherReplica{};
     /** Absolute time difference between the losses of the two connections. */
-    std::chrono::milliseconds apart{0};
+    std::chrono::milliseconds timeDifference{0};
 };
 
 /**
@@ -56,40 +56,40 @@
  * request is refused for a while. A request that many callers send may meet several crashes at once without being the cause;
  * it is not refused if it was served recently.
  */
-class CrashMemory
+class CrashHistory
 {
 public:
     /** Delay between a disconnect and its classification: other connections may be lost at the same time. */
-    static constexpr std::chrono::milliseconds judgeAfter{60};
+    static constexpr std::chrono::milliseconds classificationDelay{60};
 
-    explicit CrashMemory(const Clock &clock);
+    explicit CrashHistory(const Clock &clock);
 
     /** Records that a connection was lost while a request ran on it. The disconnect is classified after `classificationDelay`. */
-    void noteBreak(const BrokenRun &run);
+    void recordDisconnect(const InterruptedRun &run);
 
     /** @return whether an unclassified disconnect of the request, if it is a crash, brings the request to the crash limit. */
-    bool isLastCrashInDoubt(std::uint64_t fingerprint) const;
+    bool mayReachCrashLimit(std::uint64_t fingerprint) const;
 
     /**
      * Classifies the disconnects that are older than `classificationDelay`, and records the crashes among them.
      * @return the classified disconnects; copies of a request on one replica give one entry
      */
-    std::vector<JudgedBreak> judgeBreaks();
+    std::vector<ClassifiedDisconnect> classifyDisconnects();
 
     /**
      * Records that a replica crashed while it ran the request. Each replica counts once per request, regardless of how many
      * copies it ran and how many nodes report the crash.
      */
-    void noteCrash(std::uint64_t fingerprint, const EndpointName &replica);
+    void recordCrash(std::uint64_t fingerprint, const EndpointName &replica);
 
     /**
      * Records that a replica answered the request completely, and removes the crashes that were attributed to it.
      * @return whether crashes were attributed to it; other nodes may have them too
      */
-    bool noteServed(std::uint64_t fingerprint);
+    bool recordServed(std::uint64_t fingerprint);
 
     /** The crashes that a node attributes to a request. */
-    struct Known
+    struct RequestCrashes
     {
         std::uint64_t fingerprint = 0;
         /** Hashes of the names of the replicas that crashed. */
@@ -102,13 +102,13 @@
      * @return the requests with crashes, ordered by descending number of crashes, then by ascending age
      * @param maxCount maximum number of requests
      */
-    std::vector<Known> known(std::size_t most) const;
+    std::vector<RequestCrashes> requestCrashes(std::size_t most) const;
 
     /** Merges the crashes that another node attributes to a request. */
-    void merge(const Known &reported);
+    void merge(const RequestCrashes &reported);
 
     /** @return the number of recorded crashes of a request that have not expired. */
-    int crashesOf(std::uint64_t fingerprint) const;
+    int crashCount(std::uint64_t fingerprint) const;
 
     /** @return whether an online request must be refused. */
     bool isRefused(std::uint64_t fingerprint) const;
@@ -126,11 +126,11 @@
 
     struct Break
     {
-        BrokenRun run;
+        InterruptedRun run;
         SteadyTime time{};
     };
 
-    JudgedBreak judge(const Break &next) const;
+    ClassifiedDisconnect judge(const Break &next) const;
     Entry &entryOf(std::uint64_t fingerprint, SteadyTime time);
     void forgetOld();
 
--- a/Libraries/LibGateway/EventSplitter.cpp
+++ b/Libraries/LibGateway/EventSplitter.cpp
@@ -78,7 +78,7 @@
     return events;
 }
 
-bool EventSplitter::hasRest() const
+bool EventSplitter::hasRemainder() const
 {
     return !this->rest.empty();
 }
--- a/Libraries/LibGateway/EventSplitter.h
+++ b/Libraries/LibGateway/EventSplitter.h
@@ -11,7 +11,7 @@
 {
 
 /** Maximum size of an event in bytes. Events of replicas hold a few tokens; a larger one is invalid and would exhaust memory. */
-inline constexpr std::size_t largestStreamEvent = 1'048'576;
+inline constexpr std::size_t maxStreamEventBytes = 1'048'576;
 
 /** One complete server-sent event (HTML Living Standard, section 9.2). */
 struct StreamEvent
@@ -35,7 +35,7 @@
     std::vector<StreamEvent> feed(std::string_view bytes);
 
     /** @return whether the buffer holds bytes of an incomplete event. */
-    bool hasRest() const;
+    bool hasRemainder() const;
 
     /** @return whether an incomplete event exceeded the maximum size. */
     bool isBroken() const;
--- a/Libraries/LibGateway/JobLooks.cpp
+++ b/Libraries/LibGateway/JobCheckSchedule.cpp
@@ -1,19 +1,19 @@
-#include <LibGateway/JobLooks.h>
+#include <LibGateway/JobCheckSchedule.h>
 
 namespace Dogwoodkeel
 {
 
-JobLooks::JobLooks(const Clock &clock) : clock(clock)
+JobCheckSchedule::JobCheckSchedule(const Clock &clock) : clock(clock)
 {
 }
 
-void JobLooks::noteRow(const JobId &job)
+void JobCheckSchedule::postpone(const JobId &job)
 {
-    this->forget(job);
+    this->remove(job);
     this->schedule(job);
 }
 
-void JobLooks::forget(const JobId &job)
+void JobCheckSchedule::remove(const JobId &job)
 {
     const auto found = this->times.find(job);
     if (found != this->times.end()) {
@@ -22,13 +22,13 @@
     }
 }
 
-void JobLooks::clear()
+void JobCheckSchedule::clear()
 {
     this->times.clear();
     this->queue.clear();
 }
 
-std::vector<JobId> JobLooks::takeDue(std::size_t most)
+std::vector<JobId> JobCheckSchedule::popDue(std::size_t most)
 {
     const SteadyTime now = this->clock.now();
     std::vector<JobId> due;
@@ -39,12 +39,12 @@
         due.push_back(job);
     }
     for (const JobId &job : due) {
-        this->noteRow(job);
+        this->postpone(job);
     }
     return due;
 }
 
-void JobLooks::schedule(const JobId &job)
+void JobCheckSchedule::schedule(const JobId &job)
 {
     const SteadyTime time = this->clock.now() + interval;
     this->times.emplace(job, time);
--- a/Libraries/LibGateway/JobLooks.h
+++ b/Libraries/LibGateway/JobCheckSchedule.h
@@ -17,19 +17,19 @@
  * Schedules the periodic checks of open jobs. A job is due one interval after its row was last read or it was last checked.
  * A job whose row keeps changing makes progress and needs no check.
  */
-class JobLooks
+class JobCheckSchedule
 {
 public:
     /** How long the row of a job stays unchanged before the job is checked. */
     static constexpr std::chrono::seconds interval{2};
 
-    explicit JobLooks(const Clock &clock);
+    explicit JobCheckSchedule(const Clock &clock);
 
     /** Schedules the check of an open job one interval from now, as its row was read. */
-    void noteRow(const JobId &job);
+    void postpone(const JobId &job);
 
     /** Removes a job that is no longer open. */
-    void forget(const JobId &job);
+    void remove(const JobId &job);
 
     /** Removes all jobs. */
     void clear();
@@ -38,7 +38,7 @@
      * Returns the jobs whose check is due, longest overdue first, and schedules their next checks.
      * @param maxCount maximum number of jobs
      */
-    std::vector<JobId> takeDue(std::size_t most);
+    std::vector<JobId> popDue(std::size_t most);
 
 private:
     void schedule(const JobId &job);
--- a/Libraries/LibGateway/JobLedger.cpp
+++ b/Libraries/LibGateway/JobLedger.cpp
@@ -45,7 +45,7 @@
     }
 }
 
-std::uint32_t JobLedger::fail(std::uint32_t item)
+std::uint32_t JobLedger::recordFailure(std::uint32_t item)
 {
     this->hasNewFailures = true;
     return ++this->failures[item];
@@ -64,7 +64,7 @@
     return this->listed.contains(item);
 }
 
-bool JobLedger::hasNews() const
+bool JobLedger::hasUnwrittenChanges() const
 {
     return !this->pending.empty() || this->hasNewFailures;
 }
@@ -96,7 +96,7 @@
     this->setHead(written, version);
 }
 
-void JobLedger::noteFailedWrite()
+void JobLedger::recordFailedWrite()
 {
     this->hasNewFailures = true;
 }
@@ -116,7 +116,7 @@
     return this->current.listed.size() >= this->current.total;
 }
 
-std::size_t JobLedger::unwritten() const
+std::size_t JobLedger::unwrittenResults() const
 {
     return this->pending.size();
 }
--- a/Libraries/LibGateway/JobLedger.h
+++ b/Libraries/LibGateway/JobLedger.h
@@ -36,7 +36,7 @@
     void add(std::uint32_t item, ItemResult result);
 
     /** Records that an item failed at a replica. @return the number of its failures, including those of earlier runners */
-    std::uint32_t fail(std::uint32_t item);
+    std::uint32_t recordFailure(std::uint32_t item);
 
     /** @return whether an item has a result, written or pending. */
     bool hasResult(std::uint32_t item) const;
@@ -45,7 +45,7 @@
     bool isListed(std::uint32_t item) const;
 
     /** @return whether results or failures are to be written. */
-    bool hasNews() const;
+    bool hasUnwrittenChanges() const;
 
     /** @return the next write, limited to the size of a transaction. */
     Write nextWrite();
@@ -54,7 +54,7 @@
     void confirm(const JobHead &written, RowVersion version);
 
     /** Records that a write may not have taken effect, so its contents are still to be written. */
-    void noteFailedWrite();
+    void recordFailedWrite();
 
     const JobHead &head() const;
     RowVersion version() const;
@@ -63,7 +63,7 @@
     bool isComplete() const;
 
     /** @return the number of results that are not written yet. */
-    std::size_t unwritten() const;
+    std::size_t unwrittenResults() const;
 
 private:
     void setHead(const JobHead &head, RowVersion version);
--- a/Libraries/LibGateway/JobRows.cpp
+++ b/Libraries/LibGateway/JobRows.cpp
@@ -68,7 +68,7 @@
     return {jobTable, job.value(), headKey};
 }
 
-RowPlace contentPiece(const JobId &job, std::uint32_t piece)
+RowPlace contentChunk(const JobId &job, std::uint32_t piece)
 {
     return {jobTable, job.value(), pieceKey(contentPrefix, piece)};
 }
--- a/Libraries/LibGateway/JobRows.h
+++ b/Libraries/LibGateway/JobRows.h
@@ -42,7 +42,7 @@
 RowPlace head(const JobId &job);
 
 /** @return the key of one chunk of a job's content. */
-RowPlace contentPiece(const JobId &job, std::uint32_t piece);
+RowPlace contentChunk(const JobId &job, std::uint32_t piece);
 
 /** @return the rows of the head and content of a job. */
 RowRange headAndContent(const JobId &job);
--- a/Libraries/LibGateway/OpenConfirmation.cpp
+++ b/Libraries/LibGateway/OpenConfirmation.cpp
@@ -24,13 +24,13 @@
     this->cancel();
 }
 
-SteadyTime OpenConfirmation::askTime() const
+SteadyTime OpenConfirmation::queryTime() const
 {
     // The steady clock stops while the machine is suspended, but the job may end meanwhile.
     return this->clock.now() + std::chrono::duration_cast<SteadyTime::duration>(this->clock.suspended());
 }
 
-void OpenConfirmation::note(SteadyTime asked)
+void OpenConfirmation::recordOpen(SteadyTime asked)
 {
     this->confirmed = std::max(asked, this->confirmed.value_or(asked));
 }
@@ -40,11 +40,11 @@
     if (!this->confirmed) {
         return std::nullopt;
     }
-    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(this->askTime() - *this->confirmed);
+    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(this->queryTime() - *this->confirmed);
     return age <= this->validity ? std::optional(age) : std::nullopt;
 }
 
-void OpenConfirmation::request(Confirmed confirmed)
+void OpenConfirmation::request(Callback confirmed)
 {
     if (const std::optional<std::chrono::milliseconds> age = this->validAge()) {
         confirmed(age);
@@ -52,16 +52,16 @@
     }
     this->waiting.push_back(std::move(confirmed));
     if (!this->isAsking && this->retryTimer == 0) {
-        this->ask();
+        this->query();
     }
 }
 
-void OpenConfirmation::renew()
+void OpenConfirmation::requery()
 {
     this->confirmed.reset();
     this->isRenewing = true;
     if (this->retryTimer == 0) {
-        this->ask();
+        this->query();
     }
 }
 
@@ -75,10 +75,10 @@
     this->scheduler.cancel(std::exchange(this->retryTimer, 0));
 }
 
-void OpenConfirmation::ask()
+void OpenConfirmation::query()
 {
     this->isAsking = true;
-    this->hooks.ask([this, alive = this->alive, asked = this->askTime(), number = ++this->question](Reply reply) {
+    this->hooks.query([this, alive = this->alive, asked = this->queryTime(), number = ++this->question](Reply reply) {
         if (*alive && number == this->question) {
             this->take(reply, asked);
         }
@@ -91,7 +91,7 @@
     switch (reply) {
     case Reply::Open:
         this->isRenewing = false;
-        this->note(asked);
+        this->recordOpen(asked);
         // A reply that was delayed may already be too old.
         this->callBack(this->validAge());
         return;
@@ -102,7 +102,7 @@
         this->retryTimer = this->scheduler.schedule(retryPause, [this] {
             this->retryTimer = 0;
             if (this->isRenewing || !this->waiting.empty()) {
-                this->ask();
+                this->query();
             }
         });
         this->callBack(std::nullopt);
@@ -113,7 +113,7 @@
 void OpenConfirmation::callBack(std::optional<std::chrono::milliseconds> age)
 {
     const std::shared_ptr<bool> alive = this->alive;
-    for (const Confirmed &confirmed : std::exchange(this->waiting, {})) {
+    for (const Callback &confirmed : std::exchange(this->waiting, {})) {
         if (*alive) {
             confirmed(age);
         }
--- a/Libraries/LibGateway/OpenConfirmation.h
+++ b/Libraries/LibGateway/OpenConfirmation.h
@@ -32,12 +32,12 @@
     };
 
     /** Receives the age of the confirmation, or nothing if the store did not answer. Not called if the job is closed. */
-    using Confirmed = std::function<void(std::optional<std::chrono::milliseconds> age)>;
+    using Callback = std::function<void(std::optional<std::chrono::milliseconds> age)>;
 
     struct Hooks
     {
         /** Queries the store whether the job is open. */
-        std::function<void(std::function<void(Reply)>)> ask;
+        std::function<void(std::function<void(Reply)>)> query;
         /** Called when the store replies that the job is closed. */
         std::function<void()> closed;
     };
@@ -49,22 +49,22 @@
     OpenConfirmation &operator=(const OpenConfirmation &) = delete;
 
     /** @return the time to record for the reply to a query that is sent now. */
-    SteadyTime askTime() const;
+    SteadyTime queryTime() const;
 
     /** Records that the store confirmed the job as open. @param queriedAt queryTime() before the query was sent */
-    void note(SteadyTime asked);
+    void recordOpen(SteadyTime asked);
 
     /** Calls back immediately if the last confirmation is recent enough, otherwise once the store has replied or failed to. */
-    void request(Confirmed confirmed);
+    void request(Callback confirmed);
 
     /** Discards the confirmation and queries the store, as there are signs that the job is closed. */
-    void renew();
+    void requery();
 
     /** Drops all pending callbacks and queries. */
     void cancel();
 
 private:
-    void ask();
+    void query();
     void take(Reply reply, SteadyTime asked);
     void callBack(std::optional<std::chrono::milliseconds> age);
     std::optional<std::chrono::milliseconds> validAge() const;
@@ -74,7 +74,7 @@
     std::chrono::milliseconds validity;
     Hooks hooks;
     std::optional<SteadyTime> confirmed;
-    std::vector<Confirmed> waiting;
+    std::vector<Callback> waiting;
     bool isAsking = false;
     /** Whether the store is queried until it replies, even if no callback is waiting. */
     bool isRenewing = false;
--- a/Libraries/LibGateway/PromptPartGuard.cpp
+++ b/Libraries/LibGateway/PromptPartBlocklist.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/PromptPartGuard.h>
+#include <LibGateway/PromptPartBlocklist.h>
 
 #include <LibBase/Hash.h>
 
@@ -62,11 +62,11 @@
     return parts;
 }
 
-PromptPartGuard::PromptPartGuard(const Clock &clock) : clock(clock), served(clock, crashesRetained, mostServed)
+PromptPartBlocklist::PromptPartBlocklist(const Clock &clock) : clock(clock), served(clock, crashesRetained, mostServed)
 {
 }
 
-void PromptPartGuard::noteCrash(const EndpointName &replica, const std::vector<PromptPart> &parts)
+void PromptPartBlocklist::recordCrash(const EndpointName &replica, const std::vector<PromptPart> &parts)
 {
     if (parts.empty()) {
         return;
@@ -83,7 +83,7 @@
     this->judge();
 }
 
-void PromptPartGuard::forgetOld()
+void PromptPartBlocklist::forgetOld()
 {
     const SteadyTime now = this->clock.now();
     while (!this->crashes.empty()
@@ -95,7 +95,7 @@
     });
 }
 
-void PromptPartGuard::judge()
+void PromptPartBlocklist::judge()
 {
     for (auto &[part, block] : this->blocks) {
         for (const Crash &crash : this->crashes) {
@@ -116,7 +116,7 @@
     }
 }
 
-std::optional<PromptPartGuard::Suspect> PromptPartGuard::strongest() const
+std::optional<PromptPartBlocklist::Suspect> PromptPartBlocklist::strongest() const
 {
     std::set<PromptPart> parts;
     for (const Crash &crash : this->crashes) {
@@ -139,7 +139,7 @@
     return strongest;
 }
 
-PromptPartGuard::Suspect PromptPartGuard::suspicionOf(PromptPart part) const
+PromptPartBlocklist::Suspect PromptPartBlocklist::suspicionOf(PromptPart part) const
 {
     Suspect suspect{part, 0, 0, this->served.last(part).value_or(SteadyTime()), 0};
     std::optional<SteadyTime> counted;
@@ -160,7 +160,7 @@
     return suspect;
 }
 
-int PromptPartGuard::crashesToBlock(const Suspect &suspect) const
+int PromptPartBlocklist::crashesToBlock(const Suspect &suspect) const
 {
     if (this->blocks.contains(suspect.part)) {
         return 1;
@@ -171,7 +171,7 @@
     return explainsMost && !isServed ? fewestCrashes : fewestCrashesIfUncertain;
 }
 
-bool PromptPartGuard::isExplained(const Crash &crash) const
+bool PromptPartBlocklist::isExplained(const Crash &crash) const
 {
     return std::ranges::any_of(crash.parts, [this](const auto &entry) {
         const auto block = this->blocks.find(entry.first);
@@ -179,12 +179,12 @@
     });
 }
 
-bool PromptPartGuard::isBlocking(const Block &block) const
+bool PromptPartBlocklist::isBlocking(const Block &block) const
 {
     return this->clock.now() - block.lastCrash <= holdOf(block.times);
 }
 
-std::vector<PromptPart> PromptPartGuard::noteServed(const std::vector<PromptPart> &parts)
+std::vector<PromptPart> PromptPartBlocklist::recordServed(const std::vector<PromptPart> &parts)
 {
     std::vector<PromptPart> suspected;
     for (const PromptPart part : parts) {
@@ -202,7 +202,7 @@
     return suspected;
 }
 
-bool PromptPartGuard::isBlocked(const std::vector<PromptPart> &parts) const
+bool PromptPartBlocklist::isBlocked(const std::vector<PromptPart> &parts) const
 {
     return std::ranges::any_of(parts, [this](PromptPart part) {
         const auto block = this->blocks.find(part);
@@ -210,21 +210,21 @@
     });
 }
 
-std::vector<PromptPartGuard::Blocked> PromptPartGuard::blocked(std::size_t most) const
+std::vector<PromptPartBlocklist::BlockedPart> PromptPartBlocklist::blockedParts(std::size_t most) const
 {
     const SteadyTime now = this->clock.now();
-    std::vector<Blocked> found;
+    std::vector<BlockedPart> found;
     for (const auto &[part, block] : this->blocks) {
         if (this->isBlocking(block)) {
             found.push_back({part, std::chrono::duration_cast<std::chrono::milliseconds>(now - block.lastCrash), block.times});
         }
     }
-    std::ranges::sort(found, {}, &Blocked::age);
+    std::ranges::sort(found, {}, &BlockedPart::age);
     found.resize(std::min(found.size(), most));
     return found;
 }
 
-void PromptPartGuard::merge(const Blocked &reported)
+void PromptPartBlocklist::merge(const BlockedPart &reported)
 {
     const SteadyTime lastCrash = this->clock.now() - reported.age;
     const std::optional<SteadyTime> last = this->served.last(reported.part);
--- a/Libraries/LibGateway/PromptPartGuard.h
+++ b/Libraries/LibGateway/PromptPartBlocklist.h
@@ -24,7 +24,7 @@
 std::vector<PromptPart> promptParts(const ServiceName &service, const std::vector<std::string> &names);
 
 /** Events after which a prompt counts as served. A replica that is crashing may still send the first event. */
-inline constexpr std::uint32_t eventsOfServedPrompt = 2;
+inline constexpr std::uint32_t minEventsOfServedPrompt = 2;
 
 /**
  * Detects the parts of prompts that crash replicas, and blocks requests that have them.
@@ -35,29 +35,29 @@
  * explains are not attributed to other parts. Among parts that explain equally many crashes, the one served least recently, or
  * never, is blocked; then the one that is later in the prompt.
  */
-class PromptPartGuard
+class PromptPartBlocklist
 {
 public:
-    explicit PromptPartGuard(const Clock &clock);
+    explicit PromptPartBlocklist(const Clock &clock);
 
     /**
      * Records that a replica crashed before it had sent `minEventsOfServedPrompt` events of a request. Called for each such
      * request.
      * @param parts the parts of the prompt that other requests may share, in order
      */
-    void noteCrash(const EndpointName &replica, const std::vector<PromptPart> &parts);
+    void recordCrash(const EndpointName &replica, const std::vector<PromptPart> &parts);
 
     /**
      * Records that a prompt with these parts was served, and unblocks them.
      * @return the parts to which crashes were attributed; other nodes must be notified so that they unblock them too
      */
-    std::vector<PromptPart> noteServed(const std::vector<PromptPart> &parts);
+    std::vector<PromptPart> recordServed(const std::vector<PromptPart> &parts);
 
     /** @return whether a request with these parts must not be sent to a replica. */
     bool isBlocked(const std::vector<PromptPart> &parts) const;
 
     /** A blocked part, as nodes exchange it. */
-    struct Blocked
+    struct BlockedPart
     {
         PromptPart part = 0;
         /** Time since the last crash that the part explains. */
@@ -70,10 +70,10 @@
      * @param maxCount maximum number of parts
      * @return the parts that are blocked now, ordered by ascending age
      */
-    std::vector<Blocked> blocked(std::size_t most) const;
+    std::vector<BlockedPart> blockedParts(std::size_t most) const;
 
     /** Applies a block that another node reported, unless the part was served since. */
-    void merge(const Blocked &reported);
+    void merge(const BlockedPart &reported);
 
 private:
     /** The crash of one replica. */
--- a/Libraries/LibGateway/RecentReplicas.cpp
+++ b/Libraries/LibGateway/RecentReplicas.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-void RecentReplicas::note(const ServingReplica &replica)
+void RecentReplicas::add(const ServingReplica &replica)
 {
     if (this->byAddress.insert_or_assign(replica.address, replica).second) {
         this->order.push_back(replica.address);
--- a/Libraries/LibGateway/RecentReplicas.h
+++ b/Libraries/LibGateway/RecentReplicas.h
@@ -13,7 +13,7 @@
 {
 public:
     /** Adds or updates a replica. Beyond a limit, the address that was added first is dropped. */
-    void note(const ServingReplica &replica);
+    void add(const ServingReplica &replica);
 
     /** @return the replica at an address, or null. */
     const ServingReplica *findAt(const Address &address) const;
--- a/Libraries/LibGateway/ReplicaList.cpp
+++ b/Libraries/LibGateway/ReplicaList.cpp
@@ -44,7 +44,7 @@
     }
 }
 
-void ReplicaList::replaceNow(const std::vector<ServingReplica> &replicas)
+void ReplicaList::replaceExactly(const std::vector<ServingReplica> &replicas)
 {
     this->lapsed.clear();
     std::unordered_set<EndpointName> present;
@@ -63,7 +63,7 @@
     }
 }
 
-bool ReplicaList::isOut() const
+bool ReplicaList::isPlatformUnreachable() const
 {
     return this->isAway;
 }
@@ -124,7 +124,7 @@
     }
 }
 
-ReplicaChanges ReplicaList::takeChanges()
+ReplicaChanges ReplicaList::popChanges()
 {
     ReplicaChanges changes;
     for (const EndpointName &instance : std::exchange(this->changed, {})) {
@@ -150,7 +150,7 @@
     this->erase(instance);
 }
 
-void ReplicaList::holdBack(const EndpointName &registeredName)
+void ReplicaList::markUnreadable(const EndpointName &registeredName)
 {
     const ServingReplica *const found = this->findRegistered(registeredName);
     if (found != nullptr && !found->isDraining) {
@@ -174,12 +174,12 @@
     return named != this->byRegisteredName.end() ? &this->list.at(named->second) : nullptr;
 }
 
-void ReplicaList::noteOutage()
+void ReplicaList::recordOutage()
 {
     this->isAway = true;
 }
 
-void ReplicaList::noteAnswer()
+void ReplicaList::recordAnswer()
 {
     if (this->isAway) {
         this->isAway = false;
--- a/Libraries/LibGateway/ReplicaList.h
+++ b/Libraries/LibGateway/ReplicaList.h
@@ -42,7 +42,7 @@
     void replaceAll(const std::vector<ServingReplica> &replicas);
 
     /** Replaces the list by that of another node, which has already applied the rules for lapsed entries. No other entry is kept. */
-    void replaceNow(const std::vector<ServingReplica> &replicas);
+    void replaceExactly(const std::vector<ServingReplica> &replicas);
 
     /** Adds or updates an entry. */
     void put(const ServingReplica &replica);
@@ -54,22 +54,22 @@
      * Marks an entry as unreadable: its replica is treated as draining until a valid entry is put. Running requests continue, as
      * most likely the replica is unchanged and only its entry is invalid.
      */
-    void holdBack(const EndpointName &registeredName);
+    void markUnreadable(const EndpointName &registeredName);
 
     /** Removes the lapsed entries once their retention has ended. */
     void expire();
 
     /** Records that the platform is unreachable. */
-    void noteOutage();
+    void recordOutage();
 
     /** Records that the platform answered. */
-    void noteAnswer();
+    void recordAnswer();
 
     /** @return whether the platform has not answered since it was last unreachable. */
-    bool isOut() const;
+    bool isPlatformUnreachable() const;
 
     /** @return the changes since the last call. */
-    ReplicaChanges takeChanges();
+    ReplicaChanges popChanges();
 
     /** @return the entry at an address, or null. */
     const ServingReplica *findAt(const Address &address) const;
--- a/Libraries/LibGateway/ReplicaRing.cpp
+++ b/Libraries/LibGateway/ReplicaRing.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void ReplicaRing::addBehind(const Ring &ring, std::uint64_t place, std::size_t most, Choice &choice)
+void ReplicaRing::addBehind(const Ring &ring, std::uint64_t place, std::size_t most, Selection &choice)
 {
     auto next = ring.lower_bound(place);
     for (std::size_t count = 0; count < std::min(most, ring.size()); ++count) {
@@ -58,9 +58,9 @@
     this->services.clear();
 }
 
-ReplicaRing::Choice ReplicaRing::choose(std::uint64_t node, const FailureDomain &near, std::size_t most) const
+ReplicaRing::Selection ReplicaRing::select(std::uint64_t node, const FailureDomain &near, std::size_t most) const
 {
-    Choice choice;
+    Selection choice;
     for (const auto &[name, domains] : this->services) {
         std::size_t far = 0;
         for (const auto &[domain, ring] : domains) {
--- a/Libraries/LibGateway/ReplicaRing.h
+++ b/Libraries/LibGateway/ReplicaRing.h
@@ -20,7 +20,7 @@
 {
 public:
     /** The set of replicas for one node. */
-    struct Choice
+    struct Selection
     {
         std::vector<ServingReplica> replicas;
         /** Fingerprint of a ReplicaList with exactly these replicas. */
@@ -41,7 +41,7 @@
      * @param maxCount maximum number of replicas of each service
      * @return replicas that accept requests: those that follow the position of the node on a ring (consistent hashing)
      */
-    Choice choose(std::uint64_t node, const FailureDomain &near, std::size_t most) const;
+    Selection select(std::uint64_t node, const FailureDomain &near, std::size_t most) const;
 
 private:
     struct Entry
@@ -54,7 +54,7 @@
     using Service = std::map<FailureDomain, Ring>;
 
     /** Adds up to `maxCount` replicas that follow a position on a ring. */
-    static void addBehind(const Ring &ring, std::uint64_t place, std::size_t most, Choice &choice);
+    static void addBehind(const Ring &ring, std::uint64_t place, std::size_t most, Selection &choice);
 
     std::map<ServiceName, Service> services;
 };
--- a/Libraries/LibGateway/ServingConfiguration.cpp
+++ b/Libraries/LibGateway/ServingConfiguration.cpp
@@ -39,7 +39,7 @@
     return ofWorkspace * mostRoutePriorities + ofRoute;
 }
 
-const RouteTarget *chooseTarget(const Route &route, double point)
+const RouteTarget *selectTarget(const Route &route, double point)
 {
     const double total
         = std::accumulate(route.targets.begin(), route.targets.end(), 0.0, [](double sum, const RouteTarget &target) {
--- a/Libraries/LibGateway/ServingConfiguration.h
+++ b/Libraries/LibGateway/ServingConfiguration.h
@@ -96,14 +96,14 @@
 };
 
 /** Limits on what callers send, as stated in the configuration. Zero: not stated. */
-struct StatedLimits
+struct ConfiguredLimits
 {
     std::uint64_t headBytes = 0;
     std::uint64_t bodyBytes = 0;
     std::chrono::milliseconds headTimeout{0};
     std::chrono::milliseconds idleTimeout{0};
 
-    bool operator==(const StatedLimits &) const = default;
+    bool operator==(const ConfiguredLimits &) const = default;
 };
 
 /** One version of the configuration that operators put in force. */
@@ -112,7 +112,7 @@
     std::uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<Service> services;
-    StatedLimits limits;
+    ConfiguredLimits limits;
     /** Null: callers need no key. */
     std::shared_ptr<const WorkspaceDirectory> workspaces;
 
@@ -138,6 +138,6 @@
  * @param point in [0, 1); the same point gives the same target as long as the weights do not change
  * @return the target at that point of the cumulative weights, or null if no target has a weight
  */
-const RouteTarget *chooseTarget(const Route &route, double point);
+const RouteTarget *selectTarget(const Route &route, double point);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibGateway/StreamOrigins.cpp
+++ b/Libraries/LibGateway/StreamOrigins.cpp
@@ -19,7 +19,7 @@
 {
 }
 
-void StreamOrigins::note(std::uint64_t request, const StreamOrigin &origin, std::chrono::milliseconds lifetime)
+void StreamOrigins::record(std::uint64_t request, const StreamOrigin &origin, std::chrono::milliseconds lifetime)
 {
     this->forgetOld();
     const SteadyTime until = this->clock.now() + std::min<std::chrono::milliseconds>(lifetime, longestLifetime);
--- a/Libraries/LibGateway/StreamOrigins.h
+++ b/Libraries/LibGateway/StreamOrigins.h
@@ -34,7 +34,7 @@
      * @param request hash of the id of the attempt that received the first event of the stream
      * @param lifetime how long the caller may resume the stream
      */
-    void note(std::uint64_t request, const StreamOrigin &origin, std::chrono::milliseconds lifetime);
+    void record(std::uint64_t request, const StreamOrigin &origin, std::chrono::milliseconds lifetime);
 
     /** @return the origin of the stream of a request, or nothing if it is not known. */
     std::optional<StreamOrigin> find(std::uint64_t request) const;
--- a/Services/Gateway/CrashExchange.cpp
+++ b/Services/Gateway/CrashExchange.cpp
@@ -35,8 +35,8 @@
 CrashExchange::CrashExchange(const Clock &clock,
                              PeerNetwork &peers,
                              GatewayMetrics &metrics,
-                             CrashMemory &crashes,
-                             PromptPartGuard &parts,
+                             CrashHistory &crashes,
+                             PromptPartBlocklist &parts,
                              WaitingRequests &waiting,
                              ConnectProbe &probe,
                              std::uint64_t seed)
@@ -53,17 +53,17 @@
 
 void CrashExchange::judgeBreaks()
 {
-    for (const JudgedBreak &judged : this->crashes.judgeBreaks()) {
-        const BrokenRun &run = judged.run;
+    for (const ClassifiedDisconnect &judged : this->crashes.classifyDisconnects()) {
+        const InterruptedRun &run = judged.run;
         log(LogLevel::Info,
             judged.isCrash ? "a request met the crash of a replica" : "connections to several replicas broke at once",
             {{"fingerprint", std::to_string(run.fingerprint)},
              {"replica", run.replica.value()},
              {"prompt_parts", joined(run.promptParts)},
              {"events", static_cast<std::int64_t>(run.events)},
-             {"crashes", static_cast<std::int64_t>(this->crashes.crashesOf(run.fingerprint))},
+             {"crashes", static_cast<std::int64_t>(this->crashes.crashCount(run.fingerprint))},
              {"other_replica", judged.otherReplica.value()},
-             {"apart_ms", static_cast<std::int64_t>(judged.apart.count())}});
+             {"apart_ms", static_cast<std::int64_t>(judged.timeDifference.count())}});
         if (judged.isCrash) {
             this->metrics.countEvent("request met a crash");
             this->takeCrash(run);
@@ -74,9 +74,9 @@
     this->waiting.recheckAll();
 }
 
-void CrashExchange::askReplica(const BrokenRun &run)
+void CrashExchange::askReplica(const InterruptedRun &run)
 {
-    std::vector<BrokenRun> &runs = this->doubtful[run.replica];
+    std::vector<InterruptedRun> &runs = this->doubtful[run.replica];
     runs.push_back(run);
     if (runs.size() == 1) {
         this->probe.start(run.address, probeTimeout, [this, replica = run.replica](ConnectOutcome outcome) {
@@ -87,17 +87,17 @@
 
 void CrashExchange::takeOutcome(const EndpointName &replica, ConnectOutcome outcome)
 {
-    const std::vector<BrokenRun> runs = std::move(this->doubtful.extract(replica).mapped());
+    const std::vector<InterruptedRun> runs = std::move(this->doubtful.extract(replica).mapped());
     const bool isGone = outcome == ConnectOutcome::Refused;
     log(LogLevel::Info,
         isGone ? "a replica crashed as others did" : "a replica outlived its connections",
         {{"replica", replica.value()},
          {"requests", static_cast<std::int64_t>(runs.size())},
          {"is_answering", outcome == ConnectOutcome::Connected}});
-    for (const BrokenRun &run : runs) {
+    for (const InterruptedRun &run : runs) {
         this->metrics.countEvent(isGone ? "request met a crash" : "request met a broken connection");
         if (isGone) {
-            this->crashes.noteCrash(run.fingerprint, run.replica);
+            this->crashes.recordCrash(run.fingerprint, run.replica);
             this->takeCrash(run);
         }
     }
@@ -106,8 +106,8 @@
 
 void CrashExchange::takeNotice(const CrashNotice &notice)
 {
-    this->crashes.noteCrash(notice.fingerprint, notice.replica);
-    const int known = this->crashes.crashesOf(notice.fingerprint);
+    this->crashes.recordCrash(notice.fingerprint, notice.replica);
+    const int known = this->crashes.crashCount(notice.fingerprint);
     // Most requests meet one crash by chance.
     if (known > 1) {
         log(LogLevel::Info,
@@ -120,10 +120,10 @@
     this->waiting.recheckAll();
 }
 
-void CrashExchange::takeCrash(const BrokenRun &run)
+void CrashExchange::takeCrash(const InterruptedRun &run)
 {
     CrashNotice notice{run.fingerprint, run.replica, {}};
-    if (run.events < eventsOfServedPrompt) {
+    if (run.events < minEventsOfServedPrompt) {
         notice.promptParts = promptParts(run.service, run.promptParts);
         this->noteCrash(notice);
     }
@@ -132,9 +132,9 @@
 
 void CrashExchange::noteCrash(const CrashNotice &notice)
 {
-    const std::size_t before = this->parts.blocked(mostBlocked).size();
-    this->parts.noteCrash(notice.replica, notice.promptParts);
-    const std::vector<PromptPartGuard::Blocked> blocked = this->parts.blocked(mostBlocked);
+    const std::size_t before = this->parts.blockedParts(mostBlocked).size();
+    this->parts.recordCrash(notice.replica, notice.promptParts);
+    const std::vector<PromptPartBlocklist::BlockedPart> blocked = this->parts.blockedParts(mostBlocked);
     if (blocked.size() > before) {
         log(LogLevel::Warning,
             "parts of prompts blocked",
@@ -144,7 +144,7 @@
 
 void CrashExchange::noteServed(const std::vector<PromptPart> &served)
 {
-    const std::vector<PromptPart> suspected = this->parts.noteServed(served);
+    const std::vector<PromptPart> suspected = this->parts.recordServed(served);
     if (!suspected.empty()) {
         this->peers.broadcast(PromptPartsServed{suspected});
     }
@@ -152,7 +152,7 @@
 
 void CrashExchange::noteRequestServed(std::uint64_t fingerprint)
 {
-    if (this->crashes.noteServed(fingerprint)) {
+    if (this->crashes.recordServed(fingerprint)) {
         this->peers.broadcast(RequestServed{fingerprint});
     }
 }
@@ -181,11 +181,11 @@
         }
     } else if (datagram.number == PromptPartsServed::number) {
         if (const auto served = decode<PromptPartsServed>(datagram.payload)) {
-            this->parts.noteServed(served->promptParts);
+            this->parts.recordServed(served->promptParts);
         }
     } else if (datagram.number == RequestServed::number) {
         if (const auto served = decode<RequestServed>(datagram.payload)) {
-            this->crashes.noteServed(served->fingerprint);
+            this->crashes.recordServed(served->fingerprint);
         }
     } else if (datagram.number == CrashQuestion::number) {
         this->answer(datagram.from);
@@ -214,14 +214,14 @@
 {
     CrashCounts answer;
     std::size_t replicas = 0;
-    for (const CrashMemory::Known &known : this->crashes.known(mostCounts)) {
+    for (const CrashHistory::RequestCrashes &known : this->crashes.requestCrashes(mostCounts)) {
         replicas += known.replicas.size();
         if (replicas > mostReplicas) {
             break;
         }
         answer.counts.push_back({known.fingerprint, known.replicas, known.age});
     }
-    for (const PromptPartGuard::Blocked &blocked : this->parts.blocked(mostBlocked)) {
+    for (const PromptPartBlocklist::BlockedPart &blocked : this->parts.blockedParts(mostBlocked)) {
         answer.blocked.push_back({blocked.part, blocked.age, blocked.times});
     }
     if (!answer.counts.empty() || !answer.blocked.empty()) {
--- a/Services/Gateway/CrashExchange.h
+++ b/Services/Gateway/CrashExchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <LibGateway/CrashMemory.h>
-#include <LibGateway/PromptPartGuard.h>
+#include <LibGateway/CrashHistory.h>
+#include <LibGateway/PromptPartBlocklist.h>
 #include <LibProxy/ConnectProbe.h>
 #include <Services/Gateway/GatewayMetrics.h>
 #include <Services/Gateway/PeerNetwork.h>
@@ -26,8 +26,8 @@
     CrashExchange(const Clock &clock,
                   PeerNetwork &peers,
                   GatewayMetrics &metrics,
-                  CrashMemory &crashes,
-                  PromptPartGuard &parts,
+                  CrashHistory &crashes,
+                  PromptPartBlocklist &parts,
                   WaitingRequests &waiting,
                   ConnectProbe &probe,
                   std::uint64_t seed);
@@ -51,9 +51,9 @@
     bool receive(const Datagram &datagram);
 
 private:
-    void askReplica(const BrokenRun &run);
+    void askReplica(const InterruptedRun &run);
     void takeOutcome(const EndpointName &replica, ConnectOutcome outcome);
-    void takeCrash(const BrokenRun &run);
+    void takeCrash(const InterruptedRun &run);
     void takeNotice(const CrashNotice &notice);
     void noteCrash(const CrashNotice &notice);
     void answer(const Address &asker) const;
@@ -62,12 +62,12 @@
     const Clock &clock;
     PeerNetwork &peers;
     GatewayMetrics &metrics;
-    CrashMemory &crashes;
-    PromptPartGuard &parts;
+    CrashHistory &crashes;
+    PromptPartBlocklist &parts;
     WaitingRequests &waiting;
     ConnectProbe &probe;
     /** By replica: runs that broke together with runs at other replicas, until it is known whether the replica is there. */
-    std::map<EndpointName, std::vector<BrokenRun>> doubtful;
+    std::map<EndpointName, std::vector<InterruptedRun>> doubtful;
     std::minstd_rand random;
     SteadyTime nextQuestion{};
 };
--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -153,7 +153,7 @@
               this->origins,
               this->promptParts,
               this->waiting,
-              [this](const BrokenRun &run) {
+              [this](const InterruptedRun &run) {
                   this->noteBreak(run);
               },
               [this](const std::vector<PromptPart> &served) {
@@ -379,11 +379,11 @@
     });
 }
 
-void Gateway::noteBreak(const BrokenRun &run)
+void Gateway::noteBreak(const InterruptedRun &run)
 {
-    this->crashes.noteBreak(run);
+    this->crashes.recordDisconnect(run);
     // Each break has a timer of its own: a later one is judged later.
-    this->loop.schedule(CrashMemory::judgeAfter, [this, alive = std::weak_ptr<bool>(this->alive)] {
+    this->loop.schedule(CrashHistory::classificationDelay, [this, alive = std::weak_ptr<bool>(this->alive)] {
         if (!alive.expired()) {
             this->crashExchange.judgeBreaks();
         }
@@ -415,7 +415,7 @@
     if (!this->isComplete) {
         return;
     }
-    const StatedLimits &stated = configuration->limits;
+    const ConfiguredLimits &stated = configuration->limits;
     CallerLimits limits;
     limits.headBytes = stated.headBytes > 0 ? stated.headBytes : limits.headBytes;
     limits.bodyBytes = stated.bodyBytes > 0 ? stated.bodyBytes : limits.bodyBytes;
@@ -545,8 +545,8 @@
         this->metrics.setTraffic(kind, total);
     }
     this->metrics.setGauge("replicas_restarted", static_cast<double>(this->replicasRestarted));
-    this->metrics.setGauge("requests_with_crashes", static_cast<double>(this->crashes.known(mostCrashesCounted).size()));
-    this->metrics.setGauge("prompt_parts_blocked", static_cast<double>(this->promptParts.blocked(mostCrashesCounted).size()));
+    this->metrics.setGauge("requests_with_crashes", static_cast<double>(this->crashes.requestCrashes(mostCrashesCounted).size()));
+    this->metrics.setGauge("prompt_parts_blocked", static_cast<double>(this->promptParts.blockedParts(mostCrashesCounted).size()));
     this->metrics.setGauge("stream_origins", static_cast<double>(this->origins.count()));
     this->metrics.setGauge("replicas_known", static_cast<double>(this->listed.count()));
     this->metrics.setGauge("is_relay", this->isRelay ? 1 : 0);
--- a/Services/Gateway/Gateway.h
+++ b/Services/Gateway/Gateway.h
@@ -2,8 +2,8 @@
 
 #include <LibBase/Clock.h>
 #include <LibBase/TrafficMeter.h>
-#include <LibGateway/CrashMemory.h>
-#include <LibGateway/PromptPartGuard.h>
+#include <LibGateway/CrashHistory.h>
+#include <LibGateway/PromptPartBlocklist.h>
 #include <LibMembership/RelayPicker.h>
 #include <LibMembership/RelayRole.h>
 #include <LibProxy/CallerServer.h>
@@ -110,7 +110,7 @@
     void handleDirectory(const std::shared_ptr<CallerExchange> &exchange);
     void handleReadiness(const std::shared_ptr<CallerExchange> &exchange);
     void handleMetrics(const std::shared_ptr<CallerExchange> &exchange);
-    void noteBreak(const BrokenRun &run);
+    void noteBreak(const InterruptedRun &run);
     void reportEnded(const JobId &job);
     void watchStop();
     void tick();
@@ -140,8 +140,8 @@
     std::minstd_rand random;
     GatewayMetrics metrics;
     TrafficMeter traffic;
-    CrashMemory crashes;
-    PromptPartGuard promptParts;
+    CrashHistory crashes;
+    PromptPartBlocklist promptParts;
     WaitingRequests waiting;
     StoreClock storeClock;
     OutboundPool storePool;
--- a/Services/Gateway/GatewayContext.h
+++ b/Services/Gateway/GatewayContext.h
@@ -3,8 +3,8 @@
 #include <LibBase/Clock.h>
 #include <LibDispatch/FirstEventEstimate.h>
 #include <LibDispatch/ItemEstimate.h>
-#include <LibGateway/CrashMemory.h>
-#include <LibGateway/PromptPartGuard.h>
+#include <LibGateway/CrashHistory.h>
+#include <LibGateway/PromptPartBlocklist.h>
 #include <LibPlatform/StoreClock.h>
 #include <LibProxy/OutboundPool.h>
 #include <LibTask/EventLoop.h>
@@ -35,12 +35,12 @@
     QuotaService &quotas;
     ReplicaFollower &listed;
     GatewayMetrics &metrics;
-    CrashMemory &crashes;
+    CrashHistory &crashes;
     StreamOriginExchange &origins;
-    PromptPartGuard &promptParts;
+    PromptPartBlocklist &promptParts;
     WaitingRequests &waiting;
     /** A connection broke while a request ran on it: if its replica crashed, all nodes are told. */
-    std::function<void(const BrokenRun &)> noteBreak;
+    std::function<void(const InterruptedRun &)> noteBreak;
     /** A replica has served a prompt with these parts. */
     std::function<void(const std::vector<PromptPart> &)> notePromptServed;
     /** A replica has answered the request with this fingerprint whole. */
--- a/Services/Gateway/ItemAttempt.cpp
+++ b/Services/Gateway/ItemAttempt.cpp
@@ -34,7 +34,7 @@
     , hooks(std::move(hooks))
     , fingerprint(stableHash(item.body, stableHash(item.target)))
     , sharedParts(decodeTraits(item.headers).sharedPromptParts)
-    , splitter(largestStreamEvent)
+    , splitter(maxStreamEventBytes)
 {
 }
 
@@ -250,7 +250,7 @@
     this->run
         = {(static_cast<std::uint64_t>(this->context.random()) << 32) ^ this->context.random(), this->lastEvent.value_or(0)};
     this->answer.reset();
-    this->splitter = EventSplitter(largestStreamEvent);
+    this->splitter = EventSplitter(maxStreamEventBytes);
     OutboundCall outbound;
     outbound.address = replica.address;
     outbound.head = encodeItemRequest(this->item, this->origin.host, this->origin.workspace, replica, this->lastEvent);
@@ -309,7 +309,7 @@
         this->lastGenerated = this->run;
         this->lastEvent = event.id;
     }
-    if (this->eventsOfRun() >= eventsOfServedPrompt && !std::exchange(this->isPromptServed, true)) {
+    if (this->eventsOfRun() >= minEventsOfServedPrompt && !std::exchange(this->isPromptServed, true)) {
         this->context.notePromptServed(promptParts(this->target.service, this->sharedParts));
     }
     if (this->splitter.isBroken()) {
@@ -330,7 +330,7 @@
     } else if (end == CallEnd::Broken) {
         this->noteBreak();
         this->goOn(PlacementVerdict::Broken, "the connection to the replica broke");
-    } else if (this->splitter.hasRest() || (!this->lastEvent && this->answer->framing == BodyFraming::UntilClose)) {
+    } else if (this->splitter.hasRemainder() || (!this->lastEvent && this->answer->framing == BodyFraming::UntilClose)) {
         // A replica that crashes ends its connection as after a whole stream.
         this->noteBreak();
         this->goOn(PlacementVerdict::Broken, "the stream ended inside an event");
--- a/Services/Gateway/ItemAttempt.h
+++ b/Services/Gateway/ItemAttempt.h
@@ -53,7 +53,7 @@
         std::function<std::optional<Target>()> target;
         std::function<void(End, std::string output)> ended;
         /** Confirms by the store that the job is open. */
-        std::function<void(OpenConfirmation::Confirmed)> confirmOpen;
+        std::function<void(OpenConfirmation::Callback)> confirmOpen;
     };
 
     ItemAttempt(GatewayContext &context, const JobItem &item, Origin origin, SteadyTime due, Hooks hooks);
--- a/Services/Gateway/JobRun.cpp
+++ b/Services/Gateway/JobRun.cpp
@@ -57,7 +57,7 @@
     , confirmation(context.loop,
                    context.clock,
                    endBound / 2,
-                   {.ask =
+                   {.query =
                         [this](std::function<void(OpenConfirmation::Reply)> answer) {
                             this->askWhetherOpen(std::move(answer));
                         },
@@ -152,13 +152,13 @@
 void JobRun::load()
 {
     this->isBusyWithStore = true;
-    const SteadyTime asked = this->confirmation.askTime();
+    const SteadyTime asked = this->confirmation.queryTime();
     this->store.load(this->job, [self = this->shared_from_this(), asked](const LoadedJob &loaded) {
         if (self->isOver) {
             return;
         }
         if (loaded.outcome == JobReadOutcome::Found && !loaded.head.isEnded) {
-            self->confirmation.note(asked);
+            self->confirmation.recordOpen(asked);
         }
         self->takeLoaded(loaded);
     });
@@ -179,7 +179,7 @@
 
 void JobRun::checkOpen()
 {
-    this->confirmation.renew();
+    this->confirmation.requery();
 }
 
 void JobRun::takeLoaded(const LoadedJob &loaded)
@@ -209,7 +209,7 @@
              {"listed", static_cast<std::int64_t>(loaded.head.listed.size())}});
     }
     this->startItems();
-    if (this->ledger.hasNews()) {
+    if (this->ledger.hasUnwrittenChanges()) {
         this->writeSoon();
     }
 }
@@ -255,7 +255,7 @@
                 }
             },
         .confirmOpen =
-            [self](OpenConfirmation::Confirmed confirmed) {
+            [self](OpenConfirmation::Callback confirmed) {
                 const std::shared_ptr<JobRun> run = self.lock();
                 if (run && !run->isOver) {
                     run->confirmation.request(std::move(confirmed));
@@ -304,7 +304,7 @@
 void JobRun::takeFailure(std::uint32_t number)
 {
     // Failures are written before the item runs again: with another runner it must not begin to count anew.
-    const std::uint32_t failed = this->ledger.fail(number);
+    const std::uint32_t failed = this->ledger.recordFailure(number);
     const Route *const route = this->hooks.route(this->ledger.head().route);
     if (route != nullptr && failed >= route->maxAttempts) {
         this->abandon(number, "it failed too often");
@@ -372,13 +372,13 @@
                        next.head,
                        next.results,
                        row,
-                       [self = this->shared_from_this(), head = next.head, asked = this->confirmation.askTime()](
+                       [self = this->shared_from_this(), head = next.head, asked = this->confirmation.queryTime()](
                            WriteOutcome outcome, RowVersion version) {
                            if (self->isOver) {
                                return;
                            }
                            if (outcome == WriteOutcome::Done) {
-                               self->confirmation.note(asked);
+                               self->confirmation.recordOpen(asked);
                                self->takeWritten(head, version);
                            } else {
                                self->takeUnwritten(outcome);
@@ -389,12 +389,12 @@
 void JobRun::takeUnwritten(WriteOutcome outcome)
 {
     ++this->writeFailures;
-    this->ledger.noteFailedWrite();
+    this->ledger.recordFailedWrite();
     log(LogLevel::Warning,
         "results not written",
         {{"job", this->job.value()},
          {"outcome", static_cast<std::int64_t>(outcome)},
-         {"results", static_cast<std::int64_t>(this->ledger.unwritten())}});
+         {"results", static_cast<std::int64_t>(this->ledger.unwrittenResults())}});
     // The head may have changed, by this write or by another node: it is read before the next.
     const auto grown = std::min(firstRetry * (1 << std::min(this->writeFailures, 4)), longestRetry);
     this->timer = this->context.loop.schedule(grown, [self = this->shared_from_this()] {
@@ -420,7 +420,7 @@
         this->endRun(RunEnd::Complete);
         return;
     }
-    if (this->ledger.hasNews()) {
+    if (this->ledger.hasUnwrittenChanges()) {
         this->writeSoon();
     }
 }
--- a/Services/Gateway/JobRunners.cpp
+++ b/Services/Gateway/JobRunners.cpp
@@ -154,7 +154,7 @@
         return;
     }
     this->open.insert_or_assign(*job, *decoded);
-    this->looks.noteRow(*job);
+    this->looks.postpone(*job);
     this->decide(*job);
 }
 
@@ -236,7 +236,7 @@
     }
     // The same item always goes to the same service of a split, so that a stopped item can go on where it was.
     const double point = std::ldexp(static_cast<double>(stableHash(target) >> 11), -53);
-    const RouteTarget *const chosen = chooseTarget(*route, point);
+    const RouteTarget *const chosen = selectTarget(*route, point);
     if (chosen == nullptr) {
         return std::nullopt;
     }
@@ -348,7 +348,7 @@
 void JobRunners::lookAtJobs()
 {
     std::map<SessionNumber, JobReminder> reminders;
-    for (const JobId &job : this->looks.takeDue(looksAtOnce)) {
+    for (const JobId &job : this->looks.popDue(looksAtOnce)) {
         this->look(job, reminders);
     }
     for (const auto &[runner, reminder] : reminders) {
@@ -403,7 +403,7 @@
 void JobRunners::stopJob(const JobId &job, RunEnd end)
 {
     this->open.erase(job);
-    this->looks.forget(job);
+    this->looks.remove(job);
     this->reminded.erase(job);
     this->stopRun(job, end);
 }
--- a/Services/Gateway/JobRunners.h
+++ b/Services/Gateway/JobRunners.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibGateway/JobLooks.h>
+#include <LibGateway/JobCheckSchedule.h>
 #include <LibGateway/ServingConfiguration.h>
 #include <LibMembership/ViewSettling.h>
 #include <LibSettings/Generated/Settings.h>
@@ -93,7 +93,7 @@
     std::function<ServingConfigurationPointer()> configuration;
     MemberViewPointer view;
     std::map<JobId, OpenJob> open;
-    JobLooks looks;
+    JobCheckSchedule looks;
     /** The runners that were reminded of open jobs. */
     std::map<JobId, SessionNumber> reminded;
     std::map<JobId, std::shared_ptr<JobRun>> runs;
--- a/Services/Gateway/JobStore.cpp
+++ b/Services/Gateway/JobStore.cpp
@@ -183,7 +183,7 @@
     transaction.puts.push_back({JobRows::head(submission.id), encode(head)});
     transaction.puts.push_back({JobRows::open(submission.id), encode(open)});
     for (std::uint32_t piece = 0; piece < submitting->pieces.size(); ++piece) {
-        transaction.puts.push_back({JobRows::contentPiece(submission.id, piece), submitting->pieces[piece]});
+        transaction.puts.push_back({JobRows::contentChunk(submission.id, piece), submitting->pieces[piece]});
     }
     if (submission.waitingTokensLimit > 0) {
         // Each acceptance changes this row, so that two nodes can't both fill the last room.
--- a/Services/Gateway/OnlineCall.cpp
+++ b/Services/Gateway/OnlineCall.cpp
@@ -55,7 +55,7 @@
     , exchange(std::move(exchange))
     , traits(decodeTraits(this->exchange->head().headers))
     , arrived(context.clock.now())
-    , splitter(largestStreamEvent)
+    , splitter(maxStreamEventBytes)
     , lastEvent(this->traits.lastEvent)
 {
     std::chrono::milliseconds allowed = this->traits.timeout.value_or(defaultTimeout);
@@ -105,7 +105,7 @@
         self->onDeadline();
     });
     std::uniform_real_distribution<double> point(0, 1);
-    const RouteTarget *const target = chooseTarget(this->route, point(this->context.random));
+    const RouteTarget *const target = selectTarget(this->route, point(this->context.random));
     if (target == nullptr) {
         this->refuse(statusUnavailable, refusalPause, "the route has no service");
         return;
@@ -281,7 +281,7 @@
     if (this->endIfCrashing()) {
         return;
     }
-    if (this->context.crashes.isLastCrashInDoubt(this->fingerprint)) {
+    if (this->context.crashes.mayReachCrashLimit(this->fingerprint)) {
         this->beginToWait(Stage::Judging);
         return;
     }
@@ -356,7 +356,7 @@
     ++this->attempts;
     this->body.clear();
     this->eventsBefore = this->eventsPassed;
-    this->splitter = EventSplitter(largestStreamEvent);
+    this->splitter = EventSplitter(maxStreamEventBytes);
     const auto remaining = std::chrono::floor<std::chrono::milliseconds>(this->deadline - this->now());
     OutboundCall outbound;
     outbound.address = replica.address;
@@ -437,7 +437,7 @@
         passed.append(event.text);
     }
     this->exchange->write(passed);
-    if (this->eventsPassed - this->eventsBefore >= eventsOfServedPrompt) {
+    if (this->eventsPassed - this->eventsBefore >= minEventsOfServedPrompt) {
         this->notePromptServed();
     }
     if (this->stage == Stage::Over) {
@@ -512,7 +512,7 @@
 
 void OnlineCall::completeStream()
 {
-    if (this->splitter.hasRest() || this->isEmptyUnframed()) {
+    if (this->splitter.hasRemainder() || this->isEmptyUnframed()) {
         this->noteBreak();
         this->recover(PlacementVerdict::Broken, "the stream ended inside an event");
         return;
--- a/Services/Gateway/ReplicaFollower.cpp
+++ b/Services/Gateway/ReplicaFollower.cpp
@@ -148,11 +148,11 @@
                                .onAnswer =
                                    [this] {
                                        this->lastReported = this->clock.now();
-                                       this->list.noteAnswer();
+                                       this->list.recordAnswer();
                                    },
                                .onFailure =
                                    [this] {
-                                       this->list.noteOutage();
+                                       this->list.recordOutage();
                                    },
                            });
 }
@@ -200,7 +200,7 @@
         }
     }
     log(LogLevel::Info, "some replicas read", {{"count", static_cast<std::int64_t>(replicas.size())}});
-    this->list.replaceNow(replicas);
+    this->list.replaceExactly(replicas);
     this->known = true;
     this->lastReported = this->clock.now();
     this->tellChanges();
@@ -214,7 +214,7 @@
     if (this->isWhole() || placed.address == Address()) {
         return std::nullopt;
     }
-    this->recent.note(placed);
+    this->recent.add(placed);
     return placed;
 }
 
@@ -278,7 +278,7 @@
             continue;
         }
         const EndpointName name(row.place.key);
-        this->list.holdBack(name);
+        this->list.markUnreadable(name);
         if (const ServingReplica *const known = this->list.findRegistered(name)) {
             replicas.push_back(*known);
         }
@@ -290,7 +290,7 @@
 
 void ReplicaFollower::tellChanges()
 {
-    const ReplicaChanges changes = this->list.takeChanges();
+    const ReplicaChanges changes = this->list.popChanges();
     if (this->follower) {
         for (const ServingReplica &replica : changes.removed) {
             this->ring.remove(replica);
@@ -316,7 +316,7 @@
     }
     const std::optional<ServingReplica> replica = this->decode(row);
     if (!replica) {
-        this->list.holdBack(name);
+        this->list.markUnreadable(name);
         return;
     }
     const ServingReplica *const before = this->find(replica->instance);
@@ -373,7 +373,7 @@
 
 void ReplicaFollower::watchStore()
 {
-    const bool isLost = this->list.isOut() || this->age() > lostAfter;
+    const bool isLost = this->list.isPlatformUnreachable() || this->age() > lostAfter;
     if (std::exchange(this->hasLostStore, isLost) != isLost) {
         log(LogLevel::Warning, isLost ? "store lost" : "store regained", {{"age_ms", this->age().count()}});
         this->peers.setStoreLost(isLost);
@@ -487,7 +487,7 @@
     log(LogLevel::Debug,
         "replicas told by another node",
         {{"count", static_cast<std::int64_t>(replicas.size())}, {"age_ms", records.age.count()}});
-    this->list.replaceNow(replicas);
+    this->list.replaceExactly(replicas);
     this->known = true;
 }
 
@@ -524,9 +524,9 @@
     ReplicaRecords records;
     records.isKnown = this->known;
     records.version = this->isWhole() ? this->follower->version() : this->reportedVersion;
-    ReplicaRing::Choice choice;
+    ReplicaRing::Selection choice;
     if (this->isWhole()) {
-        choice = this->ring.choose(
+        choice = this->ring.select(
             stableHash(request.failureDomain.value(), request.from.value()), request.failureDomain, request.mostOfService);
     } else {
         // What this node was given itself: few, but better than none.
--- a/Services/Gateway/StreamOriginExchange.cpp
+++ b/Services/Gateway/StreamOriginExchange.cpp
@@ -36,7 +36,7 @@
 void StreamOriginExchange::note(const std::string &requestId, const StreamOrigin &origin, std::chrono::milliseconds lifetime)
 {
     const std::uint64_t request = keyOf(requestId);
-    this->origins.note(request, origin, lifetime);
+    this->origins.record(request, origin, lifetime);
     const MemberViewPointer view = this->peers.view();
     for (const Member *const holder : spreadMembers(*view, request, holdersOfStream)) {
         if (holder->session != this->peers.self()) {
@@ -110,7 +110,7 @@
 {
     if (datagram.number == StreamBegun::number) {
         if (const auto begun = decode<StreamBegun>(datagram.payload)) {
-            this->origins.note(begun->request, {ServiceName(begun->service), begun->version}, begun->lifetime);
+            this->origins.record(begun->request, {ServiceName(begun->service), begun->version}, begun->lifetime);
         }
     } else if (datagram.number == StreamOriginQuestion::number) {
         this->answer(datagram);
--- a/Tests/LibGateway/TestCrashMemory.cpp
+++ b/Tests/LibGateway/TestCrashHistory.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibGateway/CrashMemory.h>
+#include <LibGateway/CrashHistory.h>
 
 #include <doctest/doctest.h>
 
@@ -16,10 +16,10 @@
 const EndpointName d{"d"};
 
 /** @return the fingerprints of the requests that met a crash. */
-std::vector<std::uint64_t> crashesOf(const std::vector<JudgedBreak> &judged)
+std::vector<std::uint64_t> crashedRequests(const std::vector<ClassifiedDisconnect> &judged)
 {
     std::vector<std::uint64_t> crashed;
-    for (const JudgedBreak &entry : judged) {
+    for (const ClassifiedDisconnect &entry : judged) {
         if (entry.isCrash) {
             crashed.push_back(entry.run.fingerprint);
         }
@@ -34,16 +34,16 @@
 TEST_CASE("a request that crashed three replicas is refused until its crashes expire")
 {
     ManualClock clock;
-    CrashMemory crashes(clock);
-    crashes.noteCrash(7, a);
-    crashes.noteCrash(7, b);
+    CrashHistory crashes(clock);
+    crashes.recordCrash(7, a);
+    crashes.recordCrash(7, b);
     CHECK_FALSE(crashes.isRefused(7));
-    crashes.noteCrash(7, c);
+    crashes.recordCrash(7, c);
     CHECK(crashes.isRefused(7));
     CHECK_FALSE(crashes.isRefused(8));
     clock.advance(std::chrono::minutes(3));
     CHECK_FALSE(crashes.isRefused(7));
-    crashes.noteCrash(7, d);
+    crashes.recordCrash(7, d);
     CHECK_FALSE(crashes.isRefused(7));
 }
 
@@ -52,13 +52,13 @@
 TEST_CASE("simultaneous disconnects from several replicas are not crashes")
 {
     ManualClock clock;
-    CrashMemory crashes(clock);
+    CrashHistory crashes(clock);
     for (int reset = 0; reset < 4; ++reset) {
-        crashes.noteBreak({7, a});
+        crashes.recordDisconnect({7, a});
         clock.advance(std::chrono::milliseconds(8));
-        crashes.noteBreak({8, b});
+        crashes.recordDisconnect({8, b});
         clock.advance(judged);
-        CHECK(crashesOf(crashes.judgeBreaks()).empty());
+        CHECK(crashedRequests(crashes.classifyDisconnects()).empty());
         clock.advance(std::chrono::seconds(7));
     }
     CHECK_FALSE(crashes.isRefused(7));
@@ -70,15 +70,15 @@
 TEST_CASE("copies of a request that one replica ran count as one crash")
 {
     ManualClock clock;
-    CrashMemory crashes(clock);
+    CrashHistory crashes(clock);
     for (int copy = 0; copy < 4; ++copy) {
-        crashes.noteBreak({7, a});
+        crashes.recordDisconnect({7, a});
     }
-    crashes.noteBreak({9, a});
-    CHECK(crashesOf(crashes.judgeBreaks()).empty());
+    crashes.recordDisconnect({9, a});
+    CHECK(crashedRequests(crashes.classifyDisconnects()).empty());
     clock.advance(judged);
-    CHECK(crashesOf(crashes.judgeBreaks()) == std::vector<std::uint64_t>{7, 9});
-    CHECK(crashesOf(crashes.judgeBreaks()).empty());
+    CHECK(crashedRequests(crashes.classifyDisconnects()) == std::vector<std::uint64_t>{7, 9});
+    CHECK(crashedRequests(crashes.classifyDisconnects()).empty());
     CHECK_FALSE(crashes.isRefused(7));
 }
 
@@ -86,12 +86,12 @@
 TEST_CASE("disconnects from replicas one after another are crashes")
 {
     ManualClock clock;
-    CrashMemory crashes(clock);
+    CrashHistory crashes(clock);
     for (const EndpointName &replica : {a, b, c}) {
         CHECK_FALSE(crashes.isRefused(7));
-        crashes.noteBreak({7, replica});
+        crashes.recordDisconnect({7, replica});
         clock.advance(judged);
-        CHECK(crashesOf(crashes.judgeBreaks()) == std::vector<std::uint64_t>{7});
+        CHECK(crashedRequests(crashes.classifyDisconnects()) == std::vector<std::uint64_t>{7});
     }
     CHECK(crashes.isRefused(7));
 }
@@ -101,17 +101,17 @@
 TEST_CASE("an item that met three crashes is held for delays that double")
 {
     ManualClock clock;
-    CrashMemory crashes(clock);
+    CrashHistory crashes(clock);
     for (const EndpointName &replica : {a, b, c}) {
         CHECK_FALSE(crashes.isHeld(7));
-        crashes.noteCrash(7, replica);
+        crashes.recordCrash(7, replica);
     }
     CHECK(crashes.isHeld(7));
     clock.advance(std::chrono::milliseconds(4900));
     CHECK(crashes.isHeld(7));
     clock.advance(std::chrono::milliseconds(200));
     CHECK_FALSE(crashes.isHeld(7));
-    crashes.noteCrash(7, d);
+    crashes.recordCrash(7, d);
     clock.advance(std::chrono::milliseconds(9900));
     CHECK(crashes.isHeld(7));
     clock.advance(std::chrono::milliseconds(200));
@@ -122,21 +122,21 @@
 TEST_CASE("crashes that another node reports too count once and expire at the same time as there")
 {
     ManualClock clock;
-    CrashMemory here(clock);
-    CrashMemory there(clock);
+    CrashHistory here(clock);
+    CrashHistory there(clock);
     for (const EndpointName &replica : {a, b}) {
-        here.noteCrash(7, replica);
-        there.noteCrash(7, replica);
+        here.recordCrash(7, replica);
+        there.recordCrash(7, replica);
     }
     const auto tell = [&here, &there] {
-        for (const CrashMemory::Known &known : there.known(10)) {
+        for (const CrashHistory::RequestCrashes &known : there.requestCrashes(10)) {
             here.merge(known);
         }
     };
     tell();
     tell();
     CHECK_FALSE(here.isRefused(7));
-    there.noteCrash(7, c);
+    there.recordCrash(7, c);
     clock.advance(std::chrono::seconds(100));
     tell();
     CHECK(here.isRefused(7));
@@ -149,37 +149,37 @@
 TEST_CASE("successive disconnects of a request from two replicas are two crashes")
 {
     ManualClock clock;
-    CrashMemory crashes(clock);
-    crashes.noteBreak({7, a});
+    CrashHistory crashes(clock);
+    crashes.recordDisconnect({7, a});
     clock.advance(std::chrono::milliseconds(30));
-    crashes.noteBreak({7, b});
-    clock.advance(CrashMemory::judgeAfter - std::chrono::milliseconds(30));
-    CHECK(crashesOf(crashes.judgeBreaks()) == std::vector<std::uint64_t>{7});
+    crashes.recordDisconnect({7, b});
+    clock.advance(CrashHistory::classificationDelay - std::chrono::milliseconds(30));
+    CHECK(crashedRequests(crashes.classifyDisconnects()) == std::vector<std::uint64_t>{7});
     clock.advance(std::chrono::milliseconds(30));
-    CHECK(crashesOf(crashes.judgeBreaks()) == std::vector<std::uint64_t>{7});
+    CHECK(crashedRequests(crashes.classifyDisconnects()) == std::vector<std::uint64_t>{7});
 }
 
 // Several nodes ran copies of a request on one replica, and each reports the crash. An ordinary request must not be refused.
 TEST_CASE("a crash of one replica that several nodes report counts once")
 {
     ManualClock clock;
-    CrashMemory crashes(clock);
+    CrashHistory crashes(clock);
     for (int node = 0; node < 4; ++node) {
-        crashes.noteCrash(7, a);
+        crashes.recordCrash(7, a);
     }
-    CHECK(crashes.crashesOf(7) == 1);
+    CHECK(crashes.crashCount(7) == 1);
 }
 
 // A request crashed replicas of two partitioned nodes, neither of which saw three crashes. Their counts must be merged.
 TEST_CASE("crashes that different nodes recorded are merged")
 {
     ManualClock clock;
-    CrashMemory here(clock);
-    CrashMemory there(clock);
-    here.noteCrash(7, a);
-    here.noteCrash(7, b);
-    there.noteCrash(7, c);
-    for (const CrashMemory::Known &known : there.known(10)) {
+    CrashHistory here(clock);
+    CrashHistory there(clock);
+    here.recordCrash(7, a);
+    here.recordCrash(7, b);
+    there.recordCrash(7, c);
+    for (const CrashHistory::RequestCrashes &known : there.requestCrashes(10)) {
         here.merge(known);
     }
     CHECK(here.isRefused(7));
@@ -189,15 +189,15 @@
 TEST_CASE("if requests exceed the report limit, those with the most crashes are reported")
 {
     ManualClock clock;
-    CrashMemory crashes(clock);
+    CrashHistory crashes(clock);
     for (const EndpointName &replica : {a, b, c}) {
-        crashes.noteCrash(7, replica);
+        crashes.recordCrash(7, replica);
     }
     clock.advance(std::chrono::seconds(1));
     for (std::uint64_t other = 100; other < 200; ++other) {
-        crashes.noteCrash(other, d);
+        crashes.recordCrash(other, d);
     }
-    const std::vector<CrashMemory::Known> known = crashes.known(10);
+    const std::vector<CrashHistory::RequestCrashes> known = crashes.requestCrashes(10);
     REQUIRE(known.size() == 10);
     CHECK(known.front().fingerprint == 7);
 }
@@ -206,15 +206,15 @@
 TEST_CASE("a request that was served recently is not refused for crashes, but is refused once that is no longer recent")
 {
     ManualClock clock;
-    CrashMemory crashes(clock);
-    CHECK_FALSE(crashes.noteServed(7));
+    CrashHistory crashes(clock);
+    CHECK_FALSE(crashes.recordServed(7));
     for (const EndpointName &replica : {a, b, c}) {
-        crashes.noteCrash(7, replica);
+        crashes.recordCrash(7, replica);
     }
     CHECK_FALSE(crashes.isRefused(7));
     CHECK_FALSE(crashes.isHeld(7));
     clock.advance(std::chrono::seconds(31));
-    crashes.noteCrash(7, d);
+    crashes.recordCrash(7, d);
     CHECK(crashes.isRefused(7));
 }
 
@@ -222,18 +222,18 @@
 TEST_CASE("a served request has its crashes removed")
 {
     ManualClock clock;
-    CrashMemory crashes(clock);
+    CrashHistory crashes(clock);
     for (const EndpointName &replica : {a, b, c}) {
-        crashes.noteCrash(7, replica);
+        crashes.recordCrash(7, replica);
     }
     REQUIRE(crashes.isRefused(7));
-    const std::vector<CrashMemory::Known> before = crashes.known(1);
-    CHECK(crashes.noteServed(7));
+    const std::vector<CrashHistory::RequestCrashes> before = crashes.requestCrashes(1);
+    CHECK(crashes.recordServed(7));
     CHECK_FALSE(crashes.isRefused(7));
     // A report of a node that has not received yet that the request was served.
     crashes.merge(before.front());
-    CHECK(crashes.crashesOf(7) == 0);
+    CHECK(crashes.crashCount(7) == 0);
     clock.advance(std::chrono::seconds(31));
-    crashes.noteCrash(7, d);
+    crashes.recordCrash(7, d);
     CHECK_FALSE(crashes.isRefused(7));
 }
--- a/Tests/LibGateway/TestEventSplitter.cpp
+++ b/Tests/LibGateway/TestEventSplitter.cpp
@@ -8,7 +8,7 @@
 {
     EventSplitter splitter(1000);
     CHECK(splitter.feed("id: 1\ndata: a").empty());
-    CHECK(splitter.hasRest());
+    CHECK(splitter.hasRemainder());
     const std::vector<StreamEvent> events = splitter.feed("\n\nx-weight-versions: 3\nid:2\r\ndata:b\r\ndata: c\r\n\r\n");
     REQUIRE(events.size() == 2);
     CHECK(events[0].text == "id: 1\ndata: a\n\n");
@@ -16,7 +16,7 @@
     CHECK(events[0].data == "a");
     CHECK(events[1].id == 2);
     CHECK(events[1].data == "b\nc");
-    CHECK_FALSE(splitter.hasRest());
+    CHECK_FALSE(splitter.hasRemainder());
 }
 
 TEST_CASE("an event over the maximum size makes the stream invalid")
--- /dev/null
+++ b/Tests/LibGateway/TestJobCheckSchedule.cpp
@@ -0,0 +1,59 @@
+#include <LibBase/ManualClock.h>
+#include <LibGateway/JobCheckSchedule.h>
+
+#include <doctest/doctest.h>
+
+using namespace Dogwoodkeel;
+
+namespace
+{
+
+constexpr std::size_t many = 10;
+
+using Jobs = std::vector<JobId>;
+
+} // namespace
+
+// A single check may find no node that can be notified. A job that is checked only once could stay without a runner.
+TEST_CASE("a job is checked periodically while it is open")
+{
+    ManualClock clock;
+    JobCheckSchedule looks(clock);
+    looks.postpone(JobId("a"));
+    CHECK(looks.popDue(many).empty());
+    for (int round = 0; round < 3; ++round) {
+        clock.advance(JobCheckSchedule::interval);
+        CHECK(looks.popDue(many) == Jobs{JobId("a")});
+        CHECK(looks.popDue(many).empty());
+    }
+    looks.remove(JobId("a"));
+    clock.advance(JobCheckSchedule::interval);
+    CHECK(looks.popDue(many).empty());
+}
+
+TEST_CASE("a job whose row changes is not checked")
+{
+    ManualClock clock;
+    JobCheckSchedule looks(clock);
+    for (int change = 0; change < 5; ++change) {
+        looks.postpone(JobId("a"));
+        clock.advance(JobCheckSchedule::interval / 2);
+        CHECK(looks.popDue(many).empty());
+    }
+}
+
+// If the limit always selected the same jobs, the others would never be checked.
+TEST_CASE("if more jobs are due than the limit, the remaining ones come next")
+{
+    ManualClock clock;
+    JobCheckSchedule looks(clock);
+    for (const char *const name : {"a", "b", "c"}) {
+        looks.postpone(JobId(name));
+    }
+    clock.advance(JobCheckSchedule::interval);
+    CHECK(looks.popDue(2) == Jobs{JobId("a"), JobId("b")});
+    CHECK(looks.popDue(2) == Jobs{JobId("c")});
+    clock.advance(JobCheckSchedule::interval);
+    looks.clear();
+    CHECK(looks.popDue(2).empty());
+}
--- a/Tests/LibGateway/TestJobLedger.cpp
+++ b/Tests/LibGateway/TestJobLedger.cpp
@@ -34,10 +34,10 @@
     ledger.add(1, resultOf("b"));
     const JobLedger::Write write = ledger.nextWrite();
     ledger.adopt(headOf(3, {0}), 2);
-    CHECK(ledger.unwritten() == 1);
+    CHECK(ledger.unwrittenResults() == 1);
     ledger.add(2, resultOf("c"));
     ledger.confirm(write.head, 3);
-    CHECK(ledger.unwritten() == 1);
+    CHECK(ledger.unwrittenResults() == 1);
     CHECK(ledger.hasResult(2));
     CHECK_FALSE(ledger.isListed(2));
 }
@@ -56,7 +56,7 @@
     CHECK(write.results[0].output == "b");
     ledger.confirm(write.head, 2);
     CHECK(ledger.isComplete());
-    CHECK_FALSE(ledger.hasNews());
+    CHECK_FALSE(ledger.hasUnwrittenChanges());
 }
 
 // A runner fails after it counted failures of an item. The next runner must not start at zero, or the item would be sent to more
@@ -66,15 +66,15 @@
 {
     JobLedger first;
     first.adopt(headOf(2), 1);
-    CHECK(first.fail(0) == 1);
+    CHECK(first.recordFailure(0) == 1);
     const JobLedger::Write lost = first.nextWrite();
     CHECK(lost.head.failures == std::vector<std::uint32_t>{0});
-    first.noteFailedWrite();
+    first.recordFailedWrite();
     first.adopt(lost.head, 2);
     CHECK(first.nextWrite().head.failures == std::vector<std::uint32_t>{0});
     JobLedger second;
     second.adopt(lost.head, 2);
-    CHECK(second.fail(0) == 2);
+    CHECK(second.recordFailure(0) == 2);
 }
 
 TEST_CASE("a write does not exceed the size of a transaction, and holds at least one result")
--- a/Tests/LibGateway/TestJobRows.cpp
+++ b/Tests/LibGateway/TestJobRows.cpp
@@ -70,7 +70,7 @@
     const std::vector<std::string> pieces = JobRows::split(encode(content), 512);
     std::vector<StoredRow> rows;
     for (std::uint32_t piece = 0; piece < pieces.size(); ++piece) {
-        rows.push_back({JobRows::contentPiece(job, piece), pieces[piece], 1, false});
+        rows.push_back({JobRows::contentChunk(job, piece), pieces[piece], 1, false});
     }
     CHECK(JobRows::readContent(rows, static_cast<std::uint32_t>(pieces.size())) == content);
     rows.pop_back();
--- a/Tests/LibGateway/TestOpenConfirmation.cpp
+++ b/Tests/LibGateway/TestOpenConfirmation.cpp
@@ -71,7 +71,7 @@
     OpenConfirmation confirmation{this->time,
                                   this->clock,
                                   validity,
-                                  {.ask =
+                                  {.query =
                                        [this](std::function<void(OpenConfirmation::Reply)> answer) {
                                            this->asked.push_back(std::move(answer));
                                        },
@@ -89,7 +89,7 @@
 TEST_CASE("a recent reply confirms immediately, after an older one the store is queried again")
 {
     Bench bench;
-    bench.confirmation.note(bench.confirmation.askTime());
+    bench.confirmation.recordOpen(bench.confirmation.queryTime());
     bench.time.advance(validity);
     bench.request();
     CHECK(bench.asked.empty());
@@ -145,7 +145,7 @@
 TEST_CASE("the time for which the machine was suspended counts towards the age")
 {
     Bench bench;
-    bench.confirmation.note(bench.confirmation.askTime());
+    bench.confirmation.recordOpen(bench.confirmation.queryTime());
     bench.clock.pause = std::chrono::seconds(5);
     bench.request();
     CHECK(bench.ages.empty());
@@ -155,11 +155,11 @@
 TEST_CASE("a sign that the job is closed invalidates a recent confirmation and earlier queries")
 {
     Bench bench;
-    bench.confirmation.note(bench.confirmation.askTime());
-    bench.confirmation.renew();
+    bench.confirmation.recordOpen(bench.confirmation.queryTime());
+    bench.confirmation.requery();
     bench.request();
     CHECK(bench.ages.empty());
-    bench.confirmation.renew();
+    bench.confirmation.requery();
     REQUIRE(bench.asked.size() == 2);
     bench.asked[0](Reply::Open);
     CHECK(bench.ages.empty());
@@ -170,7 +170,7 @@
 TEST_CASE("after a sign that the job is closed the store is queried until it replies")
 {
     Bench bench;
-    bench.confirmation.renew();
+    bench.confirmation.requery();
     bench.answer(Reply::Unknown);
     bench.time.advance(std::chrono::milliseconds(1000));
     CHECK(bench.asked.size() == 1);
--- a/Tests/LibGateway/TestPromptPartGuard.cpp
+++ b/Tests/LibGateway/TestPromptPartBlocklist.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibGateway/PromptPartGuard.h>
+#include <LibGateway/PromptPartBlocklist.h>
 
 #include <doctest/doctest.h>
 
@@ -30,13 +30,13 @@
     {
         const EndpointName replica("i-" + std::to_string(++this->lastReplica));
         for (const std::vector<PromptPart> &parts : requests) {
-            this->guard.noteCrash(replica, parts);
+            this->guard.recordCrash(replica, parts);
         }
         this->clock.advance(between);
     }
 
     ManualClock clock;
-    PromptPartGuard guard;
+    PromptPartBlocklist guard;
 
 private:
     int lastReplica = 0;
@@ -48,7 +48,7 @@
 TEST_CASE("only the part that is common to the prompts of four crashes is blocked")
 {
     Bench bench;
-    bench.guard.noteServed({first, other});
+    bench.guard.recordServed({first, other});
     bench.clock.advance(between);
     for (int crash = 1; crash < crashesToBlock; ++crash) {
         bench.crash({{first, bad}});
@@ -65,7 +65,7 @@
 {
     Bench bench;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
-        bench.guard.noteServed({first, other});
+        bench.guard.recordServed({first, other});
         bench.crash({{first, bad}});
         bench.clock.advance(std::chrono::minutes(1));
     }
@@ -77,7 +77,7 @@
 TEST_CASE("crashes that a blocked part explains are not attributed to other parts")
 {
     Bench bench;
-    bench.guard.noteServed({first, other});
+    bench.guard.recordServed({first, other});
     bench.clock.advance(between);
     for (int crash = 0; crash < 30; ++crash) {
         bench.crash({{first, other}, {first, bad}});
@@ -103,7 +103,7 @@
     Bench bench;
     for (int crash = 0; crash < 4 * crashesToBlock; ++crash) {
         bench.crash({{first, crash % 2 == 0 ? bad : other}});
-        bench.guard.noteServed({first});
+        bench.guard.recordServed({first});
     }
     CHECK(bench.guard.isBlocked({bad}));
     CHECK(bench.guard.isBlocked({other}));
@@ -126,10 +126,10 @@
 TEST_CASE("a part that was served before its crashes is blocked")
 {
     Bench bench;
-    bench.guard.noteServed({first, bad});
+    bench.guard.recordServed({first, bad});
     bench.clock.advance(between);
     for (int crash = 0; crash < 2 * crashesToBlock; ++crash) {
-        bench.guard.noteServed({first});
+        bench.guard.recordServed({first});
         bench.crash({{first, bad}});
     }
     CHECK(bench.guard.isBlocked({bad}));
@@ -142,7 +142,7 @@
     Bench bench;
     for (int crash = 0; crash < 50; ++crash) {
         bench.crash({{first, other}});
-        bench.guard.noteServed({first, other});
+        bench.guard.recordServed({first, other});
         bench.clock.advance(between);
     }
     CHECK_FALSE(bench.guard.isBlocked({first, other}));
@@ -152,9 +152,9 @@
 TEST_CASE("simultaneous crashes count once")
 {
     ManualClock clock;
-    PromptPartGuard guard(clock);
+    PromptPartBlocklist guard(clock);
     for (int replica = 0; replica < 20; ++replica) {
-        guard.noteCrash(EndpointName("i-" + std::to_string(replica)), {first, other});
+        guard.recordCrash(EndpointName("i-" + std::to_string(replica)), {first, other});
         clock.advance(std::chrono::milliseconds(2));
     }
     CHECK_FALSE(guard.isBlocked({first, other}));
@@ -164,9 +164,9 @@
 TEST_CASE("several notices of the crash of one replica count once")
 {
     ManualClock clock;
-    PromptPartGuard guard(clock);
+    PromptPartBlocklist guard(clock);
     for (int node = 0; node < 5; ++node) {
-        guard.noteCrash(EndpointName("i-1"), {first, bad});
+        guard.recordCrash(EndpointName("i-1"), {first, bad});
         clock.advance(std::chrono::milliseconds(80));
     }
     CHECK_FALSE(guard.isBlocked({bad}));
@@ -196,9 +196,9 @@
         bench.crash({{first, bad}});
     }
     REQUIRE(bench.guard.isBlocked({bad}));
-    CHECK(bench.guard.noteServed({bad, other}) == std::vector<PromptPart>{bad});
+    CHECK(bench.guard.recordServed({bad, other}) == std::vector<PromptPart>{bad});
     CHECK_FALSE(bench.guard.isBlocked({bad}));
-    CHECK(bench.guard.noteServed({bad, other}).empty());
+    CHECK(bench.guard.recordServed({bad, other}).empty());
 }
 
 // A node that missed a notice keeps reporting a block that the others have already removed.
@@ -209,13 +209,13 @@
     for (int crash = 0; crash < crashesToBlock; ++crash) {
         bench.crash({{first, bad}});
     }
-    for (const PromptPartGuard::Blocked &blocked : bench.guard.blocked(10)) {
+    for (const PromptPartBlocklist::BlockedPart &blocked : bench.guard.blockedParts(10)) {
         late.guard.merge(blocked);
     }
     CHECK(late.guard.isBlocked({bad}));
     late.clock.advance(between);
-    late.guard.noteServed({bad});
-    for (const PromptPartGuard::Blocked &blocked : bench.guard.blocked(10)) {
+    late.guard.recordServed({bad});
+    for (const PromptPartBlocklist::BlockedPart &blocked : bench.guard.blockedParts(10)) {
         late.guard.merge(blocked);
     }
     CHECK_FALSE(late.guard.isBlocked({bad}));
@@ -234,7 +234,7 @@
             return std::vector<PromptPart>{static_cast<PromptPart>(100 + draw(8)), static_cast<PromptPart>(1000 + draw(200))};
         };
         for (int request = 0; request < 100; ++request) {
-            bench.guard.noteServed(sound());
+            bench.guard.recordServed(sound());
         }
         bench.clock.advance(between);
         for (int step = 0; step < 400; ++step) {
@@ -248,10 +248,10 @@
             if (draw(3) == 0) {
                 bench.crash(requests);
             }
-            bench.guard.noteServed(sound());
+            bench.guard.recordServed(sound());
             bench.clock.advance(std::chrono::milliseconds(30));
         }
         CHECK(bench.guard.isBlocked({bad}));
-        CHECK(bench.guard.blocked(10).size() == 1);
+        CHECK(bench.guard.blockedParts(10).size() == 1);
     }
 }
--- a/Tests/LibGateway/TestReplicaList.cpp
+++ b/Tests/LibGateway/TestReplicaList.cpp
@@ -24,19 +24,19 @@
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
     list.replaceAll({replica("a", 1), replica("b", 2)});
-    list.noteOutage();
+    list.recordOutage();
     clock.advance(std::chrono::seconds(5));
-    list.noteAnswer();
+    list.recordAnswer();
     list.replaceAll({});
     CHECK(list.replicas().size() == 2);
-    list.takeChanges();
+    list.popChanges();
     list.expire();
-    CHECK(list.takeChanges().isEmpty());
+    CHECK(list.popChanges().isEmpty());
     clock.advance(std::chrono::milliseconds(1500));
     list.put(replica("a", 1));
     clock.advance(std::chrono::milliseconds(1500));
     list.expire();
-    const ReplicaChanges expired = list.takeChanges();
+    const ReplicaChanges expired = list.popChanges();
     REQUIRE(expired.removed.size() == 1);
     CHECK(expired.removed[0].instance == EndpointName("b"));
     CHECK(expired.put.empty());
@@ -60,7 +60,7 @@
     ServingReplica leaving = replica("a", 1);
     leaving.isDraining = true;
     list.put(leaving);
-    list.noteOutage();
+    list.recordOutage();
     list.remove(EndpointName("a"));
     CHECK(list.replicas().empty());
 }
@@ -96,7 +96,7 @@
     CHECK(over == std::vector{EndpointName("a@1")});
     CHECK(list.replicas().size() == 1);
     CHECK(list.replicas().contains(EndpointName("a@2")));
-    list.replaceNow({first});
+    list.replaceExactly({first});
     CHECK(over.size() == 2);
     list.remove(EndpointName("a"));
     CHECK(list.replicas().empty());
@@ -108,12 +108,12 @@
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
     list.replaceAll({replica("a", 1), replica("b", 2)});
-    list.takeChanges();
-    list.holdBack(EndpointName("a"));
-    CHECK(list.takeChanges().put.size() == 1);
-    list.holdBack(EndpointName("a"));
-    list.holdBack(EndpointName("unknown"));
-    CHECK(list.takeChanges().isEmpty());
+    list.popChanges();
+    list.markUnreadable(EndpointName("a"));
+    CHECK(list.popChanges().put.size() == 1);
+    list.markUnreadable(EndpointName("a"));
+    list.markUnreadable(EndpointName("unknown"));
+    CHECK(list.popChanges().isEmpty());
     CHECK(list.findRegistered(EndpointName("a"))->isDraining);
     CHECK_FALSE(list.findRegistered(EndpointName("b"))->isDraining);
     list.put(replica("a", 1));
@@ -125,19 +125,19 @@
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
     list.replaceAll({replica("a", 1), replica("b", 2), replica("c", 3)});
-    CHECK(list.takeChanges().put.size() == 3);
-    CHECK(list.takeChanges().isEmpty());
+    CHECK(list.popChanges().put.size() == 3);
+    CHECK(list.popChanges().isEmpty());
     list.put(replica("a", 1));
-    CHECK(list.takeChanges().isEmpty());
+    CHECK(list.popChanges().isEmpty());
     list.remove(EndpointName("b"));
     list.put(replica("d", 3));
-    const ReplicaChanges changes = list.takeChanges();
+    const ReplicaChanges changes = list.popChanges();
     REQUIRE(changes.put.size() == 1);
     CHECK(changes.put[0].instance == EndpointName("d"));
     CHECK(changes.removed.size() == 2);
     list.remove(EndpointName("a"));
     list.put(replica("a", 1));
-    CHECK(list.takeChanges().removed.empty());
+    CHECK(list.popChanges().removed.empty());
 }
 
 // Guards against a replica that stays in use for its former service after it moved to another.
@@ -146,11 +146,11 @@
     ManualClock clock;
     ReplicaList list(clock, kept, [](const ServingReplica &) {});
     list.put(replica("a", 1));
-    list.takeChanges();
+    list.popChanges();
     ServingReplica moved = replica("a", 1);
     moved.service = ServiceName("t");
     list.put(moved);
-    const ReplicaChanges changes = list.takeChanges();
+    const ReplicaChanges changes = list.popChanges();
     REQUIRE(changes.removed.size() == 1);
     CHECK(changes.removed[0].service == ServiceName("s"));
     REQUIRE(changes.put.size() == 1);
--- a/Tests/LibGateway/TestReplicaRing.cpp
+++ b/Tests/LibGateway/TestReplicaRing.cpp
@@ -44,7 +44,7 @@
     return stableHash("node " + std::to_string(node));
 }
 
-std::set<EndpointName> namesOf(const ReplicaRing::Choice &choice)
+std::set<EndpointName> namesOf(const ReplicaRing::Selection &choice)
 {
     std::set<EndpointName> names;
     for (const ServingReplica &chosen : choice.replicas) {
@@ -59,7 +59,7 @@
 {
     for (const std::size_t count : {300U, 3000U, 10000U, 20000U}) {
         const ReplicaRing ring = ringOf(count);
-        const ReplicaRing::Choice choice = ring.choose(hashOfNode(1), FailureDomain("z1"), setSize);
+        const ReplicaRing::Selection choice = ring.select(hashOfNode(1), FailureDomain("z1"), setSize);
         CHECK(choice.replicas.size() == setSize);
         CHECK(namesOf(choice).size() == setSize);
         const auto near = std::ranges::count(choice.replicas, FailureDomain("z1"), &ServingReplica::failureDomain);
@@ -72,12 +72,12 @@
     ManualClock clock;
     ReplicaRing ring = ringOf(12);
     ring.put(replica(100, "other"));
-    const ReplicaRing::Choice choice = ring.choose(7, FailureDomain("z1"), setSize);
+    const ReplicaRing::Selection choice = ring.select(7, FailureDomain("z1"), setSize);
     CHECK(choice.replicas.size() == 13);
     ReplicaList list(clock, std::chrono::milliseconds(0), [](const ServingReplica &) {});
-    list.replaceNow(choice.replicas);
+    list.replaceExactly(choice.replicas);
     CHECK(list.fingerprint() == choice.fingerprint);
-    CHECK(ring.choose(7, FailureDomain("elsewhere"), setSize).replicas.size() == 13);
+    CHECK(ring.select(7, FailureDomain("elsewhere"), setSize).replicas.size() == 13);
 }
 
 // While no dispatcher answers, each node places its requests within its set. Replicas that are in many more sets than others would
@@ -90,7 +90,7 @@
     std::map<EndpointName, std::size_t> uses;
     for (std::size_t node = 0; node < nodeCount; ++node) {
         const FailureDomain domain("z" + std::to_string(node % domainCount));
-        for (const EndpointName &name : namesOf(ring.choose(hashOfNode(node), domain, setSize))) {
+        for (const EndpointName &name : namesOf(ring.select(hashOfNode(node), domain, setSize))) {
             ++uses[name];
         }
     }
@@ -105,18 +105,18 @@
 {
     ReplicaRing ring = ringOf(3000);
     const FailureDomain domain("z1");
-    const std::set<EndpointName> before = namesOf(ring.choose(hashOfNode(1), domain, setSize));
-    const std::set<EndpointName> otherBefore = namesOf(ring.choose(hashOfNode(500), domain, setSize));
+    const std::set<EndpointName> before = namesOf(ring.select(hashOfNode(1), domain, setSize));
+    const std::set<EndpointName> otherBefore = namesOf(ring.select(hashOfNode(500), domain, setSize));
     ServingReplica draining = replica(std::stoul(before.begin()->value().substr(2)));
     draining.isDraining = true;
     ring.put(draining);
-    const std::set<EndpointName> after = namesOf(ring.choose(hashOfNode(1), domain, setSize));
+    const std::set<EndpointName> after = namesOf(ring.select(hashOfNode(1), domain, setSize));
     std::vector<EndpointName> gone;
     std::ranges::set_difference(before, after, std::back_inserter(gone));
     CHECK(gone == std::vector{draining.instance});
     CHECK(after.size() == setSize);
     if (!otherBefore.contains(draining.instance)) {
-        CHECK(namesOf(ring.choose(hashOfNode(500), domain, setSize)) == otherBefore);
+        CHECK(namesOf(ring.select(hashOfNode(500), domain, setSize)) == otherBefore);
     }
 }
 
@@ -124,7 +124,7 @@
 {
     RecentReplicas recent;
     for (std::size_t number = 0; number < 3000; ++number) {
-        recent.note(replica(number));
+        recent.add(replica(number));
     }
     CHECK(recent.findAt(replica(0).address) == nullptr);
     REQUIRE(recent.findAt(replica(2999).address) != nullptr);
--- a/Tests/LibGateway/TestServingConfiguration.cpp
+++ b/Tests/LibGateway/TestServingConfiguration.cpp
@@ -20,10 +20,10 @@
 {
     Route route;
     route.targets = {{ServiceName("a"), 90}, {ServiceName("b"), 0}, {ServiceName("c"), 10}};
-    CHECK(chooseTarget(route, 0)->service == ServiceName("a"));
-    CHECK(chooseTarget(route, 0.899)->service == ServiceName("a"));
-    CHECK(chooseTarget(route, 0.9)->service == ServiceName("c"));
-    CHECK(chooseTarget(route, 0.999)->service == ServiceName("c"));
+    CHECK(selectTarget(route, 0)->service == ServiceName("a"));
+    CHECK(selectTarget(route, 0.899)->service == ServiceName("a"));
+    CHECK(selectTarget(route, 0.9)->service == ServiceName("c"));
+    CHECK(selectTarget(route, 0.999)->service == ServiceName("c"));
     route.targets.clear();
-    CHECK(chooseTarget(route, 0.5) == nullptr);
+    CHECK(selectTarget(route, 0.5) == nullptr);
 }
--- a/Tests/LibGateway/TestStreamOrigins.cpp
+++ b/Tests/LibGateway/TestStreamOrigins.cpp
@@ -17,7 +17,7 @@
 {
     ManualClock clock;
     StreamOrigins origins(clock);
-    origins.note(1, origin, lifetime);
+    origins.record(1, origin, lifetime);
     CHECK(origins.find(1) == origin);
     CHECK_FALSE(origins.find(2));
     clock.advance(lifetime);
@@ -31,11 +31,11 @@
 {
     ManualClock clock;
     StreamOrigins origins(clock);
-    origins.note(1, origin, lifetime);
+    origins.record(1, origin, lifetime);
     clock.advance(lifetime / 2);
-    origins.note(1, origin, lifetime);
+    origins.record(1, origin, lifetime);
     clock.advance(lifetime / 2 + std::chrono::seconds(1));
-    origins.note(2, origin, lifetime);
+    origins.record(2, origin, lifetime);
     CHECK(origins.find(1) == origin);
 }
 
@@ -45,11 +45,11 @@
     ManualClock clock;
     StreamOrigins origins(clock);
     for (std::uint64_t request = 1; request <= 50000; ++request) {
-        origins.note(request, origin, std::chrono::hours(1000));
+        origins.record(request, origin, std::chrono::hours(1000));
     }
     CHECK(origins.count() <= 20000);
     CHECK(origins.find(50000) == origin);
     clock.advance(std::chrono::minutes(3));
-    origins.note(1, origin, lifetime);
+    origins.record(1, origin, lifetime);
     CHECK(origins.count() == 1);
 }
--- a/Tests/ServiceGateway/TestJobRunners.cpp
+++ b/Tests/ServiceGateway/TestJobRunners.cpp
@@ -54,7 +54,7 @@
     head.total = 1;
     head.contentPieces = 1;
     bench.store.rows().put(JobRows::head(lateJob), encode(head));
-    bench.store.rows().put(JobRows::contentPiece(lateJob, 0), encode(content));
+    bench.store.rows().put(JobRows::contentChunk(lateJob, 0), encode(content));
 }
 
 void putOpenRow(GatewayBench &bench, SessionNumber runner)
