--- a/Libraries/LibGateway/CrashHistory.cpp
+++ b/Libraries/LibGateway/CrashHistory.cpp
@@ -12,33 +12,33 @@
 {
 
 /** A request with this many crashes is refused or held. */
-constexpr int mostCrashes = 3;
+constexpr int crashLimit = 3;
 /** A request that was served within this time is not considered the cause of crashes. */
-constexpr std::chrono::seconds servedRecently{30};
-/** Limits memory; far more than one node serves within that time. */
-constexpr std::size_t mostServed = 20000;
-/** How long crashes are kept. Longer than a caller keeps retrying a request, short enough for a fixed replica to be used again. */
-constexpr std::chrono::minutes remembered{2};
+constexpr std::chrono::seconds recentlyServedWindow{30};
+/** Limits memory; far more than one node serves within `recentlyServedWindow`. */
+constexpr std::size_t maxServedRequests = 20000;
+/** How long crashes are kept: longer than a caller keeps retrying a request, short enough for a replica to be fixed. */
+constexpr std::chrono::minutes retention{2};
 /** Limits memory; far more than can occur at the rate at which crashed replicas restart. */
-constexpr std::size_t mostEntries = 20000;
+constexpr std::size_t maxEntries = 20000;
 /**
  * Disconnects within this time count as simultaneous. Connections that the network resets together are lost within 10 ms of each
  * other on a node with half a core and thirty connections. Crashes of successive replicas under one request are at least a round
  * trip and the start of a run apart.
  */
-constexpr std::chrono::milliseconds sameMoment{50};
-static_assert(sameMoment < CrashHistory::classificationDelay);
+constexpr std::chrono::milliseconds simultaneityWindow{50};
+static_assert(simultaneityWindow < CrashHistory::classificationDelay);
 /** How long an item is held after its third crash. Doubles with each further crash, which makes it more likely the cause. */
-constexpr std::chrono::seconds firstHold{5};
-constexpr int mostDoublings = 6;
+constexpr std::chrono::seconds initialHold{5};
+constexpr int maxDoublings = 6;
 /** Further replicas would not change the hold time. */
-constexpr std::size_t mostReplicas = mostCrashes + mostDoublings;
+constexpr std::size_t maxReplicas = crashLimit + maxDoublings;
 
 /** Adds replicas to those that crashed under a request, without duplicates. */
-void join(std::vector<std::uint64_t> &replicas, const std::vector<std::uint64_t> &more)
+void addReplicas(std::vector<std::uint64_t> &replicas, const std::vector<std::uint64_t> &more)
 {
     for (const std::uint64_t replica : more) {
-        if (replicas.size() < mostReplicas && std::ranges::find(replicas, replica) == replicas.end()) {
+        if (replicas.size() < maxReplicas && std::ranges::find(replicas, replica) == replicas.end()) {
             replicas.push_back(replica);
         }
     }
@@ -46,57 +46,57 @@
 
 } // namespace
 
-CrashHistory::CrashHistory(const Clock &clock) : clock(clock), served(clock, servedRecently, mostServed)
+CrashHistory::CrashHistory(const Clock &clock) : clock(clock), served(clock, recentlyServedWindow, maxServedRequests)
 {
 }
 
 void CrashHistory::recordDisconnect(const InterruptedRun &run)
 {
-    this->breaks.push_back({run, this->clock.now()});
+    this->disconnects.push_back({run, this->clock.now()});
 }
 
 bool CrashHistory::mayReachCrashLimit(std::uint64_t fingerprint) const
 {
-    const auto firstOpen = this->breaks.begin() + static_cast<std::ptrdiff_t>(this->judgedBreaks);
-    return this->crashCount(fingerprint) == mostCrashes - 1
-        && std::any_of(firstOpen, this->breaks.end(), [fingerprint](const Break &open) {
-               return open.run.fingerprint == fingerprint;
+    const auto firstUnclassified = this->disconnects.begin() + static_cast<std::ptrdiff_t>(this->classifiedCount);
+    return this->crashCount(fingerprint) == crashLimit - 1
+        && std::any_of(firstUnclassified, this->disconnects.end(), [fingerprint](const Disconnect &pending) {
+               return pending.run.fingerprint == fingerprint;
            });
 }
 
 std::vector<ClassifiedDisconnect> CrashHistory::classifyDisconnects()
 {
     const SteadyTime now = this->clock.now();
-    std::vector<ClassifiedDisconnect> judged;
-    while (this->judgedBreaks < this->breaks.size() && now - this->breaks[this->judgedBreaks].time >= classificationDelay) {
-        const Break &next = this->breaks[this->judgedBreaks++];
-        const bool isCopy = std::ranges::any_of(judged, [&next](const ClassifiedDisconnect &other) {
+    std::vector<ClassifiedDisconnect> classified;
+    while (this->classifiedCount < this->disconnects.size() && now - this->disconnects[this->classifiedCount].time >= classificationDelay) {
+        const Disconnect &next = this->disconnects[this->classifiedCount++];
+        const bool isCopy = std::ranges::any_of(classified, [&next](const ClassifiedDisconnect &other) {
             return other.run.fingerprint == next.run.fingerprint && other.run.replica == next.run.replica;
         });
         if (!isCopy) {
-            judged.push_back(this->judge(next));
+            classified.push_back(this->classify(next));
         }
     }
-    while (this->judgedBreaks > 0 && now - this->breaks.front().time > classificationDelay + sameMoment) {
-        this->breaks.pop_front();
-        --this->judgedBreaks;
+    while (this->classifiedCount > 0 && now - this->disconnects.front().time > classificationDelay + simultaneityWindow) {
+        this->disconnects.pop_front();
+        --this->classifiedCount;
     }
-    for (const ClassifiedDisconnect &entry : judged) {
+    for (const ClassifiedDisconnect &entry : classified) {
         if (entry.isCrash) {
             this->recordCrash(entry.run.fingerprint, entry.run.replica);
         }
     }
-    return judged;
+    return classified;
 }
 
-ClassifiedDisconnect CrashHistory::judge(const Break &next) const
+ClassifiedDisconnect CrashHistory::classify(const Disconnect &next) const
 {
     // Attempts of one request run one after another, so their disconnects are not one reset of many connections.
-    const auto other = std::ranges::find_if(this->breaks, [&next](const Break &candidate) {
+    const auto other = std::ranges::find_if(this->disconnects, [&next](const Disconnect &candidate) {
         return candidate.run.replica != next.run.replica && candidate.run.fingerprint != next.run.fingerprint
-            && std::chrono::abs(candidate.time - next.time) <= sameMoment;
+            && std::chrono::abs(candidate.time - next.time) <= simultaneityWindow;
     });
-    if (other == this->breaks.end()) {
+    if (other == this->disconnects.end()) {
         return {next.run, true};
     }
     const auto timeDifference = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::abs(other->time - next.time));
@@ -105,42 +105,42 @@
 
 CrashHistory::Entry &CrashHistory::entryOf(std::uint64_t fingerprint, SteadyTime time)
 {
-    if (this->entries.size() >= mostEntries) {
-        this->forgetOld();
+    if (this->entries.size() >= maxEntries) {
+        this->removeExpired();
     }
     Entry &entry = this->entries[fingerprint];
-    if (this->clock.now() - entry.last > remembered) {
+    if (this->clock.now() - entry.lastCrash > retention) {
         entry.replicas.clear();
     }
-    entry.last = std::max(entry.last, time);
+    entry.lastCrash = std::max(entry.lastCrash, time);
     return entry;
 }
 
 void CrashHistory::recordCrash(std::uint64_t fingerprint, const EndpointName &replica)
 {
-    join(this->entryOf(fingerprint, this->clock.now()).replicas, {stableHash(replica.value())});
+    addReplicas(this->entryOf(fingerprint, this->clock.now()).replicas, {stableHash(replica.value())});
 }
 
-std::vector<CrashHistory::RequestCrashes> CrashHistory::requestCrashes(std::size_t most) const
+std::vector<CrashHistory::RequestCrashes> CrashHistory::requestCrashes(std::size_t maxCount) const
 {
     const SteadyTime now = this->clock.now();
     std::vector<RequestCrashes> found;
     for (const auto &[fingerprint, entry] : this->entries) {
-        const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.last);
-        if (age <= remembered) {
+        const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.lastCrash);
+        if (age <= retention) {
             found.push_back({fingerprint, entry.replicas, age});
         }
     }
     std::ranges::sort(found, [](const RequestCrashes &one, const RequestCrashes &other) {
         return std::tuple(other.replicas.size(), one.age) < std::tuple(one.replicas.size(), other.age);
     });
-    found.resize(std::min(found.size(), most));
+    found.resize(std::min(found.size(), maxCount));
     return found;
 }
 
 void CrashHistory::merge(const RequestCrashes &reported)
 {
-    if (reported.age > remembered) {
+    if (reported.age > retention) {
         return;
     }
     const SteadyTime lastCrash = this->clock.now() - reported.age;
@@ -149,50 +149,50 @@
     if (lastServed && *lastServed >= lastCrash) {
         return;
     }
-    join(this->entryOf(reported.fingerprint, lastCrash).replicas, reported.replicas);
+    addReplicas(this->entryOf(reported.fingerprint, lastCrash).replicas, reported.replicas);
 }
 
 int CrashHistory::crashCount(std::uint64_t fingerprint) const
 {
     const auto found = this->entries.find(fingerprint);
-    const bool isKnown = found != this->entries.end() && this->clock.now() - found->second.last <= remembered;
+    const bool isKnown = found != this->entries.end() && this->clock.now() - found->second.lastCrash <= retention;
     return isKnown ? static_cast<int>(found->second.replicas.size()) : 0;
 }
 
 bool CrashHistory::recordServed(std::uint64_t fingerprint)
 {
-    this->served.note(fingerprint);
+    this->served.record(fingerprint);
     return this->entries.erase(fingerprint) > 0;
 }
 
-bool CrashHistory::isServed(std::uint64_t fingerprint) const
+bool CrashHistory::isRecentlyServed(std::uint64_t fingerprint) const
 {
     const std::optional<SteadyTime> last = this->served.last(fingerprint);
-    return last && this->clock.now() - *last <= servedRecently;
+    return last && this->clock.now() - *last <= recentlyServedWindow;
 }
 
 bool CrashHistory::isRefused(std::uint64_t fingerprint) const
 {
-    return this->crashCount(fingerprint) >= mostCrashes && !this->isServed(fingerprint);
+    return this->crashCount(fingerprint) >= crashLimit && !this->isRecentlyServed(fingerprint);
 }
 
 bool CrashHistory::isHeld(std::uint64_t fingerprint) const
 {
     const int crashes = this->crashCount(fingerprint);
-    if (crashes < mostCrashes || this->isServed(fingerprint)) {
+    if (crashes < crashLimit || this->isRecentlyServed(fingerprint)) {
         return false;
     }
-    const int doublings = std::min(crashes - mostCrashes, mostDoublings);
-    return this->clock.now() - this->entries.at(fingerprint).last <= firstHold * (1 << doublings);
+    const int doublings = std::min(crashes - crashLimit, maxDoublings);
+    return this->clock.now() - this->entries.at(fingerprint).lastCrash <= initialHold * (1 << doublings);
 }
 
-void CrashHistory::forgetOld()
+void CrashHistory::removeExpired()
 {
     const SteadyTime now = this->clock.now();
     std::erase_if(this->entries, [now](const auto &entry) {
-        return now - entry.second.last > remembered;
+        return now - entry.second.lastCrash > retention;
     });
-    if (this->entries.size() >= mostEntries) {
+    if (this->entries.size() >= maxEntries) {
         this->entries.clear();
     }
 }
--- a/Libraries/LibGateway/CrashHistory.h
+++ b/Libraries/LibGateway/CrashHistory.h
@@ -102,7 +102,7 @@
      * @return the requests with crashes, ordered by descending number of crashes, then by ascending age
      * @param maxCount maximum number of requests
      */
-    std::vector<RequestCrashes> requestCrashes(std::size_t most) const;
+    std::vector<RequestCrashes> requestCrashes(std::size_t maxCount) const;
 
     /** Merges the crashes that another node attributes to a request. */
     void merge(const RequestCrashes &reported);
@@ -121,28 +121,28 @@
     {
         /** Hashes of the names of the replicas that crashed. */
         std::vector<std::uint64_t> replicas;
-        SteadyTime last{};
+        SteadyTime lastCrash{};
     };
 
-    struct Break
+    struct Disconnect
     {
         InterruptedRun run;
         SteadyTime time{};
     };
 
-    ClassifiedDisconnect judge(const Break &next) const;
+    ClassifiedDisconnect classify(const Disconnect &next) const;
     Entry &entryOf(std::uint64_t fingerprint, SteadyTime time);
-    void forgetOld();
+    void removeExpired();
 
-    bool isServed(std::uint64_t fingerprint) const;
+    bool isRecentlyServed(std::uint64_t fingerprint) const;
 
     const Clock &clock;
     std::map<std::uint64_t, Entry> entries;
     ServedTimes served;
     /** Ordered by time. Classified ones are kept at the front while later ones are compared with them. */
-    std::deque<Break> breaks;
+    std::deque<Disconnect> disconnects;
     /** Number of classified entries at the front of `disconnects`. */
-    std::size_t judgedBreaks = 0;
+    std::size_t classifiedCount = 0;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibGateway/EventSplitter.cpp
+++ b/Libraries/LibGateway/EventSplitter.cpp
@@ -27,9 +27,9 @@
     event.text = text;
     bool hasData = false;
     while (!text.empty()) {
-        const std::size_t feed = text.find('\n');
-        std::string_view line = text.substr(0, feed);
-        text.remove_prefix(feed == std::string_view::npos ? text.size() : feed + 1);
+        const std::size_t lineFeed = text.find('\n');
+        std::string_view line = text.substr(0, lineFeed);
+        text.remove_prefix(lineFeed == std::string_view::npos ? text.size() : lineFeed + 1);
         if (line.ends_with('\r')) {
             line.remove_suffix(1);
         }
@@ -46,13 +46,13 @@
 /** @return the offset after the first empty line, or npos. */
 std::size_t eventEnd(std::string_view text, std::size_t from)
 {
-    for (std::size_t feed = text.find('\n', from); feed != std::string_view::npos; feed = text.find('\n', feed + 1)) {
-        const std::string_view behind = text.substr(feed + 1);
-        if (behind.starts_with("\n")) {
-            return feed + 2;
+    for (std::size_t lineFeed = text.find('\n', from); lineFeed != std::string_view::npos; lineFeed = text.find('\n', lineFeed + 1)) {
+        const std::string_view following = text.substr(lineFeed + 1);
+        if (following.starts_with("\n")) {
+            return lineFeed + 2;
         }
-        if (behind.starts_with("\r\n")) {
-            return feed + 3;
+        if (following.starts_with("\r\n")) {
+            return lineFeed + 3;
         }
     }
     return std::string_view::npos;
@@ -60,27 +60,27 @@
 
 } // namespace
 
-EventSplitter::EventSplitter(std::size_t largestEvent) : largestEvent(largestEvent)
+EventSplitter::EventSplitter(std::size_t maxEventBytes) : maxEventBytes(maxEventBytes)
 {
 }
 
 std::vector<StreamEvent> EventSplitter::feed(std::string_view bytes)
 {
-    this->rest.append(bytes);
+    this->remainder.append(bytes);
     std::vector<StreamEvent> events;
     std::size_t start = 0;
-    for (std::size_t end = eventEnd(this->rest, start); end != std::string::npos; end = eventEnd(this->rest, start)) {
-        events.push_back(parseEvent(std::string_view(this->rest).substr(start, end - start)));
+    for (std::size_t end = eventEnd(this->remainder, start); end != std::string::npos; end = eventEnd(this->remainder, start)) {
+        events.push_back(parseEvent(std::string_view(this->remainder).substr(start, end - start)));
         start = end;
     }
-    this->rest.erase(0, start);
-    this->broken = this->broken || this->rest.size() > this->largestEvent;
+    this->remainder.erase(0, start);
+    this->broken = this->broken || this->remainder.size() > this->maxEventBytes;
     return events;
 }
 
 bool EventSplitter::hasRemainder() const
 {
-    return !this->rest.empty();
+    return !this->remainder.empty();
 }
 
 bool EventSplitter::isBroken() const
--- a/Libraries/LibGateway/EventSplitter.h
+++ b/Libraries/LibGateway/EventSplitter.h
@@ -29,7 +29,7 @@
 {
 public:
     /** @param maxEventBytes a longer event makes the stream invalid */
-    explicit EventSplitter(std::size_t largestEvent);
+    explicit EventSplitter(std::size_t maxEventBytes);
 
     /** @return the events that these bytes complete. */
     std::vector<StreamEvent> feed(std::string_view bytes);
@@ -41,8 +41,8 @@
     bool isBroken() const;
 
 private:
-    std::size_t largestEvent;
-    std::string rest;
+    std::size_t maxEventBytes;
+    std::string remainder;
     bool broken = false;
 };
 
--- a/Libraries/LibGateway/JobCheckSchedule.cpp
+++ b/Libraries/LibGateway/JobCheckSchedule.cpp
@@ -15,25 +15,25 @@
 
 void JobCheckSchedule::remove(const JobId &job)
 {
-    const auto found = this->times.find(job);
-    if (found != this->times.end()) {
+    const auto found = this->checkTimes.find(job);
+    if (found != this->checkTimes.end()) {
         this->queue.erase({found->second, job});
-        this->times.erase(found);
+        this->checkTimes.erase(found);
     }
 }
 
 void JobCheckSchedule::clear()
 {
-    this->times.clear();
+    this->checkTimes.clear();
     this->queue.clear();
 }
 
-std::vector<JobId> JobCheckSchedule::popDue(std::size_t most)
+std::vector<JobId> JobCheckSchedule::popDue(std::size_t maxCount)
 {
     const SteadyTime now = this->clock.now();
     std::vector<JobId> due;
     for (const auto &[time, job] : this->queue) {
-        if (time > now || due.size() == most) {
+        if (time > now || due.size() == maxCount) {
             break;
         }
         due.push_back(job);
@@ -47,7 +47,7 @@
 void JobCheckSchedule::schedule(const JobId &job)
 {
     const SteadyTime time = this->clock.now() + interval;
-    this->times.emplace(job, time);
+    this->checkTimes.emplace(job, time);
     this->queue.emplace(time, job);
 }
 
--- a/Libraries/LibGateway/JobCheckSchedule.h
+++ b/Libraries/LibGateway/JobCheckSchedule.h
@@ -38,13 +38,13 @@
      * Returns the jobs whose check is due, longest overdue first, and schedules their next checks.
      * @param maxCount maximum number of jobs
      */
-    std::vector<JobId> popDue(std::size_t most);
+    std::vector<JobId> popDue(std::size_t maxCount);
 
 private:
     void schedule(const JobId &job);
 
     const Clock &clock;
-    std::map<JobId, SteadyTime> times;
+    std::map<JobId, SteadyTime> checkTimes;
     std::set<std::pair<SteadyTime, JobId>> queue;
 };
 
--- a/Libraries/LibGateway/JobLedger.cpp
+++ b/Libraries/LibGateway/JobLedger.cpp
@@ -10,8 +10,8 @@
 {
 
 /** A transaction of the store holds a hundred entries and a megabyte. A result takes one row, a long one several. */
-constexpr std::size_t mostResults = 20;
-constexpr std::size_t mostOutput = 400'000;
+constexpr std::size_t maxResultsPerWrite = 20;
+constexpr std::size_t maxOutputBytesPerWrite = 400'000;
 
 } // namespace
 
@@ -76,7 +76,7 @@
     std::size_t bytes = 0;
     for (const auto &[item, result] : this->pending) {
         bytes += result.output.size();
-        const bool isOver = write.results.size() >= mostResults || bytes > mostOutput;
+        const bool isOver = write.results.size() >= maxResultsPerWrite || bytes > maxOutputBytesPerWrite;
         if (isOver && !write.results.empty()) {
             break;
         }
--- a/Libraries/LibGateway/JobLedger.h
+++ b/Libraries/LibGateway/JobLedger.h
@@ -29,7 +29,7 @@
         std::vector<ItemResult> results;
     };
 
-    /** Applies the head as read from the store. */
+    /** Applies the head as read from the store. Failure counts never decrease. */
     void adopt(const JobHead &head, RowVersion version);
 
     /** Adds the result of an item, unless it already has one. @param item its number in the submission */
--- a/Libraries/LibGateway/JobRows.cpp
+++ b/Libraries/LibGateway/JobRows.cpp
@@ -22,7 +22,10 @@
  * the jobs, and detects that another job was accepted meanwhile.
  */
 constexpr const char *orderPrefix = "accepted/";
-/** The store limits rows by their base64 size, four bytes for three; 7/10 instead of 3/4 leaves capacity for the remainder of the row. */
+/**
+ * The store limits rows by the size in which they are sent, base64, which takes four bytes for three. 7/10 instead of 3/4 leaves
+ * capacity for the remainder of the row.
+ */
 constexpr std::size_t encodedNumerator = 7;
 constexpr std::size_t encodedDenominator = 10;
 
@@ -33,10 +36,10 @@
     return digits;
 }
 
-std::string pieceKey(const std::string &prefix, std::size_t piece)
+std::string chunkKey(const std::string &prefix, std::size_t chunk)
 {
     char digits[32];
-    std::snprintf(digits, sizeof(digits), "%04zu", piece);
+    std::snprintf(digits, sizeof(digits), "%04zu", chunk);
     return prefix + digits;
 }
 
@@ -68,9 +71,9 @@
     return {jobTable, job.value(), headKey};
 }
 
-RowPlace contentChunk(const JobId &job, std::uint32_t piece)
+RowPlace contentChunk(const JobId &job, std::uint32_t chunk)
 {
-    return {jobTable, job.value(), pieceKey(contentPrefix, piece)};
+    return {jobTable, job.value(), chunkKey(contentPrefix, chunk)};
 }
 
 RowRange headAndContent(const JobId &job)
@@ -116,23 +119,23 @@
 std::vector<std::string> split(const std::string &encoded, std::size_t rowBytes)
 {
     const std::size_t size = std::max<std::size_t>(1, rowBytes * encodedNumerator / encodedDenominator);
-    std::vector<std::string> pieces;
+    std::vector<std::string> chunks;
     for (std::size_t offset = 0; offset < encoded.size(); offset += size) {
-        pieces.push_back(encoded.substr(offset, size));
+        chunks.push_back(encoded.substr(offset, size));
     }
-    return pieces;
+    return chunks;
 }
 
 std::vector<RowPut> putResult(const JobId &job, std::uint64_t position, const ItemResult &result, std::size_t rowBytes)
 {
     const ItemResultRecord record{result.id.value(), result.outcome == ItemOutcome::Completed, result.output};
-    const std::vector<std::string> pieces = split(encode(record), rowBytes);
+    const std::vector<std::string> chunks = split(encode(record), rowBytes);
     std::vector<RowPut> puts;
-    for (std::size_t piece = 0; piece < pieces.size(); ++piece) {
+    for (std::size_t chunk = 0; chunk < chunks.size(); ++chunk) {
         // The last chunk has a distinct key, so that a reader detects that the result is complete.
-        const bool isLast = piece + 1 == pieces.size();
-        const std::string key = resultKey(position) + (isLast ? "/z" : pieceKey("/p", piece));
-        puts.push_back({{jobTable, job.value(), key}, pieces[piece]});
+        const bool isLast = chunk + 1 == chunks.size();
+        const std::string key = resultKey(position) + (isLast ? "/z" : chunkKey("/p", chunk));
+        puts.push_back({{jobTable, job.value(), key}, chunks[chunk]});
     }
     return puts;
 }
@@ -161,7 +164,7 @@
     return results;
 }
 
-std::optional<JobContent> readContent(const std::vector<StoredRow> &rows, std::uint32_t pieces)
+std::optional<JobContent> readContent(const std::vector<StoredRow> &rows, std::uint32_t chunks)
 {
     std::string encoded;
     std::uint32_t found = 0;
@@ -171,7 +174,7 @@
             ++found;
         }
     }
-    return found == pieces ? decode<JobContent>(encoded) : std::nullopt;
+    return found == chunks ? decode<JobContent>(encoded) : std::nullopt;
 }
 
 std::optional<std::pair<JobHead, RowVersion>> readHead(const std::vector<StoredRow> &rows, const JobId &job)
--- a/Libraries/LibGateway/JobRows.h
+++ b/Libraries/LibGateway/JobRows.h
@@ -18,9 +18,9 @@
 /**
  * The layout of batch jobs in the platform's store.
  *
- * Each job is a separate part (see RowRange) of one table. It holds the head, whose version orders all changes of the job; the content, written
- * once; and the results, which are appended and never changed. In a second table, which all nodes follow, each job with items
- * without a result has a row, and so has each workspace on a route, to order the acceptance of its jobs.
+ * Each job is a separate part (see RowRange) of one table. It holds the head, whose version orders all changes of the job; the
+ * content, written once; and the results, which are appended and never changed. In a second table, which all nodes follow, each
+ * job with items without a result has a row, and so has each workspace on a route, to order the acceptance of its jobs.
  */
 namespace JobRows
 {
@@ -42,7 +42,7 @@
 RowPlace head(const JobId &job);
 
 /** @return the key of one chunk of a job's content. */
-RowPlace contentChunk(const JobId &job, std::uint32_t piece);
+RowPlace contentChunk(const JobId &job, std::uint32_t chunk);
 
 /** @return the rows of the head and content of a job. */
 RowRange headAndContent(const JobId &job);
@@ -87,7 +87,7 @@
 std::vector<ItemResult> readResults(const std::vector<StoredRow> &rows, std::uint64_t from);
 
 /** @return the content in the rows of headAndContent(), or nothing if a chunk is missing. */
-std::optional<JobContent> readContent(const std::vector<StoredRow> &rows, std::uint32_t pieces);
+std::optional<JobContent> readContent(const std::vector<StoredRow> &rows, std::uint32_t chunks);
 
 /** @return the head of a job and its version, or nothing if the rows don't hold a valid one. */
 std::optional<std::pair<JobHead, RowVersion>> readHead(const std::vector<StoredRow> &rows, const JobId &job);
--- a/Libraries/LibGateway/OpenConfirmation.cpp
+++ b/Libraries/LibGateway/OpenConfirmation.cpp
@@ -10,7 +10,7 @@
 {
 
 /** Delay between two queries while the store does not reply. */
-constexpr std::chrono::milliseconds retryPause{400};
+constexpr std::chrono::milliseconds retryInterval{400};
 
 } // namespace
 
@@ -30,36 +30,36 @@
     return this->clock.now() + std::chrono::duration_cast<SteadyTime::duration>(this->clock.suspended());
 }
 
-void OpenConfirmation::recordOpen(SteadyTime asked)
+void OpenConfirmation::recordOpen(SteadyTime queriedAt)
 {
-    this->confirmed = std::max(asked, this->confirmed.value_or(asked));
+    this->confirmedAt = std::max(queriedAt, this->confirmedAt.value_or(queriedAt));
 }
 
 std::optional<std::chrono::milliseconds> OpenConfirmation::validAge() const
 {
-    if (!this->confirmed) {
+    if (!this->confirmedAt) {
         return std::nullopt;
     }
-    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(this->queryTime() - *this->confirmed);
+    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(this->queryTime() - *this->confirmedAt);
     return age <= this->validity ? std::optional(age) : std::nullopt;
 }
 
-void OpenConfirmation::request(Callback confirmed)
+void OpenConfirmation::request(Callback callback)
 {
     if (const std::optional<std::chrono::milliseconds> age = this->validAge()) {
-        confirmed(age);
+        callback(age);
         return;
     }
-    this->waiting.push_back(std::move(confirmed));
-    if (!this->isAsking && this->retryTimer == 0) {
+    this->waiting.push_back(std::move(callback));
+    if (!this->isQuerying && this->retryTimer == 0) {
         this->query();
     }
 }
 
 void OpenConfirmation::requery()
 {
-    this->confirmed.reset();
-    this->isRenewing = true;
+    this->confirmedAt.reset();
+    this->isRequerying = true;
     if (this->retryTimer == 0) {
         this->query();
     }
@@ -69,53 +69,53 @@
 {
     *this->alive = false;
     this->alive = std::make_shared<bool>(true);
-    this->isAsking = false;
-    this->isRenewing = false;
+    this->isQuerying = false;
+    this->isRequerying = false;
     this->waiting.clear();
     this->scheduler.cancel(std::exchange(this->retryTimer, 0));
 }
 
 void OpenConfirmation::query()
 {
-    this->isAsking = true;
-    this->hooks.query([this, alive = this->alive, asked = this->queryTime(), number = ++this->question](Reply reply) {
-        if (*alive && number == this->question) {
-            this->take(reply, asked);
+    this->isQuerying = true;
+    this->hooks.query([this, alive = this->alive, queriedAt = this->queryTime(), number = ++this->queryNumber](Reply reply) {
+        if (*alive && number == this->queryNumber) {
+            this->handleReply(reply, queriedAt);
         }
     });
 }
 
-void OpenConfirmation::take(Reply reply, SteadyTime asked)
+void OpenConfirmation::handleReply(Reply reply, SteadyTime queriedAt)
 {
-    this->isAsking = false;
+    this->isQuerying = false;
     switch (reply) {
     case Reply::Open:
-        this->isRenewing = false;
-        this->recordOpen(asked);
+        this->isRequerying = false;
+        this->recordOpen(queriedAt);
         // A reply that was delayed may already be too old.
-        this->callBack(this->validAge());
+        this->notifyWaiting(this->validAge());
         return;
     case Reply::Closed:
         this->hooks.closed();
         return;
     case Reply::Unknown:
-        this->retryTimer = this->scheduler.schedule(retryPause, [this] {
+        this->retryTimer = this->scheduler.schedule(retryInterval, [this] {
             this->retryTimer = 0;
-            if (this->isRenewing || !this->waiting.empty()) {
+            if (this->isRequerying || !this->waiting.empty()) {
                 this->query();
             }
         });
-        this->callBack(std::nullopt);
+        this->notifyWaiting(std::nullopt);
         return;
     }
 }
 
-void OpenConfirmation::callBack(std::optional<std::chrono::milliseconds> age)
+void OpenConfirmation::notifyWaiting(std::optional<std::chrono::milliseconds> age)
 {
     const std::shared_ptr<bool> alive = this->alive;
-    for (const Callback &confirmed : std::exchange(this->waiting, {})) {
+    for (const Callback &callback : std::exchange(this->waiting, {})) {
         if (*alive) {
-            confirmed(age);
+            callback(age);
         }
     }
 }
--- a/Libraries/LibGateway/OpenConfirmation.h
+++ b/Libraries/LibGateway/OpenConfirmation.h
@@ -52,10 +52,10 @@
     SteadyTime queryTime() const;
 
     /** Records that the store confirmed the job as open. @param queriedAt queryTime() before the query was sent */
-    void recordOpen(SteadyTime asked);
+    void recordOpen(SteadyTime queriedAt);
 
-    /** Calls back immediately if the last confirmation is recent enough, otherwise once the store has replied or failed to. */
-    void request(Callback confirmed);
+    /** Calls back immediately if the last confirmation is recent enough, otherwise once the store has replied or did not answer. */
+    void request(Callback callback);
 
     /** Discards the confirmation and queries the store, as there are signs that the job is closed. */
     void requery();
@@ -65,21 +65,21 @@
 
 private:
     void query();
-    void take(Reply reply, SteadyTime asked);
-    void callBack(std::optional<std::chrono::milliseconds> age);
+    void handleReply(Reply reply, SteadyTime queriedAt);
+    void notifyWaiting(std::optional<std::chrono::milliseconds> age);
     std::optional<std::chrono::milliseconds> validAge() const;
 
     Scheduler &scheduler;
     const Clock &clock;
     std::chrono::milliseconds validity;
     Hooks hooks;
-    std::optional<SteadyTime> confirmed;
+    std::optional<SteadyTime> confirmedAt;
     std::vector<Callback> waiting;
-    bool isAsking = false;
+    bool isQuerying = false;
     /** Whether the store is queried until it replies, even if no callback is waiting. */
-    bool isRenewing = false;
+    bool isRequerying = false;
     /** Number of the last query; replies to earlier ones are ignored. */
-    std::uint64_t question = 0;
+    std::uint64_t queryNumber = 0;
     TimerId retryTimer = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/Libraries/LibGateway/PromptPartBlocklist.cpp
+++ b/Libraries/LibGateway/PromptPartBlocklist.cpp
@@ -14,39 +14,39 @@
 namespace
 {
 
-/** Crashes that a part must explain to be blocked. Valid requests meet one by chance, rarely several without being served between. */
-constexpr int fewestCrashes = 4;
+/** Crashes that a part must explain to be blocked. Valid requests meet one by chance, rarely several without being served. */
+constexpr int minCrashes = 4;
 /** The same for a part that was served recently, so it occurs in many requests, or that explains only some of the crashes. */
-constexpr int fewestCrashesIfUncertain = 8;
-constexpr std::chrono::seconds servedRecently{30};
+constexpr int minCrashesIfUncertain = 8;
+constexpr std::chrono::seconds recentlyServedWindow{30};
 /** Crashes within this time may have one cause outside the requests, such as a lost failure domain or a network reset. */
-constexpr std::chrono::milliseconds sameMoment{60};
+constexpr std::chrono::milliseconds simultaneityWindow{60};
 /** Nodes report the same crash within this time, as each classifies it and notifies the others. */
-constexpr std::chrono::milliseconds sameCrash{500};
-constexpr std::chrono::minutes crashesRetained{5};
-constexpr std::size_t mostCrashes = 128;
+constexpr std::chrono::milliseconds duplicateReportWindow{500};
+constexpr std::chrono::minutes crashRetention{5};
+constexpr std::size_t maxCrashes = 128;
 /** How long a part is blocked after the last crash that it explains. Doubles each time it crashes a replica after a block. */
-constexpr std::chrono::minutes firstBlock{2};
-constexpr std::uint32_t mostDoublings = 4;
+constexpr std::chrono::minutes initialBlockDuration{2};
+constexpr std::uint32_t maxDoublings = 4;
 /** How long an expired block is kept, so that the next block of the same part is longer. */
-constexpr std::chrono::hours blocksRetained{2};
-constexpr std::size_t mostBlocks = 1000;
+constexpr std::chrono::hours blockRetention{2};
+constexpr std::size_t maxBlocks = 1000;
 /** Limits memory; far more parts than one node serves within `crashRetention`. */
-constexpr std::size_t mostServed = 20000;
+constexpr std::size_t maxServedParts = 20000;
 
 /** @return whether a crash is separate in time from the last counted one; if so, it becomes the last counted one. */
-bool isApart(SteadyTime time, std::optional<SteadyTime> &counted)
+bool countIfSeparate(SteadyTime time, std::optional<SteadyTime> &lastCounted)
 {
-    if (counted && time - *counted <= sameMoment) {
+    if (lastCounted && time - *lastCounted <= simultaneityWindow) {
         return false;
     }
-    counted = time;
+    lastCounted = time;
     return true;
 }
 
-std::chrono::minutes holdOf(std::uint32_t times)
+std::chrono::minutes blockDuration(std::uint32_t times)
 {
-    return firstBlock * (1 << std::min(times - 1, mostDoublings));
+    return initialBlockDuration * (1 << std::min(times - 1, maxDoublings));
 }
 
 } // namespace
@@ -62,7 +62,7 @@
     return parts;
 }
 
-PromptPartBlocklist::PromptPartBlocklist(const Clock &clock) : clock(clock), served(clock, crashesRetained, mostServed)
+PromptPartBlocklist::PromptPartBlocklist(const Clock &clock) : clock(clock), served(clock, crashRetention, maxServedParts)
 {
 }
 
@@ -71,41 +71,41 @@
     if (parts.empty()) {
         return;
     }
-    this->forgetOld();
+    this->removeExpired();
     const SteadyTime now = this->clock.now();
-    const auto known = std::ranges::find_if(this->crashes, [&replica, now](const Crash &crash) {
-        return crash.replica == replica && now - crash.time <= sameCrash;
+    const auto existing = std::ranges::find_if(this->crashes, [&replica, now](const Crash &crash) {
+        return crash.replica == replica && now - crash.time <= duplicateReportWindow;
     });
-    Crash &crash = known != this->crashes.end() ? *known : this->crashes.emplace_back(Crash{replica, now, {}});
+    Crash &crash = existing != this->crashes.end() ? *existing : this->crashes.emplace_back(Crash{replica, now, {}});
     for (std::size_t depth = 0; depth < parts.size(); ++depth) {
         crash.parts.emplace(parts[depth], depth);
     }
-    this->judge();
+    this->updateBlocks();
 }
 
-void PromptPartBlocklist::forgetOld()
+void PromptPartBlocklist::removeExpired()
 {
     const SteadyTime now = this->clock.now();
     while (!this->crashes.empty()
-           && (now - this->crashes.front().time > crashesRetained || this->crashes.size() >= mostCrashes)) {
+           && (now - this->crashes.front().time > crashRetention || this->crashes.size() >= maxCrashes)) {
         this->crashes.pop_front();
     }
     std::erase_if(this->blocks, [now](const auto &entry) {
-        return now - entry.second.lastCrash > holdOf(entry.second.times) + blocksRetained;
+        return now - entry.second.lastCrash > blockDuration(entry.second.times) + blockRetention;
     });
 }
 
-void PromptPartBlocklist::judge()
+void PromptPartBlocklist::updateBlocks()
 {
     for (auto &[part, block] : this->blocks) {
         for (const Crash &crash : this->crashes) {
-            if (this->isBlocking(block) && crash.parts.contains(part)) {
+            if (this->isActive(block) && crash.parts.contains(part)) {
                 block.lastCrash = std::max(block.lastCrash, crash.time);
             }
         }
     }
-    for (std::optional<Suspect> suspect = this->strongest(); suspect && this->blocks.size() < mostBlocks;
-         suspect = this->strongest()) {
+    for (std::optional<Suspect> suspect = this->strongestSuspect(); suspect && this->blocks.size() < maxBlocks;
+         suspect = this->strongestSuspect()) {
         Block &block = this->blocks[suspect->part];
         ++block.times;
         for (const Crash &crash : this->crashes) {
@@ -116,7 +116,7 @@
     }
 }
 
-std::optional<PromptPartBlocklist::Suspect> PromptPartBlocklist::strongest() const
+std::optional<PromptPartBlocklist::Suspect> PromptPartBlocklist::strongestSuspect() const
 {
     std::set<PromptPart> parts;
     for (const Crash &crash : this->crashes) {
@@ -127,10 +127,10 @@
     }
     std::optional<Suspect> strongest;
     const auto rank = [](const Suspect &suspect) {
-        return std::tuple(suspect.crashes, -suspect.served.time_since_epoch(), suspect.depth);
+        return std::tuple(suspect.crashes, -suspect.lastServed.time_since_epoch(), suspect.depth);
     };
     for (const PromptPart part : parts) {
-        const Suspect suspect = this->suspicionOf(part);
+        const Suspect suspect = this->suspectOf(part);
         const bool isEnough = suspect.crashes >= this->crashesToBlock(suspect);
         if (isEnough && (!strongest || rank(suspect) > rank(*strongest))) {
             strongest = suspect;
@@ -139,22 +139,22 @@
     return strongest;
 }
 
-PromptPartBlocklist::Suspect PromptPartBlocklist::suspicionOf(PromptPart part) const
+PromptPartBlocklist::Suspect PromptPartBlocklist::suspectOf(PromptPart part) const
 {
     Suspect suspect{part, 0, 0, this->served.last(part).value_or(SteadyTime()), 0};
-    std::optional<SteadyTime> counted;
-    std::optional<SteadyTime> countedOfAll;
+    std::optional<SteadyTime> lastCounted;
+    std::optional<SteadyTime> lastCountedOfAll;
     for (const Crash &crash : this->crashes) {
-        if (crash.time <= suspect.served || this->isExplained(crash)) {
+        if (crash.time <= suspect.lastServed || this->isExplained(crash)) {
             continue;
         }
         const auto found = crash.parts.find(part);
         if (found != crash.parts.end()) {
             suspect.depth = std::max(suspect.depth, found->second);
-            suspect.crashes += isApart(crash.time, counted) ? 1 : 0;
+            suspect.crashes += countIfSeparate(crash.time, lastCounted) ? 1 : 0;
         }
         if (suspect.crashes > 0) {
-            suspect.allCrashes += isApart(crash.time, countedOfAll) ? 1 : 0;
+            suspect.unexplainedCrashes += countIfSeparate(crash.time, lastCountedOfAll) ? 1 : 0;
         }
     }
     return suspect;
@@ -166,22 +166,22 @@
         return 1;
     }
     const std::optional<SteadyTime> last = this->served.last(suspect.part);
-    const bool isServed = last && this->clock.now() - *last <= servedRecently;
-    const bool explainsMost = suspect.crashes * 2 > suspect.allCrashes;
-    return explainsMost && !isServed ? fewestCrashes : fewestCrashesIfUncertain;
+    const bool isRecentlyServed = last && this->clock.now() - *last <= recentlyServedWindow;
+    const bool explainsMajority = suspect.crashes * 2 > suspect.unexplainedCrashes;
+    return explainsMajority && !isRecentlyServed ? minCrashes : minCrashesIfUncertain;
 }
 
 bool PromptPartBlocklist::isExplained(const Crash &crash) const
 {
     return std::ranges::any_of(crash.parts, [this](const auto &entry) {
         const auto block = this->blocks.find(entry.first);
-        return block != this->blocks.end() && this->isBlocking(block->second);
+        return block != this->blocks.end() && this->isActive(block->second);
     });
 }
 
-bool PromptPartBlocklist::isBlocking(const Block &block) const
+bool PromptPartBlocklist::isActive(const Block &block) const
 {
-    return this->clock.now() - block.lastCrash <= holdOf(block.times);
+    return this->clock.now() - block.lastCrash <= blockDuration(block.times);
 }
 
 std::vector<PromptPart> PromptPartBlocklist::recordServed(const std::vector<PromptPart> &parts)
@@ -196,7 +196,7 @@
         if (isSuspected) {
             suspected.push_back(part);
         }
-        this->served.note(part);
+        this->served.record(part);
         this->blocks.erase(part);
     }
     return suspected;
@@ -206,21 +206,21 @@
 {
     return std::ranges::any_of(parts, [this](PromptPart part) {
         const auto block = this->blocks.find(part);
-        return block != this->blocks.end() && this->isBlocking(block->second);
+        return block != this->blocks.end() && this->isActive(block->second);
     });
 }
 
-std::vector<PromptPartBlocklist::BlockedPart> PromptPartBlocklist::blockedParts(std::size_t most) const
+std::vector<PromptPartBlocklist::BlockedPart> PromptPartBlocklist::blockedParts(std::size_t maxCount) const
 {
     const SteadyTime now = this->clock.now();
     std::vector<BlockedPart> found;
     for (const auto &[part, block] : this->blocks) {
-        if (this->isBlocking(block)) {
+        if (this->isActive(block)) {
             found.push_back({part, std::chrono::duration_cast<std::chrono::milliseconds>(now - block.lastCrash), block.times});
         }
     }
     std::ranges::sort(found, {}, &BlockedPart::age);
-    found.resize(std::min(found.size(), most));
+    found.resize(std::min(found.size(), maxCount));
     return found;
 }
 
@@ -229,7 +229,7 @@
     const SteadyTime lastCrash = this->clock.now() - reported.age;
     const std::optional<SteadyTime> last = this->served.last(reported.part);
     // The other node may not have received yet that a prompt with the part was served since.
-    if (reported.times == 0 || (last && *last >= lastCrash) || this->blocks.size() >= mostBlocks) {
+    if (reported.times == 0 || (last && *last >= lastCrash) || this->blocks.size() >= maxBlocks) {
         return;
     }
     Block &block = this->blocks[reported.part];
--- a/Libraries/LibGateway/PromptPartBlocklist.h
+++ b/Libraries/LibGateway/PromptPartBlocklist.h
@@ -30,7 +30,7 @@
  * Detects the parts of prompts that crash replicas, and blocks requests that have them.
  *
  * Requests with such a part may have nothing else in common, and their other parts also occur in valid requests. A crash is
- * attributed to the parts of all requests to which the replica had sent fewer than `minEventsOfServedPrompt` events. A part is
+ * attributed to the parts of all requests for which the replica had sent fewer than `minEventsOfServedPrompt` events. A part is
  * blocked once it explains several crashes at separate times since a prompt with it was last served. Crashes that a blocked part
  * explains are not attributed to other parts. Among parts that explain equally many crashes, the one served least recently, or
  * never, is blocked; then the one that is later in the prompt.
@@ -70,7 +70,7 @@
      * @param maxCount maximum number of parts
      * @return the parts that are blocked now, ordered by ascending age
      */
-    std::vector<BlockedPart> blockedParts(std::size_t most) const;
+    std::vector<BlockedPart> blockedParts(std::size_t maxCount) const;
 
     /** Applies a block that another node reported, unless the part was served since. */
     void merge(const BlockedPart &reported);
@@ -99,20 +99,20 @@
         /** Number of crashes that it would explain. */
         int crashes = 0;
         /** Number of crashes that no blocked part explains, since the first crash that this part would explain. */
-        int allCrashes = 0;
+        int unexplainedCrashes = 0;
         /** When a prompt with the part was last served. */
-        SteadyTime served{};
+        SteadyTime lastServed{};
         /** Largest index of the part in a prompt. */
         std::size_t depth = 0;
     };
 
-    void forgetOld();
-    void judge();
-    std::optional<Suspect> strongest() const;
-    Suspect suspicionOf(PromptPart part) const;
+    void removeExpired();
+    void updateBlocks();
+    std::optional<Suspect> strongestSuspect() const;
+    Suspect suspectOf(PromptPart part) const;
     int crashesToBlock(const Suspect &suspect) const;
     bool isExplained(const Crash &crash) const;
-    bool isBlocking(const Block &block) const;
+    bool isActive(const Block &block) const;
 
     const Clock &clock;
     std::deque<Crash> crashes;
--- a/Libraries/LibGateway/RecentReplicas.cpp
+++ b/Libraries/LibGateway/RecentReplicas.cpp
@@ -7,7 +7,7 @@
 {
 
 /** Limits memory; several times the number of connections to replicas that a node keeps. */
-constexpr std::size_t mostReplicas = 1024;
+constexpr std::size_t maxReplicas = 1024;
 
 } // namespace
 
@@ -16,7 +16,7 @@
     if (this->byAddress.insert_or_assign(replica.address, replica).second) {
         this->order.push_back(replica.address);
     }
-    if (this->order.size() > mostReplicas) {
+    if (this->order.size() > maxReplicas) {
         this->byAddress.erase(this->order.front());
         this->order.pop_front();
     }
--- a/Libraries/LibGateway/ReplicaList.cpp
+++ b/Libraries/LibGateway/ReplicaList.cpp
@@ -65,7 +65,7 @@
 
 bool ReplicaList::isPlatformUnreachable() const
 {
-    return this->isAway;
+    return this->isUnreachable;
 }
 
 void ReplicaList::put(const ServingReplica &replica)
@@ -97,7 +97,7 @@
     this->hash ^= fingerprintOf(replica);
     this->byAddress.insert_or_assign(replica.address, replica.instance);
     this->byRegisteredName.insert_or_assign(replica.registeredName, replica.instance);
-    this->change(replica.instance);
+    this->recordChange(replica.instance);
 }
 
 void ReplicaList::erase(const EndpointName &instance)
@@ -115,12 +115,12 @@
     this->removed.insert_or_assign(replica.instance, replica);
 }
 
-void ReplicaList::change(const EndpointName &instance)
+void ReplicaList::recordChange(const EndpointName &instance)
 {
     this->changed.insert(instance);
-    const auto gone = this->removed.find(instance);
-    if (gone != this->removed.end() && gone->second.service == this->list.at(instance).service) {
-        this->removed.erase(gone);
+    const auto former = this->removed.find(instance);
+    if (former != this->removed.end() && former->second.service == this->list.at(instance).service) {
+        this->removed.erase(former);
     }
 }
 
@@ -143,7 +143,7 @@
         return;
     }
     const EndpointName instance = found->instance;
-    if (this->isAroundOutage() && !found->isDraining) {
+    if (this->isRetainingLapsed() && !found->isDraining) {
         this->lapsed.insert(instance);
         return;
     }
@@ -154,42 +154,42 @@
 {
     const ServingReplica *const found = this->findRegistered(registeredName);
     if (found != nullptr && !found->isDraining) {
-        ServingReplica &held = this->list.at(found->instance);
-        this->hash ^= fingerprintOf(held);
-        held.isDraining = true;
-        this->hash ^= fingerprintOf(held);
-        this->change(found->instance);
+        ServingReplica &entry = this->list.at(found->instance);
+        this->hash ^= fingerprintOf(entry);
+        entry.isDraining = true;
+        this->hash ^= fingerprintOf(entry);
+        this->recordChange(found->instance);
     }
 }
 
 const ServingReplica *ReplicaList::findAt(const Address &address) const
 {
-    const auto named = this->byAddress.find(address);
-    return named != this->byAddress.end() ? &this->list.at(named->second) : nullptr;
+    const auto found = this->byAddress.find(address);
+    return found != this->byAddress.end() ? &this->list.at(found->second) : nullptr;
 }
 
 const ServingReplica *ReplicaList::findRegistered(const EndpointName &registeredName) const
 {
-    const auto named = this->byRegisteredName.find(registeredName);
-    return named != this->byRegisteredName.end() ? &this->list.at(named->second) : nullptr;
+    const auto found = this->byRegisteredName.find(registeredName);
+    return found != this->byRegisteredName.end() ? &this->list.at(found->second) : nullptr;
 }
 
 void ReplicaList::recordOutage()
 {
-    this->isAway = true;
+    this->isUnreachable = true;
 }
 
 void ReplicaList::recordAnswer()
 {
-    if (this->isAway) {
-        this->isAway = false;
-        this->returned = this->clock.now();
+    if (this->isUnreachable) {
+        this->isUnreachable = false;
+        this->outageEnd = this->clock.now();
     }
 }
 
 void ReplicaList::expire()
 {
-    if (this->isAroundOutage()) {
+    if (this->isRetainingLapsed()) {
         return;
     }
     for (const EndpointName &instance : std::exchange(this->lapsed, {})) {
@@ -212,9 +212,9 @@
     return this->list;
 }
 
-bool ReplicaList::isAroundOutage() const
+bool ReplicaList::isRetainingLapsed() const
 {
-    return this->isAway || (this->returned && this->clock.now() - *this->returned < this->lapsedKept);
+    return this->isUnreachable || (this->outageEnd && this->clock.now() - *this->outageEnd < this->lapsedKept);
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibGateway/ReplicaList.h
+++ b/Libraries/LibGateway/ReplicaList.h
@@ -88,9 +88,9 @@
 
 private:
     /** @return whether removed entries are kept, as the platform is unreachable or was until recently. */
-    bool isAroundOutage() const;
+    bool isRetainingLapsed() const;
     void erase(const EndpointName &instance);
-    void change(const EndpointName &instance);
+    void recordChange(const EndpointName &instance);
 
     const Clock &clock;
     std::chrono::milliseconds lapsedKept;
@@ -104,8 +104,8 @@
     std::unordered_set<EndpointName> changed;
     std::unordered_map<EndpointName, ServingReplica> removed;
     std::uint64_t hash = 0;
-    bool isAway = false;
-    std::optional<SteadyTime> returned;
+    bool isUnreachable = false;
+    std::optional<SteadyTime> outageEnd;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibGateway/ReplicaRing.cpp
+++ b/Libraries/LibGateway/ReplicaRing.cpp
@@ -11,22 +11,22 @@
 namespace
 {
 
-std::uint64_t placeOf(const ServingReplica &replica)
+std::uint64_t positionOf(const ServingReplica &replica)
 {
     return stableHash(replica.instance.value());
 }
 
 } // namespace
 
-void ReplicaRing::addBehind(const Ring &ring, std::uint64_t place, std::size_t most, Selection &choice)
+void ReplicaRing::addSuccessors(const Ring &ring, std::uint64_t position, std::size_t maxCount, Selection &selection)
 {
-    auto next = ring.lower_bound(place);
-    for (std::size_t count = 0; count < std::min(most, ring.size()); ++count) {
+    auto next = ring.lower_bound(position);
+    for (std::size_t count = 0; count < std::min(maxCount, ring.size()); ++count) {
         if (next == ring.end()) {
             next = ring.begin();
         }
-        choice.replicas.push_back(next->second.replica);
-        choice.fingerprint ^= next->second.fingerprint;
+        selection.replicas.push_back(next->second.replica);
+        selection.fingerprint ^= next->second.fingerprint;
         ++next;
     }
 }
@@ -37,7 +37,7 @@
         this->remove(replica);
         return;
     }
-    this->services[replica.service][replica.failureDomain].insert_or_assign(placeOf(replica),
+    this->services[replica.service][replica.failureDomain].insert_or_assign(positionOf(replica),
                                                                             Entry{replica, fingerprintOf(replica)});
 }
 
@@ -49,7 +49,7 @@
     }
     const auto ring = service->second.find(replica.failureDomain);
     if (ring != service->second.end()) {
-        ring->second.erase(placeOf(replica));
+        ring->second.erase(positionOf(replica));
     }
 }
 
@@ -58,35 +58,35 @@
     this->services.clear();
 }
 
-ReplicaRing::Selection ReplicaRing::select(std::uint64_t node, const FailureDomain &near, std::size_t most) const
+ReplicaRing::Selection ReplicaRing::select(std::uint64_t node, const FailureDomain &localDomain, std::size_t maxCount) const
 {
-    Selection choice;
+    Selection selection;
     for (const auto &[name, domains] : this->services) {
-        std::size_t far = 0;
+        std::size_t remoteCount = 0;
         for (const auto &[domain, ring] : domains) {
-            far += domain == near ? 0 : ring.size();
+            remoteCount += domain == localDomain ? 0 : ring.size();
         }
-        const auto own = domains.find(near);
-        const std::size_t ownSize = own != domains.end() ? own->second.size() : 0;
+        const auto localRing = domains.find(localDomain);
+        const std::size_t localSize = localRing != domains.end() ? localRing->second.size() : 0;
         // If the local domain or the other domains have too few replicas, the other side provides the remainder.
-        const std::size_t wantedFar = std::max(most / 4, most - std::min(most, ownSize));
-        const std::size_t wantedNear = most - std::min(wantedFar, far);
-        if (own != domains.end()) {
-            addBehind(own->second, node, wantedNear, choice);
+        const std::size_t remoteWanted = std::max(maxCount / 4, maxCount - std::min(maxCount, localSize));
+        const std::size_t localWanted = maxCount - std::min(remoteWanted, remoteCount);
+        if (localRing != domains.end()) {
+            addSuccessors(localRing->second, node, localWanted, selection);
         }
-        std::size_t left = std::min(wantedFar, far);
+        std::size_t remaining = std::min(remoteWanted, remoteCount);
         for (const auto &[domain, ring] : domains) {
-            if (domain == near || far == 0) {
+            if (domain == localDomain || remoteCount == 0) {
                 continue;
             }
             // In proportion to the replicas of each remote failure domain; the shares add up to the total without rounding loss.
-            const std::size_t share = left * ring.size() / far;
-            addBehind(ring, node, share, choice);
-            left -= share;
-            far -= ring.size();
+            const std::size_t share = remaining * ring.size() / remoteCount;
+            addSuccessors(ring, node, share, selection);
+            remaining -= share;
+            remoteCount -= ring.size();
         }
     }
-    return choice;
+    return selection;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibGateway/ReplicaRing.h
+++ b/Libraries/LibGateway/ReplicaRing.h
@@ -41,7 +41,7 @@
      * @param maxCount maximum number of replicas of each service
      * @return replicas that accept requests: those that follow the position of the node on a ring (consistent hashing)
      */
-    Selection select(std::uint64_t node, const FailureDomain &near, std::size_t most) const;
+    Selection select(std::uint64_t node, const FailureDomain &localDomain, std::size_t maxCount) const;
 
 private:
     struct Entry
@@ -54,7 +54,7 @@
     using Service = std::map<FailureDomain, Ring>;
 
     /** Adds up to `maxCount` replicas that follow a position on a ring. */
-    static void addBehind(const Ring &ring, std::uint64_t place, std::size_t most, Selection &choice);
+    static void addSuccessors(const Ring &ring, std::uint64_t position, std::size_t maxCount, Selection &selection);
 
     std::map<ServiceName, Service> services;
 };
--- a/Libraries/LibGateway/ServedTimes.h
+++ b/Libraries/LibGateway/ServedTimes.h
@@ -19,10 +19,10 @@
      * @param span minimum time for which an entry is kept
      * @param maxEntries with more hashes than this in one span, entries are dropped earlier
      */
-    ServedTimes(const Clock &clock, std::chrono::milliseconds span, std::size_t most);
+    ServedTimes(const Clock &clock, std::chrono::milliseconds span, std::size_t maxEntries);
 
     /** Records that the hash was served now. */
-    void note(std::uint64_t hash);
+    void record(std::uint64_t hash);
 
     /** @return when the hash was last served, or nothing if no time is kept for it. */
     std::optional<SteadyTime> last(std::uint64_t hash) const;
@@ -30,10 +30,10 @@
 private:
     const Clock &clock;
     std::chrono::milliseconds span;
-    std::size_t most;
+    std::size_t maxEntries;
     /** Entries of the current and of the previous span. */
     std::unordered_map<std::uint64_t, SteadyTime> current;
-    std::unordered_map<std::uint64_t, SteadyTime> before;
+    std::unordered_map<std::uint64_t, SteadyTime> previous;
     SteadyTime spanStart;
 };
 
--- a/Libraries/LibGateway/ServingConfiguration.cpp
+++ b/Libraries/LibGateway/ServingConfiguration.cpp
@@ -32,11 +32,11 @@
 
 std::uint32_t priorityOf(const Route &route, const Workspace *workspace)
 {
-    constexpr std::uint32_t mostRoutePriorities = 1U << 16U;
-    constexpr std::uint32_t mostPriorities = 1U << 15U;
-    const auto ofRoute = std::min(static_cast<std::uint32_t>(std::max(0, route.priority)), mostRoutePriorities - 1);
-    const std::uint32_t ofWorkspace = workspace != nullptr ? std::min(workspace->priority, mostPriorities) : 0;
-    return ofWorkspace * mostRoutePriorities + ofRoute;
+    constexpr std::uint32_t routePriorityCount = 1U << 16U;
+    constexpr std::uint32_t maxWorkspacePriority = 1U << 15U;
+    const auto ofRoute = std::min(static_cast<std::uint32_t>(std::max(0, route.priority)), routePriorityCount - 1);
+    const std::uint32_t ofWorkspace = workspace != nullptr ? std::min(workspace->priority, maxWorkspacePriority) : 0;
+    return ofWorkspace * routePriorityCount + ofRoute;
 }
 
 const RouteTarget *selectTarget(const Route &route, double point)
@@ -45,10 +45,10 @@
         = std::accumulate(route.targets.begin(), route.targets.end(), 0.0, [](double sum, const RouteTarget &target) {
               return sum + target.weight;
           });
-    double left = point * total;
+    double remaining = point * total;
     for (const RouteTarget &target : route.targets) {
-        left -= target.weight;
-        if (left < 0 && target.weight > 0) {
+        remaining -= target.weight;
+        if (remaining < 0 && target.weight > 0) {
             return &target;
         }
     }
--- a/Libraries/LibGateway/StreamOrigins.cpp
+++ b/Libraries/LibGateway/StreamOrigins.cpp
@@ -9,9 +9,9 @@
 {
 
 /** Limits memory; about ten times the entries that a node receives at the rate at which a fleet serves. */
-constexpr std::size_t mostEntries = 20000;
+constexpr std::size_t maxEntries = 20000;
 /** Longer than any caller waits; longer stated lifetimes are cut to it. */
-constexpr std::chrono::minutes longestLifetime{2};
+constexpr std::chrono::minutes maxLifetime{2};
 
 } // namespace
 
@@ -21,16 +21,16 @@
 
 void StreamOrigins::record(std::uint64_t request, const StreamOrigin &origin, std::chrono::milliseconds lifetime)
 {
-    this->forgetOld();
-    const SteadyTime until = this->clock.now() + std::min<std::chrono::milliseconds>(lifetime, longestLifetime);
-    this->entries.insert_or_assign(request, Entry{origin, until});
-    this->order.emplace(until, request);
+    this->removeExpired();
+    const SteadyTime expiry = this->clock.now() + std::min<std::chrono::milliseconds>(lifetime, maxLifetime);
+    this->entries.insert_or_assign(request, Entry{origin, expiry});
+    this->byExpiry.emplace(expiry, request);
 }
 
 std::optional<StreamOrigin> StreamOrigins::find(std::uint64_t request) const
 {
     const auto found = this->entries.find(request);
-    const bool isKnown = found != this->entries.end() && this->clock.now() <= found->second.until;
+    const bool isKnown = found != this->entries.end() && this->clock.now() <= found->second.expiry;
     return isKnown ? std::optional(found->second.origin) : std::nullopt;
 }
 
@@ -39,16 +39,16 @@
     return this->entries.size();
 }
 
-void StreamOrigins::forgetOld()
+void StreamOrigins::removeExpired()
 {
     const SteadyTime now = this->clock.now();
-    while (!this->order.empty() && (this->order.begin()->first < now || this->order.size() >= mostEntries)) {
-        const auto oldest = this->order.begin();
+    while (!this->byExpiry.empty() && (this->byExpiry.begin()->first < now || this->byExpiry.size() >= maxEntries)) {
+        const auto oldest = this->byExpiry.begin();
         const auto entry = this->entries.find(oldest->second);
-        if (entry != this->entries.end() && entry->second.until == oldest->first) {
+        if (entry != this->entries.end() && entry->second.expiry == oldest->first) {
             this->entries.erase(entry);
         }
-        this->order.erase(oldest);
+        this->byExpiry.erase(oldest);
     }
 }
 
--- a/Libraries/LibGateway/StreamOrigins.h
+++ b/Libraries/LibGateway/StreamOrigins.h
@@ -46,15 +46,15 @@
     struct Entry
     {
         StreamOrigin origin;
-        SteadyTime until{};
+        SteadyTime expiry{};
     };
 
-    void forgetOld();
+    void removeExpired();
 
     const Clock &clock;
     std::unordered_map<std::uint64_t, Entry> entries;
     /** Requests by the time at which their entries expire. */
-    std::multimap<SteadyTime, std::uint64_t> order;
+    std::multimap<SteadyTime, std::uint64_t> byExpiry;
 };
 
 } // namespace Dogwoodkeel
--- a/Tests/LibGateway/TestCrashHistory.cpp
+++ b/Tests/LibGateway/TestCrashHistory.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds judged{100};
+constexpr std::chrono::milliseconds afterClassification{100};
 
 const EndpointName a{"a"};
 const EndpointName b{"b"};
@@ -16,10 +16,10 @@
 const EndpointName d{"d"};
 
 /** @return the fingerprints of the requests that met a crash. */
-std::vector<std::uint64_t> crashedRequests(const std::vector<ClassifiedDisconnect> &judged)
+std::vector<std::uint64_t> crashedRequests(const std::vector<ClassifiedDisconnect> &classified)
 {
     std::vector<std::uint64_t> crashed;
-    for (const ClassifiedDisconnect &entry : judged) {
+    for (const ClassifiedDisconnect &entry : classified) {
         if (entry.isCrash) {
             crashed.push_back(entry.run.fingerprint);
         }
@@ -47,7 +47,7 @@
     CHECK_FALSE(crashes.isRefused(7));
 }
 
-// All connections of one node are reset at the same time, several times in half a minute, because of a network fault. A batch
+// All connections of one node are reset at the same time, three times in half a minute, because of a network fault. A batch
 // item that is considered the cause is not run again for minutes, although replicas are idle, and its job stays open.
 TEST_CASE("simultaneous disconnects from several replicas are not crashes")
 {
@@ -57,7 +57,7 @@
         crashes.recordDisconnect({7, a});
         clock.advance(std::chrono::milliseconds(8));
         crashes.recordDisconnect({8, b});
-        clock.advance(judged);
+        clock.advance(afterClassification);
         CHECK(crashedRequests(crashes.classifyDisconnects()).empty());
         clock.advance(std::chrono::seconds(7));
     }
@@ -76,7 +76,7 @@
     }
     crashes.recordDisconnect({9, a});
     CHECK(crashedRequests(crashes.classifyDisconnects()).empty());
-    clock.advance(judged);
+    clock.advance(afterClassification);
     CHECK(crashedRequests(crashes.classifyDisconnects()) == std::vector<std::uint64_t>{7, 9});
     CHECK(crashedRequests(crashes.classifyDisconnects()).empty());
     CHECK_FALSE(crashes.isRefused(7));
@@ -90,7 +90,7 @@
     for (const EndpointName &replica : {a, b, c}) {
         CHECK_FALSE(crashes.isRefused(7));
         crashes.recordDisconnect({7, replica});
-        clock.advance(judged);
+        clock.advance(afterClassification);
         CHECK(crashedRequests(crashes.classifyDisconnects()) == std::vector<std::uint64_t>{7});
     }
     CHECK(crashes.isRefused(7));
@@ -128,20 +128,20 @@
         here.recordCrash(7, replica);
         there.recordCrash(7, replica);
     }
-    const auto tell = [&here, &there] {
-        for (const CrashHistory::RequestCrashes &known : there.requestCrashes(10)) {
-            here.merge(known);
+    const auto mergeReports = [&here, &there] {
+        for (const CrashHistory::RequestCrashes &reported : there.requestCrashes(10)) {
+            here.merge(reported);
         }
     };
-    tell();
-    tell();
+    mergeReports();
+    mergeReports();
     CHECK_FALSE(here.isRefused(7));
     there.recordCrash(7, c);
     clock.advance(std::chrono::seconds(100));
-    tell();
+    mergeReports();
     CHECK(here.isRefused(7));
     clock.advance(std::chrono::seconds(21));
-    tell();
+    mergeReports();
     CHECK_FALSE(here.isRefused(7));
 }
 
@@ -179,8 +179,8 @@
     here.recordCrash(7, a);
     here.recordCrash(7, b);
     there.recordCrash(7, c);
-    for (const CrashHistory::RequestCrashes &known : there.requestCrashes(10)) {
-        here.merge(known);
+    for (const CrashHistory::RequestCrashes &reported : there.requestCrashes(10)) {
+        here.merge(reported);
     }
     CHECK(here.isRefused(7));
 }
@@ -197,9 +197,9 @@
     for (std::uint64_t other = 100; other < 200; ++other) {
         crashes.recordCrash(other, d);
     }
-    const std::vector<CrashHistory::RequestCrashes> known = crashes.requestCrashes(10);
-    REQUIRE(known.size() == 10);
-    CHECK(known.front().fingerprint == 7);
+    const std::vector<CrashHistory::RequestCrashes> reported = crashes.requestCrashes(10);
+    REQUIRE(reported.size() == 10);
+    CHECK(reported.front().fingerprint == 7);
 }
 
 // Many callers send the same request, and several replicas that run it are lost with a failure domain. It is still served.
--- a/Tests/LibGateway/TestJobCheckSchedule.cpp
+++ b/Tests/LibGateway/TestJobCheckSchedule.cpp
@@ -18,27 +18,27 @@
 TEST_CASE("a job is checked periodically while it is open")
 {
     ManualClock clock;
-    JobCheckSchedule looks(clock);
-    looks.postpone(JobId("a"));
-    CHECK(looks.popDue(many).empty());
+    JobCheckSchedule schedule(clock);
+    schedule.postpone(JobId("a"));
+    CHECK(schedule.popDue(many).empty());
     for (int round = 0; round < 3; ++round) {
         clock.advance(JobCheckSchedule::interval);
-        CHECK(looks.popDue(many) == Jobs{JobId("a")});
-        CHECK(looks.popDue(many).empty());
+        CHECK(schedule.popDue(many) == Jobs{JobId("a")});
+        CHECK(schedule.popDue(many).empty());
     }
-    looks.remove(JobId("a"));
+    schedule.remove(JobId("a"));
     clock.advance(JobCheckSchedule::interval);
-    CHECK(looks.popDue(many).empty());
+    CHECK(schedule.popDue(many).empty());
 }
 
 TEST_CASE("a job whose row changes is not checked")
 {
     ManualClock clock;
-    JobCheckSchedule looks(clock);
+    JobCheckSchedule schedule(clock);
     for (int change = 0; change < 5; ++change) {
-        looks.postpone(JobId("a"));
+        schedule.postpone(JobId("a"));
         clock.advance(JobCheckSchedule::interval / 2);
-        CHECK(looks.popDue(many).empty());
+        CHECK(schedule.popDue(many).empty());
     }
 }
 
@@ -46,14 +46,14 @@
 TEST_CASE("if more jobs are due than the limit, the remaining ones come next")
 {
     ManualClock clock;
-    JobCheckSchedule looks(clock);
+    JobCheckSchedule schedule(clock);
     for (const char *const name : {"a", "b", "c"}) {
-        looks.postpone(JobId(name));
+        schedule.postpone(JobId(name));
     }
     clock.advance(JobCheckSchedule::interval);
-    CHECK(looks.popDue(2) == Jobs{JobId("a"), JobId("b")});
-    CHECK(looks.popDue(2) == Jobs{JobId("c")});
+    CHECK(schedule.popDue(2) == Jobs{JobId("a"), JobId("b")});
+    CHECK(schedule.popDue(2) == Jobs{JobId("c")});
     clock.advance(JobCheckSchedule::interval);
-    looks.clear();
-    CHECK(looks.popDue(2).empty());
+    schedule.clear();
+    CHECK(schedule.popDue(2).empty());
 }
--- a/Tests/LibGateway/TestOpenConfirmation.cpp
+++ b/Tests/LibGateway/TestOpenConfirmation.cpp
@@ -50,7 +50,7 @@
 public:
     void answer(OpenConfirmation::Reply reply)
     {
-        const auto answers = std::exchange(this->asked, {});
+        const auto answers = std::exchange(this->queries, {});
         for (const auto &answer : answers) {
             answer(reply);
         }
@@ -65,7 +65,7 @@
 
     ManualClock time;
     SuspendableClock clock{this->time};
-    std::vector<std::function<void(OpenConfirmation::Reply)>> asked;
+    std::vector<std::function<void(OpenConfirmation::Reply)>> queries;
     std::vector<std::optional<std::chrono::milliseconds>> ages;
     int closed = 0;
     OpenConfirmation confirmation{this->time,
@@ -73,7 +73,7 @@
                                   validity,
                                   {.query =
                                        [this](std::function<void(OpenConfirmation::Reply)> answer) {
-                                           this->asked.push_back(std::move(answer));
+                                           this->queries.push_back(std::move(answer));
                                        },
                                    .closed =
                                        [this] {
@@ -92,14 +92,14 @@
     bench.confirmation.recordOpen(bench.confirmation.queryTime());
     bench.time.advance(validity);
     bench.request();
-    CHECK(bench.asked.empty());
+    CHECK(bench.queries.empty());
     REQUIRE(bench.ages.size() == 1);
     CHECK(bench.ages[0] == validity);
     bench.time.advance(std::chrono::milliseconds(1));
     bench.request();
     bench.request();
     CHECK(bench.ages.size() == 1);
-    CHECK(bench.asked.size() == 1);
+    CHECK(bench.queries.size() == 1);
     bench.answer(Reply::Open);
     REQUIRE(bench.ages.size() == 3);
     CHECK(bench.ages[2] == std::chrono::milliseconds(0));
@@ -124,9 +124,9 @@
     CHECK_FALSE(bench.ages[0]);
     bench.request();
     bench.request();
-    CHECK(bench.asked.empty());
+    CHECK(bench.queries.empty());
     bench.time.advance(std::chrono::milliseconds(1000));
-    CHECK(bench.asked.size() == 1);
+    CHECK(bench.queries.size() == 1);
     bench.answer(Reply::Open);
     CHECK(bench.ages.size() == 3);
 }
@@ -149,7 +149,7 @@
     bench.clock.pause = std::chrono::seconds(5);
     bench.request();
     CHECK(bench.ages.empty());
-    CHECK(bench.asked.size() == 1);
+    CHECK(bench.queries.size() == 1);
 }
 
 TEST_CASE("a sign that the job is closed invalidates a recent confirmation and earlier queries")
@@ -160,10 +160,10 @@
     bench.request();
     CHECK(bench.ages.empty());
     bench.confirmation.requery();
-    REQUIRE(bench.asked.size() == 2);
-    bench.asked[0](Reply::Open);
+    REQUIRE(bench.queries.size() == 2);
+    bench.queries[0](Reply::Open);
     CHECK(bench.ages.empty());
-    bench.asked[1](Reply::Closed);
+    bench.queries[1](Reply::Closed);
     CHECK(bench.closed == 1);
 }
 
@@ -173,8 +173,8 @@
     bench.confirmation.requery();
     bench.answer(Reply::Unknown);
     bench.time.advance(std::chrono::milliseconds(1000));
-    CHECK(bench.asked.size() == 1);
+    CHECK(bench.queries.size() == 1);
     bench.answer(Reply::Open);
     bench.time.advance(std::chrono::seconds(10));
-    CHECK(bench.asked.empty());
+    CHECK(bench.queries.empty());
 }
--- a/Tests/LibGateway/TestPromptPartBlocklist.cpp
+++ b/Tests/LibGateway/TestPromptPartBlocklist.cpp
@@ -15,13 +15,13 @@
 constexpr PromptPart first = 1;
 constexpr PromptPart bad = 2;
 constexpr PromptPart other = 3;
-constexpr std::chrono::milliseconds between{150};
+constexpr std::chrono::milliseconds crashInterval{150};
 constexpr int crashesToBlock = 4;
 
 class Bench
 {
 public:
-    Bench() : guard(this->clock)
+    Bench() : blocklist(this->clock)
     {
     }
 
@@ -30,13 +30,13 @@
     {
         const EndpointName replica("i-" + std::to_string(++this->lastReplica));
         for (const std::vector<PromptPart> &parts : requests) {
-            this->guard.recordCrash(replica, parts);
+            this->blocklist.recordCrash(replica, parts);
         }
-        this->clock.advance(between);
+        this->clock.advance(crashInterval);
     }
 
     ManualClock clock;
-    PromptPartBlocklist guard;
+    PromptPartBlocklist blocklist;
 
 private:
     int lastReplica = 0;
@@ -48,16 +48,16 @@
 TEST_CASE("only the part that is common to the prompts of four crashes is blocked")
 {
     Bench bench;
-    bench.guard.recordServed({first, other});
-    bench.clock.advance(between);
+    bench.blocklist.recordServed({first, other});
+    bench.clock.advance(crashInterval);
     for (int crash = 1; crash < crashesToBlock; ++crash) {
         bench.crash({{first, bad}});
     }
-    CHECK_FALSE(bench.guard.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({bad}));
     bench.crash({{first, bad}});
-    CHECK(bench.guard.isBlocked({first, bad}));
-    CHECK(bench.guard.isBlocked({other, bad}));
-    CHECK_FALSE(bench.guard.isBlocked({first, other}));
+    CHECK(bench.blocklist.isBlocked({first, bad}));
+    CHECK(bench.blocklist.isBlocked({other, bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first, other}));
 }
 
 // Few requests have the part, and each of them crashes its replica, about one per minute.
@@ -65,25 +65,25 @@
 {
     Bench bench;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
-        bench.guard.recordServed({first, other});
+        bench.blocklist.recordServed({first, other});
         bench.crash({{first, bad}});
         bench.clock.advance(std::chrono::minutes(1));
     }
-    CHECK(bench.guard.isBlocked({bad}));
-    CHECK_FALSE(bench.guard.isBlocked({first, other}));
+    CHECK(bench.blocklist.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first, other}));
 }
 
 // Valid requests share the first part, but are rarely served as all replicas are down most of the time.
 TEST_CASE("crashes that a blocked part explains are not attributed to other parts")
 {
     Bench bench;
-    bench.guard.recordServed({first, other});
-    bench.clock.advance(between);
+    bench.blocklist.recordServed({first, other});
+    bench.clock.advance(crashInterval);
     for (int crash = 0; crash < 30; ++crash) {
         bench.crash({{first, other}, {first, bad}});
     }
-    CHECK(bench.guard.isBlocked({bad}));
-    CHECK_FALSE(bench.guard.isBlocked({first, other}));
+    CHECK(bench.blocklist.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first, other}));
 }
 
 // A node has just started and has served nothing yet, so all parts of the prompts are new to it.
@@ -93,8 +93,8 @@
     for (int crash = 0; crash < crashesToBlock; ++crash) {
         bench.crash({{first, bad}});
     }
-    CHECK(bench.guard.isBlocked({bad}));
-    CHECK_FALSE(bench.guard.isBlocked({first}));
+    CHECK(bench.blocklist.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first}));
 }
 
 // Two faulty parts occur in the same period, each in half of the crashes.
@@ -103,11 +103,11 @@
     Bench bench;
     for (int crash = 0; crash < 4 * crashesToBlock; ++crash) {
         bench.crash({{first, crash % 2 == 0 ? bad : other}});
-        bench.guard.recordServed({first});
+        bench.blocklist.recordServed({first});
     }
-    CHECK(bench.guard.isBlocked({bad}));
-    CHECK(bench.guard.isBlocked({other}));
-    CHECK_FALSE(bench.guard.isBlocked({first}));
+    CHECK(bench.blocklist.isBlocked({bad}));
+    CHECK(bench.blocklist.isBlocked({other}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first}));
 }
 
 // Some replicas crash while they run only requests that are already served in part, which identify no suspect.
@@ -119,21 +119,21 @@
         bench.crash({{}});
         bench.crash({{}});
     }
-    CHECK(bench.guard.isBlocked({bad}));
+    CHECK(bench.blocklist.isBlocked({bad}));
 }
 
 // A part was harmless until the replicas changed.
 TEST_CASE("a part that was served before its crashes is blocked")
 {
     Bench bench;
-    bench.guard.recordServed({first, bad});
-    bench.clock.advance(between);
+    bench.blocklist.recordServed({first, bad});
+    bench.clock.advance(crashInterval);
     for (int crash = 0; crash < 2 * crashesToBlock; ++crash) {
-        bench.guard.recordServed({first});
+        bench.blocklist.recordServed({first});
         bench.crash({{first, bad}});
     }
-    CHECK(bench.guard.isBlocked({bad}));
-    CHECK_FALSE(bench.guard.isBlocked({first}));
+    CHECK(bench.blocklist.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first}));
 }
 
 // Replicas crash occasionally for other reasons while they run requests of all kinds.
@@ -142,34 +142,34 @@
     Bench bench;
     for (int crash = 0; crash < 50; ++crash) {
         bench.crash({{first, other}});
-        bench.guard.recordServed({first, other});
-        bench.clock.advance(between);
+        bench.blocklist.recordServed({first, other});
+        bench.clock.advance(crashInterval);
     }
-    CHECK_FALSE(bench.guard.isBlocked({first, other}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first, other}));
 }
 
 // Many replicas are lost with a failure domain at the same time, and so are the requests that they had just started.
 TEST_CASE("simultaneous crashes count once")
 {
     ManualClock clock;
-    PromptPartBlocklist guard(clock);
+    PromptPartBlocklist blocklist(clock);
     for (int replica = 0; replica < 20; ++replica) {
-        guard.recordCrash(EndpointName("i-" + std::to_string(replica)), {first, other});
+        blocklist.recordCrash(EndpointName("i-" + std::to_string(replica)), {first, other});
         clock.advance(std::chrono::milliseconds(2));
     }
-    CHECK_FALSE(guard.isBlocked({first, other}));
+    CHECK_FALSE(blocklist.isBlocked({first, other}));
 }
 
 // Several nodes lose requests with one replica, and each reports the crash.
 TEST_CASE("several notices of the crash of one replica count once")
 {
     ManualClock clock;
-    PromptPartBlocklist guard(clock);
+    PromptPartBlocklist blocklist(clock);
     for (int node = 0; node < 5; ++node) {
-        guard.recordCrash(EndpointName("i-1"), {first, bad});
+        blocklist.recordCrash(EndpointName("i-1"), {first, bad});
         clock.advance(std::chrono::milliseconds(80));
     }
-    CHECK_FALSE(guard.isBlocked({bad}));
+    CHECK_FALSE(blocklist.isBlocked({bad}));
 }
 
 // The fault may have been fixed since, but each wrong attempt crashes a replica.
@@ -180,12 +180,12 @@
         bench.crash({{first, bad}});
     }
     bench.clock.advance(std::chrono::minutes(2));
-    CHECK_FALSE(bench.guard.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({bad}));
     bench.crash({{first, bad}});
     bench.clock.advance(std::chrono::minutes(3));
-    CHECK(bench.guard.isBlocked({bad}));
+    CHECK(bench.blocklist.isBlocked({bad}));
     bench.clock.advance(std::chrono::minutes(1));
-    CHECK_FALSE(bench.guard.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({bad}));
 }
 
 // A request that was sent before the block is served, which shows that the part is not the cause.
@@ -195,10 +195,10 @@
     for (int crash = 0; crash < crashesToBlock; ++crash) {
         bench.crash({{first, bad}});
     }
-    REQUIRE(bench.guard.isBlocked({bad}));
-    CHECK(bench.guard.recordServed({bad, other}) == std::vector<PromptPart>{bad});
-    CHECK_FALSE(bench.guard.isBlocked({bad}));
-    CHECK(bench.guard.recordServed({bad, other}).empty());
+    REQUIRE(bench.blocklist.isBlocked({bad}));
+    CHECK(bench.blocklist.recordServed({bad, other}) == std::vector<PromptPart>{bad});
+    CHECK_FALSE(bench.blocklist.isBlocked({bad}));
+    CHECK(bench.blocklist.recordServed({bad, other}).empty());
 }
 
 // A node that missed a notice keeps reporting a block that the others have already removed.
@@ -209,16 +209,16 @@
     for (int crash = 0; crash < crashesToBlock; ++crash) {
         bench.crash({{first, bad}});
     }
-    for (const PromptPartBlocklist::BlockedPart &blocked : bench.guard.blockedParts(10)) {
-        late.guard.merge(blocked);
+    for (const PromptPartBlocklist::BlockedPart &blocked : bench.blocklist.blockedParts(10)) {
+        late.blocklist.merge(blocked);
     }
-    CHECK(late.guard.isBlocked({bad}));
-    late.clock.advance(between);
-    late.guard.recordServed({bad});
-    for (const PromptPartBlocklist::BlockedPart &blocked : bench.guard.blockedParts(10)) {
-        late.guard.merge(blocked);
+    CHECK(late.blocklist.isBlocked({bad}));
+    late.clock.advance(crashInterval);
+    late.blocklist.recordServed({bad});
+    for (const PromptPartBlocklist::BlockedPart &blocked : bench.blocklist.blockedParts(10)) {
+        late.blocklist.merge(blocked);
     }
-    CHECK_FALSE(late.guard.isBlocked({bad}));
+    CHECK_FALSE(late.blocklist.isBlocked({bad}));
 }
 
 // Requests of all kinds run while one part crashes replicas at random times; some crashes show no request with the part.
@@ -227,20 +227,20 @@
     for (unsigned seed = 1; seed <= 50; ++seed) {
         std::minstd_rand random(seed);
         Bench bench;
-        const auto draw = [&random](int most) {
-            return std::uniform_int_distribution<int>(0, most - 1)(random);
+        const auto draw = [&random](int bound) {
+            return std::uniform_int_distribution<int>(0, bound - 1)(random);
         };
-        const auto sound = [&draw] {
+        const auto validPrompt = [&draw] {
             return std::vector<PromptPart>{static_cast<PromptPart>(100 + draw(8)), static_cast<PromptPart>(1000 + draw(200))};
         };
         for (int request = 0; request < 100; ++request) {
-            bench.guard.recordServed(sound());
+            bench.blocklist.recordServed(validPrompt());
         }
-        bench.clock.advance(between);
+        bench.clock.advance(crashInterval);
         for (int step = 0; step < 400; ++step) {
             std::vector<std::vector<PromptPart>> requests;
             for (int neighbour = draw(4); neighbour > 0; --neighbour) {
-                requests.push_back(sound());
+                requests.push_back(validPrompt());
             }
             if (draw(10) > 0) {
                 requests.push_back({static_cast<PromptPart>(100 + draw(8)), bad});
@@ -248,10 +248,10 @@
             if (draw(3) == 0) {
                 bench.crash(requests);
             }
-            bench.guard.recordServed(sound());
+            bench.blocklist.recordServed(validPrompt());
             bench.clock.advance(std::chrono::milliseconds(30));
         }
-        CHECK(bench.guard.isBlocked({bad}));
-        CHECK(bench.guard.blockedParts(10).size() == 1);
+        CHECK(bench.blocklist.isBlocked({bad}));
+        CHECK(bench.blocklist.blockedParts(10).size() == 1);
     }
 }
--- a/Tests/LibGateway/TestReplicaRing.cpp
+++ b/Tests/LibGateway/TestReplicaRing.cpp
@@ -44,11 +44,11 @@
     return stableHash("node " + std::to_string(node));
 }
 
-std::set<EndpointName> namesOf(const ReplicaRing::Selection &choice)
+std::set<EndpointName> namesOf(const ReplicaRing::Selection &selection)
 {
     std::set<EndpointName> names;
-    for (const ServingReplica &chosen : choice.replicas) {
-        names.insert(chosen.instance);
+    for (const ServingReplica &selected : selection.replicas) {
+        names.insert(selected.instance);
     }
     return names;
 }
@@ -59,11 +59,11 @@
 {
     for (const std::size_t count : {300U, 3000U, 10000U, 20000U}) {
         const ReplicaRing ring = ringOf(count);
-        const ReplicaRing::Selection choice = ring.select(hashOfNode(1), FailureDomain("z1"), setSize);
-        CHECK(choice.replicas.size() == setSize);
-        CHECK(namesOf(choice).size() == setSize);
-        const auto near = std::ranges::count(choice.replicas, FailureDomain("z1"), &ServingReplica::failureDomain);
-        CHECK(near == setSize * 3 / 4);
+        const ReplicaRing::Selection selection = ring.select(hashOfNode(1), FailureDomain("z1"), setSize);
+        CHECK(selection.replicas.size() == setSize);
+        CHECK(namesOf(selection).size() == setSize);
+        const auto localCount = std::ranges::count(selection.replicas, FailureDomain("z1"), &ServingReplica::failureDomain);
+        CHECK(localCount == setSize * 3 / 4);
     }
 }
 
@@ -72,11 +72,11 @@
     ManualClock clock;
     ReplicaRing ring = ringOf(12);
     ring.put(replica(100, "other"));
-    const ReplicaRing::Selection choice = ring.select(7, FailureDomain("z1"), setSize);
-    CHECK(choice.replicas.size() == 13);
+    const ReplicaRing::Selection selection = ring.select(7, FailureDomain("z1"), setSize);
+    CHECK(selection.replicas.size() == 13);
     ReplicaList list(clock, std::chrono::milliseconds(0), [](const ServingReplica &) {});
-    list.replaceExactly(choice.replicas);
-    CHECK(list.fingerprint() == choice.fingerprint);
+    list.replaceExactly(selection.replicas);
+    CHECK(list.fingerprint() == selection.fingerprint);
     CHECK(ring.select(7, FailureDomain("elsewhere"), setSize).replicas.size() == 13);
 }
 
@@ -111,9 +111,9 @@
     draining.isDraining = true;
     ring.put(draining);
     const std::set<EndpointName> after = namesOf(ring.select(hashOfNode(1), domain, setSize));
-    std::vector<EndpointName> gone;
-    std::ranges::set_difference(before, after, std::back_inserter(gone));
-    CHECK(gone == std::vector{draining.instance});
+    std::vector<EndpointName> removed;
+    std::ranges::set_difference(before, after, std::back_inserter(removed));
+    CHECK(removed == std::vector{draining.instance});
     CHECK(after.size() == setSize);
     if (!otherBefore.contains(draining.instance)) {
         CHECK(namesOf(ring.select(hashOfNode(500), domain, setSize)) == otherBefore);
