--- a/Libraries/LibGateway/CrashHistory.cpp
+++ b/Libraries/LibGateway/CrashHistory.cpp
@@ -68,7 +68,8 @@
 {
     const SteadyTime now = this->clock.now();
     std::vector<ClassifiedDisconnect> classified;
-    while (this->classifiedCount < this->disconnects.size() && now - this->disconnects[this->classifiedCount].time >= classificationDelay) {
+    while (this->classifiedCount < this->disconnects.size()
+           && now - this->disconnects[this->classifiedCount].time >= classificationDelay) {
         const Disconnect &next = this->disconnects[this->classifiedCount++];
         const bool isCopy = std::ranges::any_of(classified, [&next](const ClassifiedDisconnect &other) {
             return other.run.fingerprint == next.run.fingerprint && other.run.replica == next.run.replica;
--- a/Libraries/LibGateway/EventSplitter.cpp
+++ b/Libraries/LibGateway/EventSplitter.cpp
@@ -46,7 +46,8 @@
 /** @return the offset after the first empty line, or npos. */
 std::size_t eventEnd(std::string_view text, std::size_t from)
 {
-    for (std::size_t lineFeed = text.find('\n', from); lineFeed != std::string_view::npos; lineFeed = text.find('\n', lineFeed + 1)) {
+    for (std::size_t lineFeed = text.find('\n', from); lineFeed != std::string_view::npos;
+         lineFeed = text.find('\n', lineFeed + 1)) {
         const std::string_view following = text.substr(lineFeed + 1);
         if (following.starts_with("\n")) {
             return lineFeed + 2;
--- a/Libraries/LibGateway/OpenConfirmation.h
+++ b/Libraries/LibGateway/OpenConfirmation.h
@@ -54,7 +54,8 @@
     /** Records that the store confirmed the job as open. @param queriedAt queryTime() before the query was sent */
     void recordOpen(SteadyTime queriedAt);
 
-    /** Calls back immediately if the last confirmation is recent enough, otherwise once the store has replied or did not answer. */
+    /** Calls back immediately if the last confirmation is recent enough, otherwise once the store has replied or did not answer.
+     */
     void request(Callback callback);
 
     /** Discards the confirmation and queries the store, as there are signs that the job is closed. */
--- a/Libraries/LibGateway/PromptPartBlocklist.cpp
+++ b/Libraries/LibGateway/PromptPartBlocklist.cpp
@@ -86,8 +86,7 @@
 void PromptPartBlocklist::removeExpired()
 {
     const SteadyTime now = this->clock.now();
-    while (!this->crashes.empty()
-           && (now - this->crashes.front().time > crashRetention || this->crashes.size() >= maxCrashes)) {
+    while (!this->crashes.empty() && (now - this->crashes.front().time > crashRetention || this->crashes.size() >= maxCrashes)) {
         this->crashes.pop_front();
     }
     std::erase_if(this->blocks, [now](const auto &entry) {
--- a/Libraries/LibGateway/ReplicaList.cpp
+++ b/Libraries/LibGateway/ReplicaList.cpp
@@ -81,7 +81,8 @@
         this->erase(former.instance);
         this->restarted(former);
     }
-    // An address belongs to one replica at a time, so the replica that had it before no longer exists, even if it is still listed.
+    // An address belongs to one replica at a time, so the replica that had it before no longer exists, even if it is still
+    // listed.
     const ServingReplica *const sameAddress = this->findAt(replica.address);
     if (sameAddress != nullptr && sameAddress->instance != replica.instance) {
         this->erase(EndpointName(sameAddress->instance));
--- a/Libraries/LibGateway/ReplicaList.h
+++ b/Libraries/LibGateway/ReplicaList.h
@@ -41,7 +41,8 @@
     /** Replaces the list by a complete one, read after a start or a gap in the followed changes. Missing entries may be kept. */
     void replaceAll(const std::vector<ServingReplica> &replicas);
 
-    /** Replaces the list by that of another node, which has already applied the rules for lapsed entries. No other entry is kept. */
+    /** Replaces the list by that of another node, which has already applied the rules for lapsed entries. No other entry is kept.
+     */
     void replaceExactly(const std::vector<ServingReplica> &replicas);
 
     /** Adds or updates an entry. */
--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -546,7 +546,8 @@
     }
     this->metrics.setGauge("replicas_restarted", static_cast<double>(this->replicasRestarted));
     this->metrics.setGauge("requests_with_crashes", static_cast<double>(this->crashes.requestCrashes(mostCrashesCounted).size()));
-    this->metrics.setGauge("prompt_parts_blocked", static_cast<double>(this->promptParts.blockedParts(mostCrashesCounted).size()));
+    this->metrics.setGauge("prompt_parts_blocked",
+                           static_cast<double>(this->promptParts.blockedParts(mostCrashesCounted).size()));
     this->metrics.setGauge("stream_origins", static_cast<double>(this->origins.count()));
     this->metrics.setGauge("replicas_known", static_cast<double>(this->listed.count()));
     this->metrics.setGauge("is_relay", this->isRelay ? 1 : 0);
--- a/Tests/LibGateway/TestCrashHistory.cpp
+++ b/Tests/LibGateway/TestCrashHistory.cpp
@@ -96,8 +96,8 @@
     CHECK(crashes.isRefused(7));
 }
 
-// Three replicas crash under the same item, perhaps by chance. The item must be run eventually, but if it is the cause, it must not
-// crash a replica every second. So it is retried after growing delays.
+// Three replicas crash under the same item, perhaps by chance. The item must be run eventually, but if it is the cause, it must
+// not crash a replica every second. So it is retried after growing delays.
 TEST_CASE("an item that met three crashes is held for delays that double")
 {
     ManualClock clock;
--- a/Tests/LibGateway/TestJobLedger.cpp
+++ b/Tests/LibGateway/TestJobLedger.cpp
@@ -24,8 +24,8 @@
 } // namespace
 
 // A write gets no answer. While the next one is in flight, the head is read and shows that the first took effect. When the next
-// write is confirmed, some of its results are no longer pending. Removing as many pending results as it wrote would remove results
-// that were never written, or more than there are.
+// write is confirmed, some of its results are no longer pending. Removing as many pending results as it wrote would remove
+// results that were never written, or more than there are.
 TEST_CASE("a write that is confirmed after the head was read again removes only listed results")
 {
     JobLedger ledger;
--- a/Tests/LibGateway/TestReplicaRing.cpp
+++ b/Tests/LibGateway/TestReplicaRing.cpp
@@ -80,8 +80,8 @@
     CHECK(ring.select(7, FailureDomain("elsewhere"), setSize).replicas.size() == 13);
 }
 
-// While no dispatcher answers, each node places its requests within its set. Replicas that are in many more sets than others would
-// be overloaded.
+// While no dispatcher answers, each node places its requests within its set. Replicas that are in many more sets than others
+// would be overloaded.
 TEST_CASE("the sets of many nodes use all replicas evenly")
 {
     constexpr std::size_t replicaCount = 3000;
