--- a/Libraries/LibGateway/CrashHistory.cpp
+++ b/Libraries/LibGateway/CrashHistory.cpp
@@ -15,7 +15,7 @@
 constexpr int crashLimit = 3;
 /** A request that was served within this time is not considered the cause of crashes. */
 constexpr std::chrono::seconds recentlyServedWindow{30};
-/** Limits memory; far more than one node serves within `recentlyServedWindow`. */
+/** Limits memory; far more than one node serves within that time. */
 constexpr std::size_t maxServedRequests = 20000;
 /** How long crashes are kept: longer than a caller keeps retrying a request, short enough for a replica to be fixed. */
 constexpr std::chrono::minutes retention{2};
@@ -34,7 +34,7 @@
 /** Further replicas would not change the hold time. */
 constexpr std::size_t maxReplicas = crashLimit + maxDoublings;
 
-/** Adds replicas to those that crashed under a request, without duplicates. */
+/** Adds replicas to those that crashed under a request. */
 void addReplicas(std::vector<std::uint64_t> &replicas, const std::vector<std::uint64_t> &more)
 {
     for (const std::uint64_t replica : more) {
@@ -59,8 +59,8 @@
 {
     const auto firstUnclassified = this->disconnects.begin() + static_cast<std::ptrdiff_t>(this->classifiedCount);
     return this->crashCount(fingerprint) == crashLimit - 1
-        && std::any_of(firstUnclassified, this->disconnects.end(), [fingerprint](const Disconnect &pending) {
-               return pending.run.fingerprint == fingerprint;
+        && std::any_of(firstUnclassified, this->disconnects.end(), [fingerprint](const Disconnect &open) {
+               return open.run.fingerprint == fingerprint;
            });
 }
 
@@ -100,8 +100,8 @@
     if (other == this->disconnects.end()) {
         return {next.run, true};
     }
-    const auto timeDifference = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::abs(other->time - next.time));
-    return {next.run, false, other->run.replica, timeDifference};
+    const auto apart = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::abs(other->time - next.time));
+    return {next.run, false, other->run.replica, apart};
 }
 
 CrashHistory::Entry &CrashHistory::entryOf(std::uint64_t fingerprint, SteadyTime time)
@@ -110,10 +110,10 @@
         this->removeExpired();
     }
     Entry &entry = this->entries[fingerprint];
-    if (this->clock.now() - entry.lastCrash > retention) {
+    if (this->clock.now() - entry.last > retention) {
         entry.replicas.clear();
     }
-    entry.lastCrash = std::max(entry.lastCrash, time);
+    entry.last = std::max(entry.last, time);
     return entry;
 }
 
@@ -127,7 +127,7 @@
     const SteadyTime now = this->clock.now();
     std::vector<RequestCrashes> found;
     for (const auto &[fingerprint, entry] : this->entries) {
-        const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.lastCrash);
+        const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.last);
         if (age <= retention) {
             found.push_back({fingerprint, entry.replicas, age});
         }
@@ -156,7 +156,7 @@
 int CrashHistory::crashCount(std::uint64_t fingerprint) const
 {
     const auto found = this->entries.find(fingerprint);
-    const bool isKnown = found != this->entries.end() && this->clock.now() - found->second.lastCrash <= retention;
+    const bool isKnown = found != this->entries.end() && this->clock.now() - found->second.last <= retention;
     return isKnown ? static_cast<int>(found->second.replicas.size()) : 0;
 }
 
@@ -184,14 +184,14 @@
         return false;
     }
     const int doublings = std::min(crashes - crashLimit, maxDoublings);
-    return this->clock.now() - this->entries.at(fingerprint).lastCrash <= initialHold * (1 << doublings);
+    return this->clock.now() - this->entries.at(fingerprint).last <= initialHold * (1 << doublings);
 }
 
 void CrashHistory::removeExpired()
 {
     const SteadyTime now = this->clock.now();
     std::erase_if(this->entries, [now](const auto &entry) {
-        return now - entry.second.lastCrash > retention;
+        return now - entry.second.last > retention;
     });
     if (this->entries.size() >= maxEntries) {
         this->entries.clear();
--- a/Libraries/LibGateway/CrashHistory.h
+++ b/Libraries/LibGateway/CrashHistory.h
@@ -20,31 +20,28 @@
 /** A run of a request on a replica that ended because the connection was lost. */
 struct InterruptedRun
 {
-    /** Hash of the contents of the request; copies of a request have the same. */
+    /** Hash of what the request asks for. */
     std::uint64_t fingerprint = 0;
     EndpointName replica;
     Address address{};
     ServiceName service{};
-    /** Names of the parts of its prompt that other requests may share. */
+    /** Names of the parts of its prompt that other requests may have too. */
     std::vector<std::string> promptParts{};
-    /** Number of events that the replica had sent in this run. */
+    /** Events that the replica had written in this run. */
     std::uint32_t events = 0;
 
     bool operator==(const InterruptedRun &) const = default;
 };
 
-/** An interrupted run and the cause that was determined for it. */
+/** An interrupted run and its cause. */
 struct ClassifiedDisconnect
 {
     InterruptedRun run;
-    /**
-     * Whether the replica crashed. If not, connections to several replicas were lost at the same time, and the cause is unknown
-     * until the replicas are probed.
-     */
+    /** Whether the replica crashed. If not, connections to several replicas were lost at once, and only these show the cause. */
     bool isCrash = false;
     /** If the cause is unknown: another replica to which a connection was lost at the same time. */
     EndpointName otherReplica{};
-    /** Absolute time difference between the losses of the two connections. */
+    /** Time between the losses of the two connections. */
     std::chrono::milliseconds timeDifference{0};
 };
 
@@ -64,22 +61,16 @@
 
     explicit CrashHistory(const Clock &clock);
 
-    /** Records that a connection was lost while a request ran on it. The disconnect is classified after `classificationDelay`. */
+    /** Records that a connection was lost while a request ran on it. It is classified after `classificationDelay`. */
     void recordDisconnect(const InterruptedRun &run);
 
     /** @return whether an unclassified disconnect of the request, if it is a crash, brings the request to the crash limit. */
     bool mayReachCrashLimit(std::uint64_t fingerprint) const;
 
-    /**
-     * Classifies the disconnects that are older than `classificationDelay`, and records the crashes among them.
-     * @return the classified disconnects; copies of a request on one replica give one entry
-     */
+    /** Classifies the disconnects that are old enough, and records the crashes, once for copies of a request. */
     std::vector<ClassifiedDisconnect> classifyDisconnects();
 
-    /**
-     * Records that a replica crashed while it ran the request. Each replica counts once per request, regardless of how many
-     * copies it ran and how many nodes report the crash.
-     */
+    /** Records that a replica crashed while it ran the request. Counts once for all copies and all nodes that report it. */
     void recordCrash(std::uint64_t fingerprint, const EndpointName &replica);
 
     /**
@@ -92,7 +83,7 @@
     struct RequestCrashes
     {
         std::uint64_t fingerprint = 0;
-        /** Hashes of the names of the replicas that crashed. */
+        /** Hashes of the replicas that crashed. */
         std::vector<std::uint64_t> replicas{};
         /** Time since the last crash. */
         std::chrono::milliseconds age{0};
@@ -107,10 +98,10 @@
     /** Merges the crashes that another node attributes to a request. */
     void merge(const RequestCrashes &reported);
 
-    /** @return the number of recorded crashes of a request that have not expired. */
+    /** @return how many crashes a request has met that are remembered. */
     int crashCount(std::uint64_t fingerprint) const;
 
-    /** @return whether an online request must be refused. */
+    /** @return whether an online request has to be refused. */
     bool isRefused(std::uint64_t fingerprint) const;
 
     /** @return whether a batch item must wait. It is retried after a delay, as only a run shows whether it is the cause. */
@@ -119,9 +110,10 @@
 private:
     struct Entry
     {
-        /** Hashes of the names of the replicas that crashed. */
+        /** Hashes of the replicas that crashed. */
         std::vector<std::uint64_t> replicas;
-        SteadyTime lastCrash{};
+        /** Time of the last crash. */
+        SteadyTime last{};
     };
 
     struct Disconnect
