--- a/Libraries/LibGateway/CrashHistory.cpp
+++ b/Libraries/LibGateway/CrashHistory.cpp
@@ -11,30 +11,34 @@
 namespace
 {
 
-constexpr int mostCrashes = 3;
-/** For so long after it was served a request is not taken for the cause of crashes. */
-constexpr std::chrono::seconds servedRecently{30};
-/** A bound on memory: far more than one node serves within that time. */
-constexpr std::size_t mostServed = 20000;
-/** Longer than a caller goes on sending the same request, short enough for a replica's fault to be mended. */
-constexpr std::chrono::minutes remembered{2};
-/** A bound on memory: far more than there can be at the rate at which replicas come back. */
-constexpr std::size_t mostEntries = 20000;
-/** Connections that the network resets together break within 10 ms of each other, as measured on a node of half a core with
- * thirty of them. Replicas that crash one after the other under a request are at least a round trip and a start apart. */
-constexpr std::chrono::milliseconds sameMoment{50};
-static_assert(sameMoment < CrashMemory::judgeAfter);
-/** An item's pause after its third crash. It doubles with each further one, as it is then ever likelier to be the cause. */
-constexpr std::chrono::seconds firstHold{5};
-constexpr int mostDoublings = 6;
-/** Further ones change nothing. */
-constexpr std::size_t mostReplicas = mostCrashes + mostDoublings;
-
-/** Add replicas to those that crashed under a request. */
-void join(std::vector<std::uint64_t> &replicas, const std::vector<std::uint64_t> &more)
+/** A request with this many crashes is refused or held. */
+constexpr int crashLimit = 3;
+/** A request that was served within this time is not considered the cause of crashes. */
+constexpr std::chrono::seconds recentlyServedWindow{30};
+/** Limits memory; far more than one node serves within that time. */
+constexpr std::size_t maxServedRequests = 20000;
+/** How long crashes are kept: longer than a caller keeps retrying a request, short enough for a replica to be fixed. */
+constexpr std::chrono::minutes retention{2};
+/** Limits memory; far more than can occur at the rate at which crashed replicas restart. */
+constexpr std::size_t maxEntries = 20000;
+/**
+ * Disconnects within this time count as simultaneous. Connections that the network resets together are lost within 10 ms of each
+ * other on a node with half a core and thirty connections. Crashes of successive replicas under one request are at least a round
+ * trip and the start of a run apart.
+ */
+constexpr std::chrono::milliseconds simultaneityWindow{50};
+static_assert(simultaneityWindow < CrashHistory::classificationDelay);
+/** How long an item is held after its third crash. Doubles with each further crash, which makes it more likely the cause. */
+constexpr std::chrono::seconds initialHold{5};
+constexpr int maxDoublings = 6;
+/** Further replicas would not change the hold time. */
+constexpr std::size_t maxReplicas = crashLimit + maxDoublings;
+
+/** Adds replicas to those that crashed under a request. */
+void addReplicas(std::vector<std::uint64_t> &replicas, const std::vector<std::uint64_t> &more)
 {
     for (const std::uint64_t replica : more) {
-        if (replicas.size() < mostReplicas && std::ranges::find(replicas, replica) == replicas.end()) {
+        if (replicas.size() < maxReplicas && std::ranges::find(replicas, replica) == replicas.end()) {
             replicas.push_back(replica);
         }
     }
@@ -42,153 +46,154 @@
 
 } // namespace
 
-CrashMemory::CrashMemory(const Clock &clock) : clock(clock), served(clock, servedRecently, mostServed)
+CrashHistory::CrashHistory(const Clock &clock) : clock(clock), served(clock, recentlyServedWindow, maxServedRequests)
 {
 }
 
-void CrashMemory::noteBreak(const BrokenRun &run)
+void CrashHistory::recordDisconnect(const InterruptedRun &run)
 {
-    this->breaks.push_back({run, this->clock.now()});
+    this->disconnects.push_back({run, this->clock.now()});
 }
 
-bool CrashMemory::isLastCrashInDoubt(std::uint64_t fingerprint) const
+bool CrashHistory::mayReachCrashLimit(std::uint64_t fingerprint) const
 {
-    const auto firstOpen = this->breaks.begin() + static_cast<std::ptrdiff_t>(this->judgedBreaks);
-    return this->crashesOf(fingerprint) == mostCrashes - 1
-        && std::any_of(firstOpen, this->breaks.end(), [fingerprint](const Break &open) {
+    const auto firstUnclassified = this->disconnects.begin() + static_cast<std::ptrdiff_t>(this->classifiedCount);
+    return this->crashCount(fingerprint) == crashLimit - 1
+        && std::any_of(firstUnclassified, this->disconnects.end(), [fingerprint](const Disconnect &open) {
                return open.run.fingerprint == fingerprint;
            });
 }
 
-std::vector<JudgedBreak> CrashMemory::judgeBreaks()
+std::vector<ClassifiedDisconnect> CrashHistory::classifyDisconnects()
 {
     const SteadyTime now = this->clock.now();
-    std::vector<JudgedBreak> judged;
-    while (this->judgedBreaks < this->breaks.size() && now - this->breaks[this->judgedBreaks].time >= judgeAfter) {
-        const Break &next = this->breaks[this->judgedBreaks++];
-        const bool isCopy = std::ranges::any_of(judged, [&next](const JudgedBreak &other) {
+    std::vector<ClassifiedDisconnect> classified;
+    while (this->classifiedCount < this->disconnects.size()
+           && now - this->disconnects[this->classifiedCount].time >= classificationDelay) {
+        const Disconnect &next = this->disconnects[this->classifiedCount++];
+        const bool isCopy = std::ranges::any_of(classified, [&next](const ClassifiedDisconnect &other) {
             return other.run.fingerprint == next.run.fingerprint && other.run.replica == next.run.replica;
         });
         if (!isCopy) {
-            judged.push_back(this->judge(next));
+            classified.push_back(this->classify(next));
         }
     }
-    while (this->judgedBreaks > 0 && now - this->breaks.front().time > judgeAfter + sameMoment) {
-        this->breaks.pop_front();
-        --this->judgedBreaks;
+    while (this->classifiedCount > 0 && now - this->disconnects.front().time > classificationDelay + simultaneityWindow) {
+        this->disconnects.pop_front();
+        --this->classifiedCount;
     }
-    for (const JudgedBreak &entry : judged) {
+    for (const ClassifiedDisconnect &entry : classified) {
         if (entry.isCrash) {
-            this->noteCrash(entry.run.fingerprint, entry.run.replica);
+            this->recordCrash(entry.run.fingerprint, entry.run.replica);
         }
     }
-    return judged;
+    return classified;
 }
 
-JudgedBreak CrashMemory::judge(const Break &next) const
+ClassifiedDisconnect CrashHistory::classify(const Disconnect &next) const
 {
-    // Tries of one request follow each other: what breaks them in turn is not one reset of many connections.
-    const auto other = std::ranges::find_if(this->breaks, [&next](const Break &candidate) {
+    // Attempts of one request run one after another, so their disconnects are not one reset of many connections.
+    const auto other = std::ranges::find_if(this->disconnects, [&next](const Disconnect &candidate) {
         return candidate.run.replica != next.run.replica && candidate.run.fingerprint != next.run.fingerprint
-            && std::chrono::abs(candidate.time - next.time) <= sameMoment;
+            && std::chrono::abs(candidate.time - next.time) <= simultaneityWindow;
     });
-    if (other == this->breaks.end()) {
+    if (other == this->disconnects.end()) {
         return {next.run, true};
     }
     const auto apart = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::abs(other->time - next.time));
     return {next.run, false, other->run.replica, apart};
 }
 
-CrashMemory::Entry &CrashMemory::entryOf(std::uint64_t fingerprint, SteadyTime time)
+CrashHistory::Entry &CrashHistory::entryOf(std::uint64_t fingerprint, SteadyTime time)
 {
-    if (this->entries.size() >= mostEntries) {
-        this->forgetOld();
+    if (this->entries.size() >= maxEntries) {
+        this->removeExpired();
     }
     Entry &entry = this->entries[fingerprint];
-    if (this->clock.now() - entry.last > remembered) {
+    if (this->clock.now() - entry.last > retention) {
         entry.replicas.clear();
     }
     entry.last = std::max(entry.last, time);
     return entry;
 }
 
-void CrashMemory::noteCrash(std::uint64_t fingerprint, const EndpointName &replica)
+void CrashHistory::recordCrash(std::uint64_t fingerprint, const EndpointName &replica)
 {
-    join(this->entryOf(fingerprint, this->clock.now()).replicas, {stableHash(replica.value())});
+    addReplicas(this->entryOf(fingerprint, this->clock.now()).replicas, {stableHash(replica.value())});
 }
 
-std::vector<CrashMemory::Known> CrashMemory::known(std::size_t most) const
+std::vector<CrashHistory::RequestCrashes> CrashHistory::requestCrashes(std::size_t maxCount) const
 {
     const SteadyTime now = this->clock.now();
-    std::vector<Known> found;
+    std::vector<RequestCrashes> found;
     for (const auto &[fingerprint, entry] : this->entries) {
         const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - entry.last);
-        if (age <= remembered) {
+        if (age <= retention) {
             found.push_back({fingerprint, entry.replicas, age});
         }
     }
-    std::ranges::sort(found, [](const Known &one, const Known &other) {
+    std::ranges::sort(found, [](const RequestCrashes &one, const RequestCrashes &other) {
         return std::tuple(other.replicas.size(), one.age) < std::tuple(one.replicas.size(), other.age);
     });
-    found.resize(std::min(found.size(), most));
+    found.resize(std::min(found.size(), maxCount));
     return found;
 }
 
-void CrashMemory::merge(const Known &reported)
+void CrashHistory::merge(const RequestCrashes &reported)
 {
-    if (reported.age > remembered) {
+    if (reported.age > retention) {
         return;
     }
     const SteadyTime lastCrash = this->clock.now() - reported.age;
     const std::optional<SteadyTime> lastServed = this->served.last(reported.fingerprint);
-    // The other node may not have been told yet that it was served since.
+    // The other node may not have received yet that the request was served since.
     if (lastServed && *lastServed >= lastCrash) {
         return;
     }
-    join(this->entryOf(reported.fingerprint, lastCrash).replicas, reported.replicas);
+    addReplicas(this->entryOf(reported.fingerprint, lastCrash).replicas, reported.replicas);
 }
 
-int CrashMemory::crashesOf(std::uint64_t fingerprint) const
+int CrashHistory::crashCount(std::uint64_t fingerprint) const
 {
     const auto found = this->entries.find(fingerprint);
-    const bool isKnown = found != this->entries.end() && this->clock.now() - found->second.last <= remembered;
+    const bool isKnown = found != this->entries.end() && this->clock.now() - found->second.last <= retention;
     return isKnown ? static_cast<int>(found->second.replicas.size()) : 0;
 }
 
-bool CrashMemory::noteServed(std::uint64_t fingerprint)
+bool CrashHistory::recordServed(std::uint64_t fingerprint)
 {
-    this->served.note(fingerprint);
+    this->served.record(fingerprint);
     return this->entries.erase(fingerprint) > 0;
 }
 
-bool CrashMemory::isServed(std::uint64_t fingerprint) const
+bool CrashHistory::isRecentlyServed(std::uint64_t fingerprint) const
 {
     const std::optional<SteadyTime> last = this->served.last(fingerprint);
-    return last && this->clock.now() - *last <= servedRecently;
+    return last && this->clock.now() - *last <= recentlyServedWindow;
 }
 
-bool CrashMemory::isRefused(std::uint64_t fingerprint) const
+bool CrashHistory::isRefused(std::uint64_t fingerprint) const
 {
-    return this->crashesOf(fingerprint) >= mostCrashes && !this->isServed(fingerprint);
+    return this->crashCount(fingerprint) >= crashLimit && !this->isRecentlyServed(fingerprint);
 }
 
-bool CrashMemory::isHeld(std::uint64_t fingerprint) const
+bool CrashHistory::isHeld(std::uint64_t fingerprint) const
 {
-    const int crashes = this->crashesOf(fingerprint);
-    if (crashes < mostCrashes || this->isServed(fingerprint)) {
+    const int crashes = this->crashCount(fingerprint);
+    if (crashes < crashLimit || this->isRecentlyServed(fingerprint)) {
         return false;
     }
-    const int doublings = std::min(crashes - mostCrashes, mostDoublings);
-    return this->clock.now() - this->entries.at(fingerprint).last <= firstHold * (1 << doublings);
+    const int doublings = std::min(crashes - crashLimit, maxDoublings);
+    return this->clock.now() - this->entries.at(fingerprint).last <= initialHold * (1 << doublings);
 }
 
-void CrashMemory::forgetOld()
+void CrashHistory::removeExpired()
 {
     const SteadyTime now = this->clock.now();
     std::erase_if(this->entries, [now](const auto &entry) {
-        return now - entry.second.last > remembered;
+        return now - entry.second.last > retention;
     });
-    if (this->entries.size() >= mostEntries) {
+    if (this->entries.size() >= maxEntries) {
         this->entries.clear();
     }
 }
--- a/Libraries/LibGateway/CrashHistory.h
+++ b/Libraries/LibGateway/CrashHistory.h
@@ -17,8 +17,8 @@
 namespace Dogwoodkeel
 {
 
-/** A run of a request that ended with its connection. */
-struct BrokenRun
+/** A run of a request on a replica that ended because the connection was lost. */
+struct InterruptedRun
 {
     /** Hash of what the request asks for. */
     std::uint64_t fingerprint = 0;
@@ -30,79 +30,81 @@
     /** Events that the replica had written in this run. */
     std::uint32_t events = 0;
 
-    bool operator==(const BrokenRun &) const = default;
+    bool operator==(const InterruptedRun &) const = default;
 };
 
-/** What a broken run is taken for. */
-struct JudgedBreak
+/** An interrupted run and its cause. */
+struct ClassifiedDisconnect
 {
-    BrokenRun run;
-    /** Whether its replica crashed; else connections to several replicas broke at once, and only these can tell why. */
+    InterruptedRun run;
+    /** Whether the replica crashed. If not, connections to several replicas were lost at once, and only these show the cause. */
     bool isCrash = false;
-    /** If that is open: another replica at which a connection broke at the same moment. */
+    /** If the cause is unknown: another replica to which a connection was lost at the same time. */
     EndpointName otherReplica{};
-    /** How long before or after this one the other connection broke. */
-    std::chrono::milliseconds apart{0};
+    /** Time between the losses of the two connections. */
+    std::chrono::milliseconds timeDifference{0};
 };
 
 /**
- * Remembers which requests were running when their replica broke off. A request that crashes each replica that runs it
- * comes again with new ids; unless it is recognised, it takes one replica after the other away from everybody else.
- * Ordinary requests meet a crash by chance once, seldom twice; after the third, one is refused for a while. One that many callers
- * send may meet several at once, and is told from it by having been served.
+ * Counts replica crashes per request content, to detect and refuse requests that crash the replicas that run them.
+ *
+ * Requests are identified by a fingerprint of their contents, because a caller retries with new ids, and an undetected request
+ * would crash one replica after another. An ordinary request meets one crash by chance, rarely two; after the third crash a
+ * request is refused for a while. A request that many callers send may meet several crashes at once without being the cause;
+ * it is not refused if it was served recently.
  */
-class CrashMemory
+class CrashHistory
 {
 public:
-    /** A break is judged this long after it: until then it may turn out to be one of many. */
-    static constexpr std::chrono::milliseconds judgeAfter{60};
+    /** Delay between a disconnect and its classification: other connections may be lost at the same time. */
+    static constexpr std::chrono::milliseconds classificationDelay{60};
 
-    explicit CrashMemory(const Clock &clock);
+    explicit CrashHistory(const Clock &clock);
 
-    /** A connection broke while a request ran on it. Whether its replica crashed is judged a little later. */
-    void noteBreak(const BrokenRun &run);
+    /** Records that a connection was lost while a request ran on it. It is classified after `classificationDelay`. */
+    void recordDisconnect(const InterruptedRun &run);
 
-    /** @return whether a break of the request that is not judged yet would be the crash after which it is refused. */
-    bool isLastCrashInDoubt(std::uint64_t fingerprint) const;
+    /** @return whether an unclassified disconnect of the request, if it is a crash, brings the request to the crash limit. */
+    bool mayReachCrashLimit(std::uint64_t fingerprint) const;
 
-    /** Judge the breaks that are old enough. Crashes are noted here, once for copies of a request. */
-    std::vector<JudgedBreak> judgeBreaks();
+    /** Classifies the disconnects that are old enough, and records the crashes, once for copies of a request. */
+    std::vector<ClassifiedDisconnect> classifyDisconnects();
 
-    /** A replica crashed while it ran the request. Its crash counts once, however many copies it ran and nodes report it. */
-    void noteCrash(std::uint64_t fingerprint, const EndpointName &replica);
+    /** Records that a replica crashed while it ran the request. Counts once for all copies and all nodes that report it. */
+    void recordCrash(std::uint64_t fingerprint, const EndpointName &replica);
 
     /**
-     * A replica has answered the request whole: it crashes nothing.
-     * @return whether crashes were held against it, as they may be at other nodes
+     * Records that a replica answered the request completely, and removes the crashes that were attributed to it.
+     * @return whether crashes were attributed to it; other nodes may have them too
      */
-    bool noteServed(std::uint64_t fingerprint);
+    bool recordServed(std::uint64_t fingerprint);
 
-    /** What a node knows of a request that met crashes. */
-    struct Known
+    /** The crashes that a node attributes to a request. */
+    struct RequestCrashes
     {
         std::uint64_t fingerprint = 0;
         /** Hashes of the replicas that crashed. */
         std::vector<std::uint64_t> replicas{};
-        /** How long ago the last one did. */
+        /** Time since the last crash. */
         std::chrono::milliseconds age{0};
     };
 
     /**
-     * @return what is remembered: requests with more crashes first, the most recent first of those with as many
-     * @param most how many requests at most
+     * @return the requests with crashes, ordered by descending number of crashes, then by ascending age
+     * @param maxCount maximum number of requests
      */
-    std::vector<Known> known(std::size_t most) const;
+    std::vector<RequestCrashes> requestCrashes(std::size_t maxCount) const;
 
-    /** Another node remembers crashes. */
-    void merge(const Known &reported);
+    /** Merges the crashes that another node attributes to a request. */
+    void merge(const RequestCrashes &reported);
 
     /** @return how many crashes a request has met that are remembered. */
-    int crashesOf(std::uint64_t fingerprint) const;
+    int crashCount(std::uint64_t fingerprint) const;
 
     /** @return whether an online request has to be refused. */
     bool isRefused(std::uint64_t fingerprint) const;
 
-    /** @return whether a batch item has to wait. It is tried again after a pause, as somebody has to find out some day. */
+    /** @return whether a batch item must wait. It is retried after a delay, as only a run shows whether it is the cause. */
     bool isHeld(std::uint64_t fingerprint) const;
 
 private:
@@ -110,28 +112,29 @@
     {
         /** Hashes of the replicas that crashed. */
         std::vector<std::uint64_t> replicas;
+        /** Time of the last crash. */
         SteadyTime last{};
     };
 
-    struct Break
+    struct Disconnect
     {
-        BrokenRun run;
+        InterruptedRun run;
         SteadyTime time{};
     };
 
-    JudgedBreak judge(const Break &next) const;
+    ClassifiedDisconnect classify(const Disconnect &next) const;
     Entry &entryOf(std::uint64_t fingerprint, SteadyTime time);
-    void forgetOld();
+    void removeExpired();
 
-    bool isServed(std::uint64_t fingerprint) const;
+    bool isRecentlyServed(std::uint64_t fingerprint) const;
 
     const Clock &clock;
     std::map<std::uint64_t, Entry> entries;
     ServedTimes served;
-    /** In order of time: those to be judged, and before them those that they are compared with. */
-    std::deque<Break> breaks;
-    /** So many at the front of `breaks` are judged. */
-    std::size_t judgedBreaks = 0;
+    /** Ordered by time. Classified ones are kept at the front while later ones are compared with them. */
+    std::deque<Disconnect> disconnects;
+    /** Number of classified entries at the front of `disconnects`. */
+    std::size_t classifiedCount = 0;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibGateway/JobCheckSchedule.cpp
+++ b/Libraries/LibGateway/JobCheckSchedule.cpp
@@ -3,51 +3,51 @@
 namespace Dogwoodkeel
 {
 
-JobLooks::JobLooks(const Clock &clock) : clock(clock)
+JobCheckSchedule::JobCheckSchedule(const Clock &clock) : clock(clock)
 {
 }
 
-void JobLooks::noteRow(const JobId &job)
+void JobCheckSchedule::postpone(const JobId &job)
 {
-    this->forget(job);
+    this->remove(job);
     this->schedule(job);
 }
 
-void JobLooks::forget(const JobId &job)
+void JobCheckSchedule::remove(const JobId &job)
 {
-    const auto found = this->times.find(job);
-    if (found != this->times.end()) {
+    const auto found = this->checkTimes.find(job);
+    if (found != this->checkTimes.end()) {
         this->queue.erase({found->second, job});
-        this->times.erase(found);
+        this->checkTimes.erase(found);
     }
 }
 
-void JobLooks::clear()
+void JobCheckSchedule::clear()
 {
-    this->times.clear();
+    this->checkTimes.clear();
     this->queue.clear();
 }
 
-std::vector<JobId> JobLooks::takeDue(std::size_t most)
+std::vector<JobId> JobCheckSchedule::popDue(std::size_t maxCount)
 {
     const SteadyTime now = this->clock.now();
     std::vector<JobId> due;
     for (const auto &[time, job] : this->queue) {
-        if (time > now || due.size() == most) {
+        if (time > now || due.size() == maxCount) {
             break;
         }
         due.push_back(job);
     }
     for (const JobId &job : due) {
-        this->noteRow(job);
+        this->postpone(job);
     }
     return due;
 }
 
-void JobLooks::schedule(const JobId &job)
+void JobCheckSchedule::schedule(const JobId &job)
 {
     const SteadyTime time = this->clock.now() + interval;
-    this->times.emplace(job, time);
+    this->checkTimes.emplace(job, time);
     this->queue.emplace(time, job);
 }
 
--- a/Libraries/LibGateway/JobRows.cpp
+++ b/Libraries/LibGateway/JobRows.cpp
@@ -17,10 +17,15 @@
 constexpr const char *progressPrefix = "progress/";
 constexpr const char *resultPrefix = "result/";
 constexpr std::string_view openPrefix = "job/";
-/** Sorts before the open jobs: whoever reads the table in parts has this row's version before it counts the jobs, and so
- * finds out if another job was accepted meanwhile. */
+/**
+ * Sorts before the rows of open jobs, so that a reader that pages through the table has the version of this row before it counts
+ * the jobs, and detects that another job was accepted meanwhile.
+ */
 constexpr const char *orderPrefix = "accepted/";
-/** Row values are counted as they are sent, in base64, which takes four bytes for three; some is left for the rest. */
+/**
+ * The store limits rows by the size in which they are sent, base64, which takes four bytes for three. 7/10 instead of 3/4 leaves
+ * capacity for the remainder of the row.
+ */
 constexpr std::size_t encodedNumerator = 7;
 constexpr std::size_t encodedDenominator = 10;
 
@@ -31,14 +36,14 @@
     return digits;
 }
 
-std::string pieceKey(const std::string &prefix, std::size_t piece)
+std::string chunkKey(const std::string &prefix, std::size_t chunk)
 {
     char digits[32];
-    std::snprintf(digits, sizeof(digits), "%04zu", piece);
+    std::snprintf(digits, sizeof(digits), "%04zu", chunk);
     return prefix + digits;
 }
 
-/** @return a name that is unique in its workspace as one that is unique in all; safe in row keys and object names. */
+/** @return a name that is unique across workspaces, and valid in row keys and object names. */
 std::string scoped(const WorkspaceName &workspace, std::string_view name)
 {
     if (workspace.value().empty()) {
@@ -66,9 +71,9 @@
     return {jobTable, job.value(), headKey};
 }
 
-RowPlace contentPiece(const JobId &job, std::uint32_t piece)
+RowPlace contentChunk(const JobId &job, std::uint32_t chunk)
 {
-    return {jobTable, job.value(), pieceKey(contentPrefix, piece)};
+    return {jobTable, job.value(), chunkKey(contentPrefix, chunk)};
 }
 
 RowRange headAndContent(const JobId &job)
@@ -114,23 +119,23 @@
 std::vector<std::string> split(const std::string &encoded, std::size_t rowBytes)
 {
     const std::size_t size = std::max<std::size_t>(1, rowBytes * encodedNumerator / encodedDenominator);
-    std::vector<std::string> pieces;
-    for (std::size_t place = 0; place < encoded.size(); place += size) {
-        pieces.push_back(encoded.substr(place, size));
+    std::vector<std::string> chunks;
+    for (std::size_t offset = 0; offset < encoded.size(); offset += size) {
+        chunks.push_back(encoded.substr(offset, size));
     }
-    return pieces;
+    return chunks;
 }
 
 std::vector<RowPut> putResult(const JobId &job, std::uint64_t position, const ItemResult &result, std::size_t rowBytes)
 {
     const ItemResultRecord record{result.id.value(), result.outcome == ItemOutcome::Completed, result.output};
-    const std::vector<std::string> pieces = split(encode(record), rowBytes);
+    const std::vector<std::string> chunks = split(encode(record), rowBytes);
     std::vector<RowPut> puts;
-    for (std::size_t piece = 0; piece < pieces.size(); ++piece) {
-        // The last piece has a key of its own, so that a reader knows when it has them all.
-        const bool isLast = piece + 1 == pieces.size();
-        const std::string key = resultKey(position) + (isLast ? "/z" : pieceKey("/p", piece));
-        puts.push_back({{jobTable, job.value(), key}, pieces[piece]});
+    for (std::size_t chunk = 0; chunk < chunks.size(); ++chunk) {
+        // The last chunk has a distinct key, so that a reader detects that the result is complete.
+        const bool isLast = chunk + 1 == chunks.size();
+        const std::string key = resultKey(position) + (isLast ? "/z" : chunkKey("/p", chunk));
+        puts.push_back({{jobTable, job.value(), key}, chunks[chunk]});
     }
     return puts;
 }
@@ -159,7 +164,7 @@
     return results;
 }
 
-std::optional<JobContent> readContent(const std::vector<StoredRow> &rows, std::uint32_t pieces)
+std::optional<JobContent> readContent(const std::vector<StoredRow> &rows, std::uint32_t chunks)
 {
     std::string encoded;
     std::uint32_t found = 0;
@@ -169,7 +174,7 @@
             ++found;
         }
     }
-    return found == pieces ? decode<JobContent>(encoded) : std::nullopt;
+    return found == chunks ? decode<JobContent>(encoded) : std::nullopt;
 }
 
 std::optional<std::pair<JobHead, RowVersion>> readHead(const std::vector<StoredRow> &rows, const JobId &job)
@@ -197,8 +202,9 @@
 
 std::map<std::uint32_t, Generated> readProgress(const std::vector<StoredRow> &rows)
 {
-    // Two runners may have written parts of the same item side by side. A part follows another only if it is of the same run,
-    // or of a run of the same software that was asked to go on just there: whatever else is joined was never one generation.
+    // Two runners may have written parts of the same item concurrently. A part continues another only if it is from the same run,
+    // or from a run of the same software version that was resumed exactly there. Any other combination is a text that no
+    // replica generated.
     std::map<std::uint32_t, Generated> items;
     std::map<std::uint32_t, std::uint64_t> lastRuns;
     for (const StoredRow &row : rows) {
--- a/Libraries/LibGateway/RecentReplicas.cpp
+++ b/Libraries/LibGateway/RecentReplicas.cpp
@@ -6,17 +6,17 @@
 namespace
 {
 
-/** A bound on memory, several times the connections to replicas that a node keeps. */
-constexpr std::size_t mostReplicas = 1024;
+/** Limits memory; several times the number of connections to replicas that a node keeps. */
+constexpr std::size_t maxReplicas = 1024;
 
 } // namespace
 
-void RecentReplicas::note(const ServingReplica &replica)
+void RecentReplicas::add(const ServingReplica &replica)
 {
     if (this->byAddress.insert_or_assign(replica.address, replica).second) {
         this->order.push_back(replica.address);
     }
-    if (this->order.size() > mostReplicas) {
+    if (this->order.size() > maxReplicas) {
         this->byAddress.erase(this->order.front());
         this->order.pop_front();
     }
--- a/Tests/LibGateway/TestJobCheckSchedule.cpp
+++ b/Tests/LibGateway/TestJobCheckSchedule.cpp
@@ -14,46 +14,46 @@
 
 } // namespace
 
-// A single look may find nobody who can be told: a job that was looked at but once would be left lying.
-TEST_CASE("a job is looked at again and again for as long as it is open")
+// A single check may find no node to notify.
+TEST_CASE("a job is checked periodically while it is open")
 {
     ManualClock clock;
-    JobLooks looks(clock);
-    looks.noteRow(JobId("a"));
-    CHECK(looks.takeDue(many).empty());
+    JobCheckSchedule checks(clock);
+    checks.postpone(JobId("a"));
+    CHECK(checks.popDue(many).empty());
     for (int round = 0; round < 3; ++round) {
-        clock.advance(JobLooks::interval);
-        CHECK(looks.takeDue(many) == Jobs{JobId("a")});
-        CHECK(looks.takeDue(many).empty());
+        clock.advance(JobCheckSchedule::interval);
+        CHECK(checks.popDue(many) == Jobs{JobId("a")});
+        CHECK(checks.popDue(many).empty());
     }
-    looks.forget(JobId("a"));
-    clock.advance(JobLooks::interval);
-    CHECK(looks.takeDue(many).empty());
+    checks.remove(JobId("a"));
+    clock.advance(JobCheckSchedule::interval);
+    CHECK(checks.popDue(many).empty());
 }
 
-TEST_CASE("a job whose row changes is not looked at")
+TEST_CASE("a job whose row changes is not checked")
 {
     ManualClock clock;
-    JobLooks looks(clock);
+    JobCheckSchedule checks(clock);
     for (int change = 0; change < 5; ++change) {
-        looks.noteRow(JobId("a"));
-        clock.advance(JobLooks::interval / 2);
-        CHECK(looks.takeDue(many).empty());
+        checks.postpone(JobId("a"));
+        clock.advance(JobCheckSchedule::interval / 2);
+        CHECK(checks.popDue(many).empty());
     }
 }
 
-// A bound that always gave the same jobs would leave the others without a look.
-TEST_CASE("where more jobs are due than are taken at once, all have their turn")
+// A bound that always gave the same jobs would leave the others unchecked.
+TEST_CASE("if more jobs are due than the limit, the others come next")
 {
     ManualClock clock;
-    JobLooks looks(clock);
+    JobCheckSchedule checks(clock);
     for (const char *const name : {"a", "b", "c"}) {
-        looks.noteRow(JobId(name));
+        checks.postpone(JobId(name));
     }
-    clock.advance(JobLooks::interval);
-    CHECK(looks.takeDue(2) == Jobs{JobId("a"), JobId("b")});
-    CHECK(looks.takeDue(2) == Jobs{JobId("c")});
-    clock.advance(JobLooks::interval);
-    looks.clear();
-    CHECK(looks.takeDue(2).empty());
+    clock.advance(JobCheckSchedule::interval);
+    CHECK(checks.popDue(2) == Jobs{JobId("a"), JobId("b")});
+    CHECK(checks.popDue(2) == Jobs{JobId("c")});
+    clock.advance(JobCheckSchedule::interval);
+    checks.clear();
+    CHECK(checks.popDue(2).empty());
 }
--- a/Tests/LibGateway/TestPromptPartBlocklist.cpp
+++ b/Tests/LibGateway/TestPromptPartBlocklist.cpp
@@ -15,28 +15,28 @@
 constexpr PromptPart first = 1;
 constexpr PromptPart bad = 2;
 constexpr PromptPart other = 3;
-constexpr std::chrono::milliseconds between{150};
+constexpr std::chrono::milliseconds crashInterval{150};
 constexpr int crashesToBlock = 4;
 
 class Bench
 {
 public:
-    Bench() : guard(this->clock)
+    Bench() : blocklist(this->clock)
     {
     }
 
-    /** A replica crashes under requests with these parts. */
+    /** Simulates the crash of a replica that runs requests with these parts. */
     void crash(const std::vector<std::vector<PromptPart>> &requests)
     {
         const EndpointName replica("i-" + std::to_string(++this->lastReplica));
         for (const std::vector<PromptPart> &parts : requests) {
-            this->guard.noteCrash(replica, parts);
+            this->blocklist.recordCrash(replica, parts);
         }
-        this->clock.advance(between);
+        this->clock.advance(crashInterval);
     }
 
     ManualClock clock;
-    PromptPartGuard guard;
+    PromptPartBlocklist blocklist;
 
 private:
     int lastReplica = 0;
@@ -44,74 +44,74 @@
 
 } // namespace
 
-// No two requests are alike: what they have in common crashes one replica after the other.
-TEST_CASE("a part that was in the prompts of four crashes is blocked, and no other one")
+// All requests differ, but share a part that crashes one replica after another.
+TEST_CASE("only the part that is common to the prompts of four crashes is blocked")
 {
     Bench bench;
-    bench.guard.noteServed({first, other});
-    bench.clock.advance(between);
+    bench.blocklist.recordServed({first, other});
+    bench.clock.advance(crashInterval);
     for (int crash = 1; crash < crashesToBlock; ++crash) {
         bench.crash({{first, bad}});
     }
-    CHECK_FALSE(bench.guard.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({bad}));
     bench.crash({{first, bad}});
-    CHECK(bench.guard.isBlocked({first, bad}));
-    CHECK(bench.guard.isBlocked({other, bad}));
-    CHECK_FALSE(bench.guard.isBlocked({first, other}));
+    CHECK(bench.blocklist.isBlocked({first, bad}));
+    CHECK(bench.blocklist.isBlocked({other, bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first, other}));
 }
 
-// One replica a minute is lost: few requests have the part, and each of them crashes what it reaches.
-TEST_CASE("a part under which replicas crash now and then is blocked as well")
+// Few requests have the part, and each of them crashes its replica, about one per minute.
+TEST_CASE("a part that crashes replicas infrequently is blocked")
 {
     Bench bench;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
-        bench.guard.noteServed({first, other});
+        bench.blocklist.recordServed({first, other});
         bench.crash({{first, bad}});
         bench.clock.advance(std::chrono::minutes(1));
     }
-    CHECK(bench.guard.isBlocked({bad}));
-    CHECK_FALSE(bench.guard.isBlocked({first, other}));
+    CHECK(bench.blocklist.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first, other}));
 }
 
-// Sound requests have the same first part, and all replicas are down most of the time: they are hardly served any more.
-TEST_CASE("crashes that a blocked part explains are held against no other one")
+// Valid requests share the first part, but are rarely served as all replicas are down most of the time.
+TEST_CASE("crashes that a blocked part explains are not attributed to other parts")
 {
     Bench bench;
-    bench.guard.noteServed({first, other});
-    bench.clock.advance(between);
+    bench.blocklist.recordServed({first, other});
+    bench.clock.advance(crashInterval);
     for (int crash = 0; crash < 30; ++crash) {
         bench.crash({{first, other}, {first, bad}});
     }
-    CHECK(bench.guard.isBlocked({bad}));
-    CHECK_FALSE(bench.guard.isBlocked({first, other}));
+    CHECK(bench.blocklist.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first, other}));
 }
 
-// A node has just started, and has served nothing yet: the parts of the crashed prompts are all new to it.
-TEST_CASE("of parts that explain the same crashes, the one further behind in the prompt is blocked")
+// A node has just started and has served nothing yet, so all parts of the prompts are new to it.
+TEST_CASE("of parts that explain the same crashes, the one later in the prompt is blocked")
 {
     Bench bench;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
         bench.crash({{first, bad}});
     }
-    CHECK(bench.guard.isBlocked({bad}));
-    CHECK_FALSE(bench.guard.isBlocked({first}));
+    CHECK(bench.blocklist.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first}));
 }
 
-// Two faulty parts come at the same time, each under half of the crashes.
-TEST_CASE("of two parts under which replicas crash, both are blocked")
+// Two faulty parts occur in the same period, each in half of the crashes.
+TEST_CASE("two parts that crash replicas are both blocked")
 {
     Bench bench;
     for (int crash = 0; crash < 4 * crashesToBlock; ++crash) {
         bench.crash({{first, crash % 2 == 0 ? bad : other}});
-        bench.guard.noteServed({first});
+        bench.blocklist.recordServed({first});
     }
-    CHECK(bench.guard.isBlocked({bad}));
-    CHECK(bench.guard.isBlocked({other}));
-    CHECK_FALSE(bench.guard.isBlocked({first}));
+    CHECK(bench.blocklist.isBlocked({bad}));
+    CHECK(bench.blocklist.isBlocked({other}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first}));
 }
 
-// Most requests of a crashed replica had been answered for a while: they tell nothing of what else crashed it.
-TEST_CASE("crashes that are held against no part do not hide one under which others crash")
+// Some replicas crash while they run only requests that are already served in part, which identify no suspect.
+TEST_CASE("crashes that are attributed to no part do not hide a part that causes others")
 {
     Bench bench;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
@@ -119,60 +119,60 @@
         bench.crash({{}});
         bench.crash({{}});
     }
-    CHECK(bench.guard.isBlocked({bad}));
+    CHECK(bench.blocklist.isBlocked({bad}));
 }
 
-// A part was sound until something changed at the replicas.
-TEST_CASE("a part that was served before its crashes is blocked all the same")
+// A part was harmless until the replicas changed.
+TEST_CASE("a part that was served before its crashes is blocked")
 {
     Bench bench;
-    bench.guard.noteServed({first, bad});
-    bench.clock.advance(between);
+    bench.blocklist.recordServed({first, bad});
+    bench.clock.advance(crashInterval);
     for (int crash = 0; crash < 2 * crashesToBlock; ++crash) {
-        bench.guard.noteServed({first});
+        bench.blocklist.recordServed({first});
         bench.crash({{first, bad}});
     }
-    CHECK(bench.guard.isBlocked({bad}));
-    CHECK_FALSE(bench.guard.isBlocked({first}));
+    CHECK(bench.blocklist.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first}));
 }
 
-// Replicas crash by themselves now and then, and take requests of all kinds with them.
+// Replicas crash occasionally for other reasons while they run requests of all kinds.
 TEST_CASE("a part that is served between crashes is never blocked")
 {
     Bench bench;
     for (int crash = 0; crash < 50; ++crash) {
         bench.crash({{first, other}});
-        bench.guard.noteServed({first, other});
-        bench.clock.advance(between);
+        bench.blocklist.recordServed({first, other});
+        bench.clock.advance(crashInterval);
     }
-    CHECK_FALSE(bench.guard.isBlocked({first, other}));
+    CHECK_FALSE(bench.blocklist.isBlocked({first, other}));
 }
 
-// A failure domain is lost, and with it many replicas at one moment; so are the requests that they had just begun.
-TEST_CASE("crashes at one moment count once")
+// Many replicas are lost with a failure domain at the same time, and so are the requests that they had just started.
+TEST_CASE("simultaneous crashes count once")
 {
     ManualClock clock;
-    PromptPartGuard guard(clock);
+    PromptPartBlocklist blocklist(clock);
     for (int replica = 0; replica < 20; ++replica) {
-        guard.noteCrash(EndpointName("i-" + std::to_string(replica)), {first, other});
+        blocklist.recordCrash(EndpointName("i-" + std::to_string(replica)), {first, other});
         clock.advance(std::chrono::milliseconds(2));
     }
-    CHECK_FALSE(guard.isBlocked({first, other}));
+    CHECK_FALSE(blocklist.isBlocked({first, other}));
 }
 
-// Several nodes lose requests with one replica, and each tells of it.
-TEST_CASE("notices of one replica's crash count once")
+// Several nodes lose requests with one replica, and each reports the crash.
+TEST_CASE("several notices of the crash of one replica count once")
 {
     ManualClock clock;
-    PromptPartGuard guard(clock);
+    PromptPartBlocklist blocklist(clock);
     for (int node = 0; node < 5; ++node) {
-        guard.noteCrash(EndpointName("i-1"), {first, bad});
+        blocklist.recordCrash(EndpointName("i-1"), {first, bad});
         clock.advance(std::chrono::milliseconds(80));
     }
-    CHECK_FALSE(guard.isBlocked({bad}));
+    CHECK_FALSE(blocklist.isBlocked({bad}));
 }
 
-// The fault may have been mended; but each wrong try costs a replica.
+// The fault may have been fixed since, but each wrong attempt crashes a replica.
 TEST_CASE("a block ends, and the first crash after it blocks for longer")
 {
     Bench bench;
@@ -180,67 +180,67 @@
         bench.crash({{first, bad}});
     }
     bench.clock.advance(std::chrono::minutes(2));
-    CHECK_FALSE(bench.guard.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({bad}));
     bench.crash({{first, bad}});
     bench.clock.advance(std::chrono::minutes(3));
-    CHECK(bench.guard.isBlocked({bad}));
+    CHECK(bench.blocklist.isBlocked({bad}));
     bench.clock.advance(std::chrono::minutes(1));
-    CHECK_FALSE(bench.guard.isBlocked({bad}));
+    CHECK_FALSE(bench.blocklist.isBlocked({bad}));
 }
 
-// A request that was sent before the block ends well: the part was not the cause.
-TEST_CASE("a blocked part that is served is blocked no more, and the others are to be told")
+// A request that was sent before the block is served, which shows that the part is not the cause.
+TEST_CASE("a blocked part that is served is unblocked, and is returned so that other nodes are notified")
 {
     Bench bench;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
         bench.crash({{first, bad}});
     }
-    REQUIRE(bench.guard.isBlocked({bad}));
-    CHECK(bench.guard.noteServed({bad, other}) == std::vector<PromptPart>{bad});
-    CHECK_FALSE(bench.guard.isBlocked({bad}));
-    CHECK(bench.guard.noteServed({bad, other}).empty());
+    REQUIRE(bench.blocklist.isBlocked({bad}));
+    CHECK(bench.blocklist.recordServed({bad, other}) == std::vector<PromptPart>{bad});
+    CHECK_FALSE(bench.blocklist.isBlocked({bad}));
+    CHECK(bench.blocklist.recordServed({bad, other}).empty());
 }
 
-// A node that missed a notice goes on to tell of a block that the others know to be wrong.
-TEST_CASE("a block of another node is taken over unless the part was served since")
+// A node that missed a notice keeps reporting a block that the others have already removed.
+TEST_CASE("a block that another node reports is applied unless the part was served since")
 {
     Bench bench;
     Bench late;
     for (int crash = 0; crash < crashesToBlock; ++crash) {
         bench.crash({{first, bad}});
     }
-    for (const PromptPartGuard::Blocked &blocked : bench.guard.blocked(10)) {
-        late.guard.merge(blocked);
+    for (const PromptPartBlocklist::BlockedPart &blocked : bench.blocklist.blockedParts(10)) {
+        late.blocklist.merge(blocked);
     }
-    CHECK(late.guard.isBlocked({bad}));
-    late.clock.advance(between);
-    late.guard.noteServed({bad});
-    for (const PromptPartGuard::Blocked &blocked : bench.guard.blocked(10)) {
-        late.guard.merge(blocked);
+    CHECK(late.blocklist.isBlocked({bad}));
+    late.clock.advance(crashInterval);
+    late.blocklist.recordServed({bad});
+    for (const PromptPartBlocklist::BlockedPart &blocked : bench.blocklist.blockedParts(10)) {
+        late.blocklist.merge(blocked);
     }
-    CHECK_FALSE(late.guard.isBlocked({bad}));
+    CHECK_FALSE(late.blocklist.isBlocked({bad}));
 }
 
-// Requests of all kinds run while one part crashes replicas at random moments; some notices are lost.
-TEST_CASE("among many parts, only the one that crashes replicas is ever blocked")
+// Requests of all kinds run while one part crashes replicas at random times; some crashes show no request with the part.
+TEST_CASE("among many parts, only the one that crashes replicas is blocked")
 {
     for (unsigned seed = 1; seed <= 50; ++seed) {
         std::minstd_rand random(seed);
         Bench bench;
-        const auto draw = [&random](int most) {
-            return std::uniform_int_distribution<int>(0, most - 1)(random);
+        const auto draw = [&random](int bound) {
+            return std::uniform_int_distribution<int>(0, bound - 1)(random);
         };
-        const auto sound = [&draw] {
+        const auto validPrompt = [&draw] {
             return std::vector<PromptPart>{static_cast<PromptPart>(100 + draw(8)), static_cast<PromptPart>(1000 + draw(200))};
         };
         for (int request = 0; request < 100; ++request) {
-            bench.guard.noteServed(sound());
+            bench.blocklist.recordServed(validPrompt());
         }
-        bench.clock.advance(between);
+        bench.clock.advance(crashInterval);
         for (int step = 0; step < 400; ++step) {
             std::vector<std::vector<PromptPart>> requests;
             for (int neighbour = draw(4); neighbour > 0; --neighbour) {
-                requests.push_back(sound());
+                requests.push_back(validPrompt());
             }
             if (draw(10) > 0) {
                 requests.push_back({static_cast<PromptPart>(100 + draw(8)), bad});
@@ -248,10 +248,10 @@
             if (draw(3) == 0) {
                 bench.crash(requests);
             }
-            bench.guard.noteServed(sound());
+            bench.blocklist.recordServed(validPrompt());
             bench.clock.advance(std::chrono::milliseconds(30));
         }
-        CHECK(bench.guard.isBlocked({bad}));
-        CHECK(bench.guard.blocked(10).size() == 1);
+        CHECK(bench.blocklist.isBlocked({bad}));
+        CHECK(bench.blocklist.blockedParts(10).size() == 1);
     }
 }
--- a/Tests/LibGateway/TestReplicaList.cpp
+++ b/Tests/LibGateway/TestReplicaList.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds kept{2500};
+constexpr std::chrono::milliseconds lapsedKept{2500};
 
 ServingReplica replica(const std::string &instance, std::uint16_t port)
 {
@@ -17,26 +17,26 @@
 
 } // namespace
 
-// While the store is down, the entries of all replicas lapse, though the replicas live. On its return the list is empty for
-// a second or two. A node that believed it would refuse every request.
-TEST_CASE("entries that lapse around an outage are kept until they are back or their time is over")
+// While the store is down, the entries of all replicas lapse, although the replicas are alive. After the outage the list is empty
+// for a second or two. A node that applied it would refuse every request.
+TEST_CASE("entries that lapse during or after an outage are kept until they reappear or their retention ends")
 {
     ManualClock clock;
-    ReplicaList list(clock, kept, [](const ServingReplica &) {});
+    ReplicaList list(clock, lapsedKept, [](const ServingReplica &) {});
     list.replaceAll({replica("a", 1), replica("b", 2)});
-    list.noteOutage();
+    list.recordOutage();
     clock.advance(std::chrono::seconds(5));
-    list.noteAnswer();
+    list.recordAnswer();
     list.replaceAll({});
     CHECK(list.replicas().size() == 2);
-    list.takeChanges();
+    list.popChanges();
     list.expire();
-    CHECK(list.takeChanges().isEmpty());
+    CHECK(list.popChanges().isEmpty());
     clock.advance(std::chrono::milliseconds(1500));
     list.put(replica("a", 1));
     clock.advance(std::chrono::milliseconds(1500));
     list.expire();
-    const ReplicaChanges expired = list.takeChanges();
+    const ReplicaChanges expired = list.popChanges();
     REQUIRE(expired.removed.size() == 1);
     CHECK(expired.removed[0].instance == EndpointName("b"));
     CHECK(expired.put.empty());
@@ -44,46 +44,46 @@
     CHECK(list.replicas().contains(EndpointName("a")));
 }
 
-TEST_CASE("in calm times an entry that goes is gone at once")
+TEST_CASE("without an outage an entry is removed immediately")
 {
     ManualClock clock;
-    ReplicaList list(clock, kept, [](const ServingReplica &) {});
+    ReplicaList list(clock, lapsedKept, [](const ServingReplica &) {});
     list.replaceAll({replica("a", 1), replica("b", 2)});
     list.remove(EndpointName("a"));
     CHECK(list.replicas().size() == 1);
 }
 
-TEST_CASE("a replica that was draining is not kept around an outage")
+TEST_CASE("a draining replica is not kept during an outage")
 {
     ManualClock clock;
-    ReplicaList list(clock, kept, [](const ServingReplica &) {});
+    ReplicaList list(clock, lapsedKept, [](const ServingReplica &) {});
     ServingReplica leaving = replica("a", 1);
     leaving.isDraining = true;
     list.put(leaving);
-    list.noteOutage();
+    list.recordOutage();
     list.remove(EndpointName("a"));
     CHECK(list.replicas().empty());
 }
 
-// A replica crashes and its address is given to another. Requests to the old entry would reach the new replica.
-TEST_CASE("an entry ends when another replica has its address")
+// A replica crashes and its address is reassigned. Requests to the old entry would reach the new replica.
+TEST_CASE("an entry is removed when another replica has its address")
 {
     ManualClock clock;
-    ReplicaList list(clock, kept, [](const ServingReplica &) {});
+    ReplicaList list(clock, lapsedKept, [](const ServingReplica &) {});
     list.put(replica("a", 1));
     list.put(replica("b", 1));
     CHECK(list.replicas().size() == 1);
     CHECK(list.replicas().contains(EndpointName("b")));
 }
 
-// A replica crashes and starts again under its name, with nothing of what it had: its load, what it ran, the connections to it
-// and the failures that were held against it are those of the one before.
-TEST_CASE("a replica that starts again under its name takes the place of the one before")
+// A replica crashes and restarts under its registered name. The load, requests, connections and failures that are recorded for it
+// belong to the previous incarnation.
+TEST_CASE("a replica that restarts under its name replaces the previous incarnation")
 {
     ManualClock clock;
-    std::vector<EndpointName> over;
-    ReplicaList list(clock, kept, [&over](const ServingReplica &former) {
-        over.push_back(former.instance);
+    std::vector<EndpointName> ended;
+    ReplicaList list(clock, lapsedKept, [&ended](const ServingReplica &former) {
+        ended.push_back(former.instance);
     });
     ServingReplica first = replica("a", 1);
     first.instance = EndpointName("a@1");
@@ -91,76 +91,76 @@
     second.instance = EndpointName("a@2");
     list.put(first);
     list.put(first);
-    CHECK(over.empty());
+    CHECK(ended.empty());
     list.put(second);
-    CHECK(over == std::vector{EndpointName("a@1")});
+    CHECK(ended == std::vector{EndpointName("a@1")});
     CHECK(list.replicas().size() == 1);
     CHECK(list.replicas().contains(EndpointName("a@2")));
-    list.replaceNow({first});
-    CHECK(over.size() == 2);
+    list.replaceExactly({first});
+    CHECK(ended.size() == 2);
     list.remove(EndpointName("a"));
     CHECK(list.replicas().empty());
 }
 
-// For a moment a good replica's entry is spoilt, and comes right again. What it runs must not be given up for that.
-TEST_CASE("a replica whose entry can't be read is held back until the entry is right again")
+// The entry of a healthy replica is invalid for a short time. Its running requests must not be aborted because of that.
+TEST_CASE("a replica with an unreadable entry is draining until the entry is valid again")
 {
     ManualClock clock;
-    ReplicaList list(clock, kept, [](const ServingReplica &) {});
+    ReplicaList list(clock, lapsedKept, [](const ServingReplica &) {});
     list.replaceAll({replica("a", 1), replica("b", 2)});
-    list.takeChanges();
-    list.holdBack(EndpointName("a"));
-    CHECK(list.takeChanges().put.size() == 1);
-    list.holdBack(EndpointName("a"));
-    list.holdBack(EndpointName("unknown"));
-    CHECK(list.takeChanges().isEmpty());
+    list.popChanges();
+    list.markUnreadable(EndpointName("a"));
+    CHECK(list.popChanges().put.size() == 1);
+    list.markUnreadable(EndpointName("a"));
+    list.markUnreadable(EndpointName("unknown"));
+    CHECK(list.popChanges().isEmpty());
     CHECK(list.findRegistered(EndpointName("a"))->isDraining);
     CHECK_FALSE(list.findRegistered(EndpointName("b"))->isDraining);
     list.put(replica("a", 1));
     CHECK_FALSE(list.findRegistered(EndpointName("a"))->isDraining);
 }
 
-TEST_CASE("changes are told once, and what is back before it was told has not changed")
+TEST_CASE("changes are returned once, and an entry that reappears before the call is not returned as removed")
 {
     ManualClock clock;
-    ReplicaList list(clock, kept, [](const ServingReplica &) {});
+    ReplicaList list(clock, lapsedKept, [](const ServingReplica &) {});
     list.replaceAll({replica("a", 1), replica("b", 2), replica("c", 3)});
-    CHECK(list.takeChanges().put.size() == 3);
-    CHECK(list.takeChanges().isEmpty());
+    CHECK(list.popChanges().put.size() == 3);
+    CHECK(list.popChanges().isEmpty());
     list.put(replica("a", 1));
-    CHECK(list.takeChanges().isEmpty());
+    CHECK(list.popChanges().isEmpty());
     list.remove(EndpointName("b"));
     list.put(replica("d", 3));
-    const ReplicaChanges changes = list.takeChanges();
+    const ReplicaChanges changes = list.popChanges();
     REQUIRE(changes.put.size() == 1);
     CHECK(changes.put[0].instance == EndpointName("d"));
     CHECK(changes.removed.size() == 2);
     list.remove(EndpointName("a"));
     list.put(replica("a", 1));
-    CHECK(list.takeChanges().removed.empty());
+    CHECK(list.popChanges().removed.empty());
 }
 
-// Guards against a replica that both its former and its new service go on using.
-TEST_CASE("a replica that goes to another service is gone from the former one")
+// Guards against a replica that stays in use for its former service after it moved to another.
+TEST_CASE("a replica that moves to another service is removed from the former one")
 {
     ManualClock clock;
-    ReplicaList list(clock, kept, [](const ServingReplica &) {});
+    ReplicaList list(clock, lapsedKept, [](const ServingReplica &) {});
     list.put(replica("a", 1));
-    list.takeChanges();
+    list.popChanges();
     ServingReplica moved = replica("a", 1);
     moved.service = ServiceName("t");
     list.put(moved);
-    const ReplicaChanges changes = list.takeChanges();
+    const ReplicaChanges changes = list.popChanges();
     REQUIRE(changes.removed.size() == 1);
     CHECK(changes.removed[0].service == ServiceName("s"));
     REQUIRE(changes.put.size() == 1);
     CHECK(changes.put[0].service == ServiceName("t"));
 }
 
-TEST_CASE("a replica that moves to another address is found there alone")
+TEST_CASE("a replica that moves to another address is found only there")
 {
     ManualClock clock;
-    ReplicaList list(clock, kept, [](const ServingReplica &) {});
+    ReplicaList list(clock, lapsedKept, [](const ServingReplica &) {});
     list.put(replica("a", 1));
     list.put(replica("a", 2));
     CHECK(list.findAt({"10.0.0.1", 1}) == nullptr);
--- a/Tests/LibGateway/TestReplicaRing.cpp
+++ b/Tests/LibGateway/TestReplicaRing.cpp
@@ -44,45 +44,45 @@
     return stableHash("node " + std::to_string(node));
 }
 
-std::set<EndpointName> namesOf(const ReplicaRing::Choice &choice)
+std::set<EndpointName> namesOf(const ReplicaRing::Selection &selection)
 {
     std::set<EndpointName> names;
-    for (const ServingReplica &chosen : choice.replicas) {
-        names.insert(chosen.instance);
+    for (const ServingReplica &selected : selection.replicas) {
+        names.insert(selected.instance);
     }
     return names;
 }
 
 } // namespace
 
-TEST_CASE("what a node is told of replicas does not grow with them")
+TEST_CASE("the set of a node does not grow with the number of replicas")
 {
     for (const std::size_t count : {300U, 3000U, 10000U, 20000U}) {
         const ReplicaRing ring = ringOf(count);
-        const ReplicaRing::Choice choice = ring.choose(hashOfNode(1), FailureDomain("z1"), setSize);
-        CHECK(choice.replicas.size() == setSize);
-        CHECK(namesOf(choice).size() == setSize);
-        const auto near = std::ranges::count(choice.replicas, FailureDomain("z1"), &ServingReplica::failureDomain);
-        CHECK(near == setSize * 3 / 4);
+        const ReplicaRing::Selection selection = ring.select(hashOfNode(1), FailureDomain("z1"), setSize);
+        CHECK(selection.replicas.size() == setSize);
+        CHECK(namesOf(selection).size() == setSize);
+        const auto localCount = std::ranges::count(selection.replicas, FailureDomain("z1"), &ServingReplica::failureDomain);
+        CHECK(localCount == setSize * 3 / 4);
     }
 }
 
-TEST_CASE("a few replicas are all told, with the fingerprint of their list")
+TEST_CASE("if there are few replicas, all are selected, with the fingerprint of their list")
 {
     ManualClock clock;
     ReplicaRing ring = ringOf(12);
     ring.put(replica(100, "other"));
-    const ReplicaRing::Choice choice = ring.choose(7, FailureDomain("z1"), setSize);
-    CHECK(choice.replicas.size() == 13);
+    const ReplicaRing::Selection selection = ring.select(7, FailureDomain("z1"), setSize);
+    CHECK(selection.replicas.size() == 13);
     ReplicaList list(clock, std::chrono::milliseconds(0), [](const ServingReplica &) {});
-    list.replaceNow(choice.replicas);
-    CHECK(list.fingerprint() == choice.fingerprint);
-    CHECK(ring.choose(7, FailureDomain("elsewhere"), setSize).replicas.size() == 13);
+    list.replaceExactly(selection.replicas);
+    CHECK(list.fingerprint() == selection.fingerprint);
+    CHECK(ring.select(7, FailureDomain("elsewhere"), setSize).replicas.size() == 13);
 }
 
-// While no dispatcher answers, each node places its requests within its set: replicas in many more sets than others would be
-// full.
-TEST_CASE("the sets of many nodes use all replicas alike")
+// While no dispatcher answers, each node places its requests within its set. Replicas that are in many more sets than others
+// would be overloaded.
+TEST_CASE("the sets of many nodes use all replicas evenly")
 {
     constexpr std::size_t replicaCount = 3000;
     constexpr std::size_t nodeCount = 1000;
@@ -90,7 +90,7 @@
     std::map<EndpointName, std::size_t> uses;
     for (std::size_t node = 0; node < nodeCount; ++node) {
         const FailureDomain domain("z" + std::to_string(node % domainCount));
-        for (const EndpointName &name : namesOf(ring.choose(hashOfNode(node), domain, setSize))) {
+        for (const EndpointName &name : namesOf(ring.select(hashOfNode(node), domain, setSize))) {
             ++uses[name];
         }
     }
@@ -101,30 +101,30 @@
     }
 }
 
-TEST_CASE("a replica that goes or drains changes one entry of the sets that have it, and no others")
+TEST_CASE("a draining replica changes one entry of the sets that contain it, and no other set")
 {
     ReplicaRing ring = ringOf(3000);
     const FailureDomain domain("z1");
-    const std::set<EndpointName> before = namesOf(ring.choose(hashOfNode(1), domain, setSize));
-    const std::set<EndpointName> otherBefore = namesOf(ring.choose(hashOfNode(500), domain, setSize));
+    const std::set<EndpointName> before = namesOf(ring.select(hashOfNode(1), domain, setSize));
+    const std::set<EndpointName> otherBefore = namesOf(ring.select(hashOfNode(500), domain, setSize));
     ServingReplica draining = replica(std::stoul(before.begin()->value().substr(2)));
     draining.isDraining = true;
     ring.put(draining);
-    const std::set<EndpointName> after = namesOf(ring.choose(hashOfNode(1), domain, setSize));
-    std::vector<EndpointName> gone;
-    std::ranges::set_difference(before, after, std::back_inserter(gone));
-    CHECK(gone == std::vector{draining.instance});
+    const std::set<EndpointName> after = namesOf(ring.select(hashOfNode(1), domain, setSize));
+    std::vector<EndpointName> removed;
+    std::ranges::set_difference(before, after, std::back_inserter(removed));
+    CHECK(removed == std::vector{draining.instance});
     CHECK(after.size() == setSize);
     if (!otherBefore.contains(draining.instance)) {
-        CHECK(namesOf(ring.choose(hashOfNode(500), domain, setSize)) == otherBefore);
+        CHECK(namesOf(ring.select(hashOfNode(500), domain, setSize)) == otherBefore);
     }
 }
 
-TEST_CASE("the replicas of recent places are found by their addresses, up to a bound")
+TEST_CASE("the replicas of recent slots are found by their addresses, up to a limit")
 {
     RecentReplicas recent;
     for (std::size_t number = 0; number < 3000; ++number) {
-        recent.note(replica(number));
+        recent.add(replica(number));
     }
     CHECK(recent.findAt(replica(0).address) == nullptr);
     REQUIRE(recent.findAt(replica(2999).address) != nullptr);
