--- a/Libraries/LibDispatch/Dispatcher.h
+++ b/Libraries/LibDispatch/Dispatcher.h
@@ -6,7 +6,7 @@
 #include <LibDispatch/PlacementTypes.h>
 #include <LibDispatch/ReplicaIndex.h>
 #include <LibDispatch/ReplicaUpdate.h>
-#include <LibDispatch/ReturnSchedule.h>
+#include <LibDispatch/RetrySchedule.h>
 #include <LibDispatch/WaitingQueue.h>
 
 #include <chrono>
--- a/Libraries/LibDispatch/LocalPlacement.h
+++ b/Libraries/LibDispatch/LocalPlacement.h
@@ -2,7 +2,7 @@
 
 #include <LibBase/Clock.h>
 #include <LibDispatch/PlacementTypes.h>
-#include <LibDispatch/ReplicaGate.h>
+#include <LibDispatch/ReplicaCircuitBreaker.h>
 #include <LibDispatch/ReplicaUpdate.h>
 
 #include <cstdint>
--- a/Libraries/LibDispatch/ReplicaGate.cpp
+++ b/Libraries/LibDispatch/ReplicaCircuitBreaker.cpp
@@ -1,4 +1,4 @@
-#include <LibDispatch/ReplicaGate.h>
+#include <LibDispatch/ReplicaCircuitBreaker.h>
 
 #include <algorithm>
 
--- a/Libraries/LibDispatch/ReturnSchedule.cpp
+++ b/Libraries/LibDispatch/RetrySchedule.cpp
@@ -1,4 +1,4 @@
-#include <LibDispatch/ReturnSchedule.h>
+#include <LibDispatch/RetrySchedule.h>
 
 #include <algorithm>
 
--- a/Services/Gateway/CallerRouter.cpp
+++ b/Services/Gateway/CallerRouter.cpp
@@ -1,7 +1,7 @@
 #include <Services/Gateway/CallerRouter.h>
 
 #include <LibBase/Log.h>
-#include <LibDispatch/ReturnSchedule.h>
+#include <LibDispatch/RetrySchedule.h>
 #include <LibProxy/HttpStatus.h>
 #include <Services/Gateway/OnlineCall.h>
 #include <platform/JobFormat.h>
--- a/Tests/LibDispatch/TestReturnSchedule.cpp
+++ b/Tests/LibDispatch/TestRetrySchedule.cpp
@@ -1,6 +1,6 @@
 #include <LibBase/ManualClock.h>
 #include <LibDispatch/LoadForecast.h>
-#include <LibDispatch/ReturnSchedule.h>
+#include <LibDispatch/RetrySchedule.h>
 
 #include <doctest/doctest.h>
 
