--- a/Benchmarks/Measure/Placing.cpp
+++ b/Benchmarks/Measure/Placing.cpp
@@ -47,7 +47,7 @@
         this->ask();
         const auto [id, replica] = this->placed.front();
         this->placed.pop_front();
-        this->dispatcher.noteLoad(replica, {slots, 0});
+        this->dispatcher.recordLoad(replica, {slots, 0});
         this->dispatcher.end(id, PlacementVerdict::Finished);
     }
 
@@ -65,9 +65,9 @@
         request.due = request.arrived + std::chrono::hours(1);
         request.deadline = request.due;
         for (std::size_t number = 0; number < connectedCount; ++number) {
-            request.connected.push_back(markOf(this->replicas[(this->last + number) % this->replicas.size()].instance));
+            request.connected.push_back(nameHashOf(this->replicas[(this->last + number) % this->replicas.size()].instance));
         }
-        this->dispatcher.ask(request);
+        this->dispatcher.submit(request);
     }
 
     SystemClock clock;
--- a/Libraries/LibDispatch/Dispatcher.cpp
+++ b/Libraries/LibDispatch/Dispatcher.cpp
@@ -75,7 +75,7 @@
     const auto [found, isNew] = this->replicas.try_emplace(traits.instance);
     DispatchedReplica &replica = found->second;
     if (isNew) {
-        replica.mark = markOf(traits.instance);
+        replica.mark = nameHashOf(traits.instance);
         replica.number = ++this->lastReplica;
     } else {
         this->slotCount -= slotsOf(replica);
@@ -102,7 +102,7 @@
     }
 }
 
-bool Dispatcher::ask(const PlacementRequest &request)
+bool Dispatcher::submit(const PlacementRequest &request)
 {
     const auto placed = this->placements.find(request.id);
     if (placed != this->placements.end()) {
@@ -116,7 +116,7 @@
         return false;
     }
     if (!this->isVersionServed(request)) {
-        this->sendAway(request, (request.deadline - this->clock.now()) / returnShare);
+        this->sendAway(request, (request.deadline - this->clock.now()) / retryAfterDivisor);
         this->tell();
         return true;
     }
@@ -188,7 +188,7 @@
         }
     }
     for (const PlacementRequest &request : unserved) {
-        this->sendAway(request, (request.deadline - this->clock.now()) / returnShare);
+        this->sendAway(request, (request.deadline - this->clock.now()) / retryAfterDivisor);
     }
 }
 
@@ -197,7 +197,7 @@
     if (request.work != WorkClass::Online || !request.mayRefuse) {
         return;
     }
-    const std::optional<ReturnSchedule::Return> back = this->returns.take(request.content);
+    const std::optional<RetrySchedule::Return> back = this->returns.take(request.content);
     if (!back) {
         this->forecast.noteArrival();
         return;
@@ -220,7 +220,7 @@
     }
     const SteadyTime now = this->clock.now();
     const std::chrono::duration<double> wait(static_cast<double>(this->waiting.onTimeAhead(request.priority)) / rate);
-    const SteadyTime longest = now + (request.deadline - now) / returnShare;
+    const SteadyTime longest = now + (request.deadline - now) / retryAfterDivisor;
     const std::optional<SteadyTime> burstEnd = this->forecast.burstEnd();
     // Who comes back into the same burst would take the place of one that can still be on time. Served late after the burst, it
     // loses less.
@@ -259,7 +259,7 @@
         }
     }
     for (const PlacementRequest &request : hopeless) {
-        const std::chrono::nanoseconds retryAfter = (request.deadline - now) / returnShare;
+        const std::chrono::nanoseconds retryAfter = (request.deadline - now) / retryAfterDivisor;
         this->returns.expect(request.content, request.arrived, now + retryAfter);
         this->sendAway(request, retryAfter);
     }
@@ -283,7 +283,7 @@
     this->tell();
 }
 
-void Dispatcher::noteLoad(const EndpointName &instance, const ReportedLoad &load)
+void Dispatcher::recordLoad(const EndpointName &instance, const ReportedLoad &load)
 {
     const auto found = this->replicas.find(instance);
     if (found != this->replicas.end()) {
@@ -555,7 +555,7 @@
         this->index.update(*replica);
     }
     if (entry.work == WorkClass::Online && verdict == PlacementVerdict::Finished) {
-        this->forecast.noteRun(now - entry.placed);
+        this->forecast.recordRun(now - entry.placed);
     }
     this->forget(placement);
 }
--- a/Libraries/LibDispatch/Dispatcher.h
+++ b/Libraries/LibDispatch/Dispatcher.h
@@ -6,7 +6,7 @@
 #include <LibDispatch/PlacementTypes.h>
 #include <LibDispatch/ReplicaIndex.h>
 #include <LibDispatch/ReplicaUpdate.h>
-#include <LibDispatch/ReturnSchedule.h>
+#include <LibDispatch/RetrySchedule.h>
 #include <LibDispatch/WaitingQueue.h>
 
 #include <chrono>
@@ -63,13 +63,13 @@
     void update(const ReplicaUpdate &update);
 
     /** A request wants a place; asked again, it gets the same answer. @return whether it has one now */
-    bool ask(const PlacementRequest &request);
+    bool submit(const PlacementRequest &request);
 
     /** A request is over, or wants no place any more. */
     void end(TicketId id, PlacementVerdict verdict);
 
     /** A replica told with an answer how much it has. */
-    void noteLoad(const EndpointName &instance, const ReportedLoad &load);
+    void recordLoad(const EndpointName &instance, const ReportedLoad &load);
 
     /**
      * All that a node runs.
@@ -159,7 +159,7 @@
     std::set<TicketId> stopping;
     SteadyTime nextClean{};
     LoadForecast forecast;
-    ReturnSchedule returns;
+    RetrySchedule returns;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibDispatch/FirstEventEstimate.cpp
+++ b/Libraries/LibDispatch/FirstEventEstimate.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void FirstEventEstimate::note(std::chrono::nanoseconds took)
+void FirstEventEstimate::record(std::chrono::nanoseconds took)
 {
     const Milliseconds value = std::min(Milliseconds(took), this->mean * largestFactor);
     const Milliseconds difference = value - this->mean;
@@ -37,7 +37,7 @@
     return std::chrono::ceil<std::chrono::milliseconds>(this->mean + deviations * this->deviation);
 }
 
-SteadyTime FirstEventEstimate::placeBy(SteadyTime arrived, std::chrono::milliseconds objective) const
+SteadyTime FirstEventEstimate::placementDeadline(SteadyTime arrived, std::chrono::milliseconds objective) const
 {
     return arrived + std::max(objective - this->value() - ways, std::chrono::milliseconds(0));
 }
--- a/Libraries/LibDispatch/FirstEventEstimate.h
+++ b/Libraries/LibDispatch/FirstEventEstimate.h
@@ -15,7 +15,7 @@
 {
 public:
     /** A request had its first event. */
-    void note(std::chrono::nanoseconds took);
+    void record(std::chrono::nanoseconds took);
 
     /** @return a time within which nearly all requests have their first event. */
     std::chrono::milliseconds value() const;
@@ -26,7 +26,7 @@
      * @param objective of the caller, from its first byte to the first event there
      * @return by when a request has to have a place to be on time at its caller
      */
-    SteadyTime placeBy(SteadyTime arrived, std::chrono::milliseconds objective) const;
+    SteadyTime placementDeadline(SteadyTime arrived, std::chrono::milliseconds objective) const;
 
 private:
     using Milliseconds = std::chrono::duration<double, std::milli>;
--- a/Libraries/LibDispatch/ItemEstimate.cpp
+++ b/Libraries/LibDispatch/ItemEstimate.cpp
@@ -17,12 +17,12 @@
 
 } // namespace
 
-void ItemEstimate::noteCompleted(std::uint64_t events)
+void ItemEstimate::recordCompleted(std::uint64_t events)
 {
     this->meanEvents += (static_cast<double>(events) - this->meanEvents) * weight;
 }
 
-void ItemEstimate::noteRun(std::uint64_t events, std::chrono::nanoseconds took)
+void ItemEstimate::recordRun(std::uint64_t events, std::chrono::nanoseconds took)
 {
     if (events >= fewestEvents) {
         this->perEvent += (Milliseconds(took) / static_cast<double>(events) - this->perEvent) * weight;
--- a/Libraries/LibDispatch/ItemEstimate.h
+++ b/Libraries/LibDispatch/ItemEstimate.h
@@ -14,10 +14,10 @@
 {
 public:
     /** An item was completed. @param events that it generated in all */
-    void noteCompleted(std::uint64_t events);
+    void recordCompleted(std::uint64_t events);
 
     /** Part of an item was generated. @param events how many @param took from the request to the last of them */
-    void noteRun(std::uint64_t events, std::chrono::nanoseconds took);
+    void recordRun(std::uint64_t events, std::chrono::nanoseconds took);
 
     /** @return how long an item still runs that has generated some events. */
     std::chrono::milliseconds remaining(std::uint64_t events) const;
--- a/Libraries/LibDispatch/LoadForecast.cpp
+++ b/Libraries/LibDispatch/LoadForecast.cpp
@@ -65,7 +65,7 @@
     this->late.note(this->clock.now());
 }
 
-void LoadForecast::noteRun(std::chrono::nanoseconds held)
+void LoadForecast::recordRun(std::chrono::nanoseconds held)
 {
     const double weight = this->meanHeld.count() == 0 ? 1 : runWeight;
     this->meanHeld += weight * (std::chrono::duration<double>(held) - this->meanHeld);
--- a/Libraries/LibDispatch/LoadForecast.h
+++ b/Libraries/LibDispatch/LoadForecast.h
@@ -26,7 +26,7 @@
     void noteLatePlaced();
 
     /** An online request gave its slot back. @param held how long it had it */
-    void noteRun(std::chrono::nanoseconds held);
+    void recordRun(std::chrono::nanoseconds held);
 
     /** Tell at each look whether requests that can be on time wait for a place: by it the length of bursts is learned. */
     void noteWaiting(bool isAnyWaiting);
--- a/Libraries/LibDispatch/LocalPlacement.cpp
+++ b/Libraries/LibDispatch/LocalPlacement.cpp
@@ -32,14 +32,14 @@
     for (const DispatchReplica &traits : update.put) {
         Replica &replica = this->replicas[traits.instance];
         replica.traits = traits;
-        replica.mark = markOf(traits.instance);
+        replica.mark = nameHashOf(traits.instance);
     }
     for (const EndpointName &instance : update.removed) {
         this->replicas.erase(instance);
     }
 }
 
-std::optional<EndpointName> LocalPlacement::choose(const FailureDomain &near, const PlacementTraits &request)
+std::optional<EndpointName> LocalPlacement::select(const FailureDomain &near, const PlacementTraits &request)
 {
     std::optional<EndpointName> best;
     double bestScore = 0;
--- a/Libraries/LibDispatch/LocalPlacement.h
+++ b/Libraries/LibDispatch/LocalPlacement.h
@@ -29,7 +29,7 @@
     void update(const ReplicaUpdate &update);
 
     /** @return the replica to use, or nothing if there is none that may be used */
-    std::optional<EndpointName> choose(const FailureDomain &near, const PlacementTraits &request);
+    std::optional<EndpointName> select(const FailureDomain &near, const PlacementTraits &request);
 
     /** A request was sent there; end() has to follow. */
     void begin(const EndpointName &instance);
--- a/Libraries/LibDispatch/PlacementTypes.cpp
+++ b/Libraries/LibDispatch/PlacementTypes.cpp
@@ -5,7 +5,7 @@
 namespace Dogwoodkeel
 {
 
-std::uint32_t markOf(const EndpointName &instance)
+std::uint32_t nameHashOf(const EndpointName &instance)
 {
     return static_cast<std::uint32_t>(stableHash(instance.value()));
 }
--- a/Libraries/LibDispatch/PlacementTypes.h
+++ b/Libraries/LibDispatch/PlacementTypes.h
@@ -32,7 +32,7 @@
 
 /** @return a short name of a replica, for lists of many: two replicas of a fleet of thousands share one in one case of a
  * thousand. */
-std::uint32_t markOf(const EndpointName &instance);
+std::uint32_t nameHashOf(const EndpointName &instance);
 
 /** What a request says of itself when it wants a place. */
 struct PlacementTraits
--- a/Libraries/LibDispatch/ReturnSchedule.cpp
+++ b/Libraries/LibDispatch/RetrySchedule.cpp
@@ -1,4 +1,4 @@
-#include <LibDispatch/ReturnSchedule.h>
+#include <LibDispatch/RetrySchedule.h>
 
 #include <algorithm>
 
@@ -14,7 +14,7 @@
 } // namespace
 
 std::optional<SteadyTime>
-ReturnSchedule::promise(std::uint64_t content, SteadyTime arrived, SteadyTime earliest, SteadyTime latest, double perSecond)
+RetrySchedule::promise(std::uint64_t content, SteadyTime arrived, SteadyTime earliest, SteadyTime latest, double perSecond)
 {
     if (perSecond <= 0) {
         return std::nullopt;
@@ -29,12 +29,12 @@
     return comes;
 }
 
-void ReturnSchedule::expect(std::uint64_t content, SteadyTime arrived, SteadyTime comes)
+void RetrySchedule::expect(std::uint64_t content, SteadyTime arrived, SteadyTime comes)
 {
     this->expected.emplace(content, Return{arrived, comes, false});
 }
 
-std::optional<ReturnSchedule::Return> ReturnSchedule::take(std::uint64_t content)
+std::optional<RetrySchedule::Return> RetrySchedule::take(std::uint64_t content)
 {
     const auto found = this->expected.find(content);
     if (found == this->expected.end()) {
@@ -45,7 +45,7 @@
     return taken;
 }
 
-void ReturnSchedule::forgetOld(SteadyTime now)
+void RetrySchedule::forgetOld(SteadyTime now)
 {
     std::erase_if(this->expected, [now](const auto &entry) {
         return now > entry.second.comes + kept;
--- a/Libraries/LibDispatch/ReturnSchedule.h
+++ b/Libraries/LibDispatch/RetrySchedule.h
@@ -10,10 +10,10 @@
 {
 
 /** Callers come back after at most a third of the time that they have left, whatever they are told. */
-inline constexpr int returnShare = 3;
+inline constexpr int retryAfterDivisor = 3;
 
 /** When requests that were sent away come back, so that each comes back to a place of its own and not all at once. */
-class ReturnSchedule
+class RetrySchedule
 {
 public:
     /** A request that was sent away. */
--- a/Services/Gateway/CallerRouter.cpp
+++ b/Services/Gateway/CallerRouter.cpp
@@ -1,7 +1,7 @@
 #include <Services/Gateway/CallerRouter.h>
 
 #include <LibBase/Log.h>
-#include <LibDispatch/ReturnSchedule.h>
+#include <LibDispatch/RetrySchedule.h>
 #include <LibProxy/HttpStatus.h>
 #include <Services/Gateway/OnlineCall.h>
 #include <platform/JobFormat.h>
@@ -33,7 +33,7 @@
  */
 std::chrono::milliseconds retryAfterOutage(const RequestTraits &traits)
 {
-    return traits.timeout.value_or(defaultTimeout) / returnShare;
+    return traits.timeout.value_or(defaultTimeout) / retryAfterDivisor;
 }
 
 /** @return the challenge of an answer that asks for a key (RFC 6750, section 3). */
--- a/Services/Gateway/ItemAttempt.cpp
+++ b/Services/Gateway/ItemAttempt.cpp
@@ -344,7 +344,7 @@
     this->context.loop.cancel(std::exchange(this->silenceTimer, 0));
     if (this->replica) {
         const std::uint64_t generated = this->lastEvent.value_or(0) - this->run.after;
-        this->context.itemRuns[this->target.service].noteRun(generated, this->context.clock.now() - this->sent);
+        this->context.itemRuns[this->target.service].recordRun(generated, this->context.clock.now() - this->sent);
     }
     if (this->call != 0) {
         this->context.replicas.cancel(std::exchange(this->call, 0));
@@ -393,7 +393,7 @@
     this->leave(PlacementVerdict::Finished);
     if (end == End::Completed) {
         this->context.noteRequestServed(this->fingerprint);
-        this->context.itemRuns[this->target.service].noteCompleted(this->lastEvent.value_or(0));
+        this->context.itemRuns[this->target.service].recordCompleted(this->lastEvent.value_or(0));
     }
     const std::function<void(End, std::string)> ended = this->hooks.ended;
     ended(end, std::move(this->output));
--- a/Services/Gateway/OnlineCall.cpp
+++ b/Services/Gateway/OnlineCall.cpp
@@ -296,8 +296,9 @@
     query.service = this->service;
     query.priority = priorityOf(this->route, this->workspace);
     query.arrived = this->arrived;
-    query.due = this->isStream() ? this->context.firstEvents[this->service].placeBy(this->arrived, this->route.objective)
-                                 : this->arrived + this->route.objective;
+    query.due = this->isStream()
+        ? this->context.firstEvents[this->service].placementDeadline(this->arrived, this->route.objective)
+        : this->arrived + this->route.objective;
     query.deadline = this->deadline;
     query.content = this->fingerprint;
     query.mayRefuse = this->attempts == 0 && !this->exchange->isBegun();
@@ -432,7 +433,7 @@
             this->noteOrigin();
             this->exchange->begin(this->answer.status, this->answer.headers.forwarded());
             this->context.metrics.countFirstByte(this->route.name, this->now() - this->arrived);
-            this->context.firstEvents[this->service].note(this->now() - this->sent);
+            this->context.firstEvents[this->service].record(this->now() - this->sent);
         }
         passed.append(event.text);
     }
--- a/Services/Gateway/PlacementClient.cpp
+++ b/Services/Gateway/PlacementClient.cpp
@@ -154,7 +154,7 @@
         query.version = *sole;
         query.soleVersionFor = std::chrono::milliseconds(0);
     }
-    const std::optional<EndpointName> chosen = state.local.choose(this->own, query);
+    const std::optional<EndpointName> chosen = state.local.select(this->own, query);
     if (!chosen) {
         if (!state.isDispatched && !query.version.value().empty()) {
             this->refuseLater(ticket, query);
@@ -170,7 +170,7 @@
 
 void PlacementClient::refuseLater(Ticket ticket, const PlacementQuery &query)
 {
-    const auto retryAfter = millisecondsOf((query.deadline - this->clock.now()) / returnShare);
+    const auto retryAfter = millisecondsOf((query.deadline - this->clock.now()) / retryAfterDivisor);
     this->decideLater(ticket, {.decision = PlacementDecision::Refused, .retryAfter = retryAfter});
 }
 
--- a/Services/Gateway/PlacementServer.cpp
+++ b/Services/Gateway/PlacementServer.cpp
@@ -198,7 +198,7 @@
 void PlacementServer::take(const PlacementBegun &begun)
 {
     if (Dispatcher *const dispatcher = this->findDispatcher(ServiceName(begun.service))) {
-        dispatcher->noteLoad(begun.replica, begun.load);
+        dispatcher->recordLoad(begun.replica, begun.load);
     }
 }
 
@@ -225,13 +225,13 @@
     if (ask.soleVersionFor.count() > 0) {
         const std::optional<SoftwareVersion> sole = this->soleVersion(service, ask.soleVersionFor);
         if (!sole) {
-            const std::chrono::milliseconds retryAfter = ask.timeout / returnShare;
+            const std::chrono::milliseconds retryAfter = ask.timeout / retryAfterDivisor;
             this->answer(service, request.id, {ask.ticket, ask.service, PlacementDecision::Refused, {}, retryAfter, {}, {}, {}});
             return;
         }
         request.version = *sole;
     }
-    if (!dispatcher.ask(request)) {
+    if (!dispatcher.submit(request)) {
         this->answer(service, request.id, {ask.ticket, ask.service, PlacementDecision::Waiting, {}, {}, {}, {}, {}});
     }
 }
--- a/Services/Gateway/ReplicaCall.cpp
+++ b/Services/Gateway/ReplicaCall.cpp
@@ -40,7 +40,7 @@
     for (const Address &address : context.replicas.connectedAddresses(longestIdle)) {
         const ServingReplica *const replica = context.listed.findAt(address);
         if (replica != nullptr && replica->service == service) {
-            marks.push_back(markOf(replica->instance));
+            marks.push_back(nameHashOf(replica->instance));
         }
     }
     return marks;
--- a/Tests/LibDispatch/TestBrinkReplay.cpp
+++ b/Tests/LibDispatch/TestBrinkReplay.cpp
@@ -85,18 +85,18 @@
         PlacementRequest request;
         request.id = {SessionNumber(1), ++this->last};
         request.arrived = this->clock.now();
-        request.due = this->estimate.placeBy(request.arrived, objective);
+        request.due = this->estimate.placementDeadline(request.arrived, objective);
         request.deadline = request.arrived + 5s;
         ++this->outcome.requests;
         this->waiting[this->last] = request;
-        this->dispatcher.ask(request);
+        this->dispatcher.submit(request);
     }
 
     void askAgain()
     {
         const std::map<std::uint64_t, PlacementRequest> again = this->waiting;
         for (const auto &[number, request] : again) {
-            this->dispatcher.ask(request);
+            this->dispatcher.submit(request);
         }
     }
 
@@ -108,7 +108,7 @@
         }
         std::normal_distribution<double> first(meanFirst, spreadFirst);
         const std::chrono::milliseconds took(static_cast<int>(std::max(first(this->random), 62.0)));
-        this->estimate.note(took);
+        this->estimate.record(took);
         const auto seen = wayIn + (this->clock.now() - asked.mapped().arrived) + wayOfPlace + took + wayOut;
         this->outcome.onTime += seen <= objective ? 1 : 0;
         this->ends.emplace(this->clock.now() + streamTime, number);
--- a/Tests/LibDispatch/TestConnectionReplay.cpp
+++ b/Tests/LibDispatch/TestConnectionReplay.cpp
@@ -50,13 +50,13 @@
                           {.place =
                                [&](TicketId id, const EndpointName &replica) {
                                    Idle &own = idle.at(id.node.value() - 1);
-                                   const auto open = own.find(markOf(replica));
+                                   const auto open = own.find(nameHashOf(replica));
                                    if (open != own.end()) {
                                        own.erase(open);
                                    } else {
                                        ++outcome.connections;
                                    }
-                                   ends.emplace(clock.now() + streamTime, std::pair(id, markOf(replica)));
+                                   ends.emplace(clock.now() + streamTime, std::pair(id, nameHashOf(replica)));
                                },
                            .stop = [](TicketId) {},
                            .refuse = [](TicketId, std::chrono::milliseconds) {}});
@@ -95,7 +95,7 @@
                 request.connected.push_back(mark);
             }
         }
-        outcome.waited += dispatcher.ask(request) ? 0 : 1;
+        outcome.waited += dispatcher.submit(request) ? 0 : 1;
     }
     return outcome;
 }
@@ -141,8 +141,8 @@
         request.id = {SessionNumber(1), number};
         request.due = clock.now() + 1s;
         request.deadline = clock.now() + 5s;
-        request.connected = {markOf(EndpointName("a"))};
-        dispatcher.ask(request);
+        request.connected = {nameHashOf(EndpointName("a"))};
+        dispatcher.submit(request);
     }
     CHECK(placed["a"] - placed["b"] <= 2);
 }
--- a/Tests/LibDispatch/TestDispatcher.cpp
+++ b/Tests/LibDispatch/TestDispatcher.cpp
@@ -37,7 +37,7 @@
         this->replicas = equalReplicas(replicas, slots);
         this->dispatcher.setReplicas(this->replicas);
         for (const DispatchReplica &replica : this->replicas) {
-            this->dispatcher.noteLoad(replica.instance, {});
+            this->dispatcher.recordLoad(replica.instance, {});
         }
         this->pass(std::chrono::seconds(1));
     }
@@ -55,7 +55,7 @@
 
     void ask(std::uint64_t number, WorkClass work = WorkClass::Online)
     {
-        this->dispatcher.ask(this->request(number, work));
+        this->dispatcher.submit(this->request(number, work));
     }
 
     void end(std::uint64_t number, PlacementVerdict verdict = PlacementVerdict::Finished)
@@ -239,8 +239,8 @@
     late.due = bench.clock.now() - std::chrono::seconds(1);
     PlacementRequest inTime = bench.request(2, WorkClass::Batch);
     bench.ask(3);
-    bench.dispatcher.ask(late);
-    bench.dispatcher.ask(inTime);
+    bench.dispatcher.submit(late);
+    bench.dispatcher.submit(inTime);
     bench.end(3);
     bench.pass(std::chrono::milliseconds(50));
     CHECK(bench.isPlaced(2));
@@ -257,9 +257,9 @@
     PlacementRequest relaxed = bench.request(2, WorkClass::Batch);
     PlacementRequest late = bench.request(3, WorkClass::Batch);
     late.due = bench.clock.now() - std::chrono::seconds(1);
-    bench.dispatcher.ask(urgent);
-    bench.dispatcher.ask(relaxed);
-    bench.dispatcher.ask(late);
+    bench.dispatcher.submit(urgent);
+    bench.dispatcher.submit(relaxed);
+    bench.dispatcher.submit(late);
     for (std::uint64_t number = 4; number <= 6; ++number) {
         bench.ask(number);
     }
@@ -373,7 +373,7 @@
         if (this->below(3) == 0) {
             request.avoided.emplace_back("r" + std::to_string(this->below(4)));
         }
-        this->dispatcher.ask(request);
+        this->dispatcher.submit(request);
     }
 
     void end(TicketId id)
@@ -481,7 +481,7 @@
         PlacementRequest wanted = this->request(number);
         wanted.version = version;
         wanted.avoided = avoided;
-        this->dispatcher.ask(wanted);
+        this->dispatcher.submit(wanted);
     }
 };
 
@@ -546,7 +546,7 @@
     const auto askItem = [&bench](std::uint64_t number, const SoftwareVersion &version) {
         PlacementRequest item = bench.request(number, WorkClass::Batch);
         item.version = version;
-        bench.dispatcher.ask(item);
+        bench.dispatcher.submit(item);
     };
     for (std::uint64_t number = 1; number <= 8; ++number) {
         askItem(number, number % 2 == 0 ? newVersion : oldVersion);
--- a/Tests/LibDispatch/TestFirstEventEstimate.cpp
+++ b/Tests/LibDispatch/TestFirstEventEstimate.cpp
@@ -8,12 +8,12 @@
 {
     FirstEventEstimate estimate;
     for (int i = 0; i < 200; ++i) {
-        estimate.note(std::chrono::milliseconds(i % 2 == 0 ? 85 : 95));
+        estimate.record(std::chrono::milliseconds(i % 2 == 0 ? 85 : 95));
     }
     // Long enough for all of them, and little longer.
     CHECK(estimate.value() >= std::chrono::milliseconds(95));
     CHECK(estimate.value() <= std::chrono::milliseconds(105));
-    estimate.note(std::chrono::seconds(5));
+    estimate.record(std::chrono::seconds(5));
     CHECK(estimate.value() <= std::chrono::milliseconds(125));
 }
 
@@ -22,7 +22,7 @@
     FirstEventEstimate estimate;
     const SteadyTime arrived{std::chrono::hours(1)};
     const std::chrono::milliseconds objective{300};
-    CHECK(estimate.placeBy(arrived, objective) < arrived + objective - estimate.value());
-    CHECK(estimate.placeBy(arrived, objective) > arrived + std::chrono::milliseconds(150));
-    CHECK(estimate.placeBy(arrived, std::chrono::milliseconds(20)) == arrived);
+    CHECK(estimate.placementDeadline(arrived, objective) < arrived + objective - estimate.value());
+    CHECK(estimate.placementDeadline(arrived, objective) > arrived + std::chrono::milliseconds(150));
+    CHECK(estimate.placementDeadline(arrived, std::chrono::milliseconds(20)) == arrived);
 }
--- a/Tests/LibDispatch/TestItemEstimate.cpp
+++ b/Tests/LibDispatch/TestItemEstimate.cpp
@@ -8,9 +8,9 @@
 {
     ItemEstimate estimate;
     for (int i = 0; i < 200; ++i) {
-        estimate.noteCompleted(100);
-        estimate.noteRun(50, std::chrono::milliseconds(500));
-        estimate.noteRun(3, std::chrono::milliseconds(500));
+        estimate.recordCompleted(100);
+        estimate.recordRun(50, std::chrono::milliseconds(500));
+        estimate.recordRun(3, std::chrono::milliseconds(500));
     }
     CHECK(estimate.remaining(0) >= std::chrono::milliseconds(990));
     CHECK(estimate.remaining(0) <= std::chrono::milliseconds(1010));
--- a/Tests/LibDispatch/TestItemReplay.cpp
+++ b/Tests/LibDispatch/TestItemReplay.cpp
@@ -85,7 +85,7 @@
         this->jobRate = all * itemShare / (meanEvents * std::chrono::duration<double>(perEvent).count()) / jobItems;
         this->dispatcher.setReplicas(equalReplicas(replicaCount, slots));
         for (const DispatchReplica &replica : equalReplicas(replicaCount, slots)) {
-            this->dispatcher.noteLoad(replica.instance, {});
+            this->dispatcher.recordLoad(replica.instance, {});
         }
     }
 
@@ -135,7 +135,7 @@
         request.deadline = this->clock.now() + 5s;
         ++this->outcome.requests;
         this->asked[this->last] = request;
-        this->dispatcher.ask(request);
+        this->dispatcher.submit(request);
     }
 
     void askItem(const Item &item)
@@ -149,7 +149,7 @@
         request.deadline = this->clock.now() + 1h;
         this->items[this->last] = item;
         this->asked[this->last] = request;
-        this->dispatcher.ask(request);
+        this->dispatcher.submit(request);
     }
 
     void begin(std::uint64_t number, const EndpointName &replica)
@@ -179,8 +179,8 @@
             if (const auto item = this->items.extract(number); !item.empty()) {
                 ++this->outcome.itemsDone;
                 this->outcome.itemsOnTime += this->clock.now() <= item.mapped().due ? 1 : 0;
-                this->estimate.noteRun(item.mapped().size - item.mapped().generated, this->clock.now() - item.mapped().began);
-                this->estimate.noteCompleted(item.mapped().size);
+                this->estimate.recordRun(item.mapped().size - item.mapped().generated, this->clock.now() - item.mapped().began);
+                this->estimate.recordCompleted(item.mapped().size);
             }
             this->dispatcher.end({SessionNumber(1), number}, PlacementVerdict::Finished);
         }
@@ -224,7 +224,7 @@
                 again.push_back(request);
             }
             for (const PlacementRequest &request : again) {
-                this->dispatcher.ask(request);
+                this->dispatcher.submit(request);
             }
         }
     }
--- a/Tests/LibDispatch/TestLeftoverReplay.cpp
+++ b/Tests/LibDispatch/TestLeftoverReplay.cpp
@@ -140,7 +140,7 @@
     dispatcher.setReplicas(equalReplicas(replicaCount, slots));
     if (reported == Reported::No) {
         for (const DispatchReplica &replica : equalReplicas(replicaCount, slots)) {
-            dispatcher.noteLoad(replica.instance, {});
+            dispatcher.recordLoad(replica.instance, {});
         }
     }
     const auto ask = [&](std::uint64_t number, WorkClass work) {
@@ -150,7 +150,7 @@
         request.arrived = clock.now();
         request.due = clock.now() + (work == WorkClass::Online ? objective : std::chrono::milliseconds(4000));
         request.deadline = clock.now() + 5s;
-        dispatcher.ask(request);
+        dispatcher.submit(request);
     };
     const auto end = [&](std::uint64_t number) {
         placedAt.erase(number);
@@ -180,7 +180,7 @@
             const ReportedLoad load = engines.load(instance);
             const bool isNews = !isOnline || load.waiting > 0 || load.running >= slots;
             if (reported == Reported::Yes && isNews) {
-                dispatcher.noteLoad(instance, load);
+                dispatcher.recordLoad(instance, load);
             }
         }
         // What comes in the last moments can't be judged any more.
--- a/Tests/LibDispatch/TestLoadReplay.cpp
+++ b/Tests/LibDispatch/TestLoadReplay.cpp
@@ -105,7 +105,7 @@
                            .refuse = [](TicketId, std::chrono::milliseconds) {}});
     dispatcher.setReplicas(equalReplicas(replicaCount, slots));
     for (const DispatchReplica &replica : equalReplicas(replicaCount, slots)) {
-        dispatcher.noteLoad(replica.instance, {});
+        dispatcher.recordLoad(replica.instance, {});
     }
     std::uint64_t last = 0;
     const auto ask = [&](WorkClass work) {
@@ -121,7 +121,7 @@
             arrived[last] = clock.now();
         }
         waiting[last] = request;
-        dispatcher.ask(request);
+        dispatcher.submit(request);
     };
     const auto endRun = [&](std::uint64_t number) {
         running.erase(number);
@@ -170,7 +170,7 @@
                 asked.push_back(request);
             }
             for (const PlacementRequest &request : asked) {
-                dispatcher.ask(request);
+                dispatcher.submit(request);
             }
         }
     }
@@ -222,7 +222,7 @@
         }
         ++asked;
         const std::size_t node = random() % nodeCount;
-        const std::optional<EndpointName> chosen = nodes[node]->choose(FailureDomain("z"), {});
+        const std::optional<EndpointName> chosen = nodes[node]->select(FailureDomain("z"), {});
         REQUIRE(chosen);
         nodes[node]->begin(*chosen);
         if (engines[*chosen].running < slots) {
--- a/Tests/LibDispatch/TestRefusalReplay.cpp
+++ b/Tests/LibDispatch/TestRefusalReplay.cpp
@@ -128,7 +128,7 @@
         request.content = caller.content;
         request.mayRefuse = this->refusing == Refusing::Yes;
         this->waiting[request.id.number] = caller;
-        this->dispatcher.ask(PlacementRequest(request));
+        this->dispatcher.submit(PlacementRequest(request));
     }
 
     void askAgain()
@@ -143,7 +143,7 @@
             waits = isOver ? this->waiting.erase(waits) : std::next(waits);
         }
         for (const PlacementRequest &request : asked) {
-            this->dispatcher.ask(request);
+            this->dispatcher.submit(request);
         }
     }
 
--- a/Tests/LibDispatch/TestReplicaIndex.cpp
+++ b/Tests/LibDispatch/TestReplicaIndex.cpp
@@ -31,7 +31,7 @@
         DispatchedReplica &replica = this->all[number];
         replica.number = number;
         replica.traits = {EndpointName("r" + std::to_string(number)), FailureDomain("z" + std::to_string(number % 3)), 4, false};
-        replica.mark = markOf(replica.traits.instance);
+        replica.mark = nameHashOf(replica.traits.instance);
         this->index.update(replica);
     }
 
@@ -125,7 +125,7 @@
             request.work = step % 2 == 0 ? WorkClass::Online : WorkClass::Batch;
             request.failureDomain = FailureDomain("z" + std::to_string(step % 3));
             request.avoided = {EndpointName("r" + std::to_string(step % 5))};
-            request.connected = {markOf(EndpointName("r" + std::to_string(step % 7)))};
+            request.connected = {nameHashOf(EndpointName("r" + std::to_string(step % 7)))};
             replicas.index.refresh();
             RC_ASSERT(replicas.isBest(replicas.index.best(request), request));
         }
@@ -137,7 +137,7 @@
 {
     Replicas replicas(1);
     PlacementRequest request;
-    request.connected = {markOf(EndpointName("r0"))};
+    request.connected = {nameHashOf(EndpointName("r0"))};
     REQUIRE(replicas.index.best(request) == &replicas.all.at(0));
     replicas.remove(0);
     CHECK(replicas.index.best(request) == nullptr);
--- a/Tests/LibDispatch/TestReturnSchedule.cpp
+++ b/Tests/LibDispatch/TestRetrySchedule.cpp
@@ -1,6 +1,6 @@
 #include <LibBase/ManualClock.h>
 #include <LibDispatch/LoadForecast.h>
-#include <LibDispatch/ReturnSchedule.h>
+#include <LibDispatch/RetrySchedule.h>
 
 #include <doctest/doctest.h>
 
@@ -10,7 +10,7 @@
 {
     const SteadyTime now = SteadyTime(std::chrono::seconds(100));
     const SteadyTime latest = now + std::chrono::milliseconds(500);
-    ReturnSchedule schedule;
+    RetrySchedule schedule;
     CHECK(schedule.promise(1, now, now + std::chrono::milliseconds(300), latest, 10) == now + std::chrono::milliseconds(300));
     CHECK(schedule.promise(2, now, now + std::chrono::milliseconds(300), latest, 10) == now + std::chrono::milliseconds(400));
     CHECK(schedule.promise(3, now, now, latest, 10) == latest);
@@ -26,7 +26,7 @@
 TEST_CASE("who does not come back is forgotten")
 {
     const SteadyTime now = SteadyTime(std::chrono::seconds(100));
-    ReturnSchedule schedule;
+    RetrySchedule schedule;
     schedule.expect(1, now, now + std::chrono::seconds(1));
     schedule.forgetOld(now + std::chrono::seconds(2));
     CHECK_FALSE(schedule.take(1)->isPromised);
@@ -43,7 +43,7 @@
     LoadForecast forecast(clock);
     forecast.setSlots(100);
     CHECK(forecast.serviceRate() == 0);
-    forecast.noteRun(std::chrono::seconds(1));
+    forecast.recordRun(std::chrono::seconds(1));
     CHECK(forecast.serviceRate() == doctest::Approx(100));
     for (int arrival = 0; arrival < 250; ++arrival) {
         clock.advance(std::chrono::milliseconds(20));
