--- a/Libraries/LibDispatch/Dispatcher.cpp
+++ b/Libraries/LibDispatch/Dispatcher.cpp
@@ -10,29 +10,29 @@
 {
 
 /** A waiting request that its node has not asked for again in this time is over: the word of its end was lost. */
-constexpr std::chrono::milliseconds waitingForgotten{800};
-constexpr std::chrono::milliseconds batchWaitingForgotten{4000};
+constexpr std::chrono::milliseconds waitingRetention{800};
+constexpr std::chrono::milliseconds batchWaitingRetention{4000};
 /** A placement that its node has not reported in this time is over; nodes report several times as often. */
-constexpr std::chrono::milliseconds placementForgotten{1500};
+constexpr std::chrono::milliseconds placementRetention{1500};
 /** A report may have left its node before the word of a placement reached it; longer than any datagram travels. */
 constexpr std::chrono::milliseconds reportLag{250};
 /** An order to stop that has had no effect by then was lost, and is repeated. */
-constexpr std::chrono::milliseconds stopRepeat{40};
+constexpr std::chrono::milliseconds stopRepeatInterval{40};
 /** An item that may wait for less than this would be late if it were stopped: most likely no slot is free again sooner. */
-constexpr std::chrono::milliseconds stopSlack{500};
+constexpr std::chrono::milliseconds minStopSlack{500};
 /** Of an item whose slack was not told: it may be stopped, but after those that are known to have more. */
 constexpr std::chrono::milliseconds unknownSlack{1000};
 /** How often what is over is looked for among all that runs and waits: several times as often as the shortest time below. */
-constexpr std::chrono::milliseconds cleanInterval{100};
+constexpr std::chrono::milliseconds cleanupInterval{100};
 
 /** So many items with the most time to spare are looked at for one whose replica has an open connection. */
-constexpr std::size_t victimsCompared = 24;
+constexpr std::size_t maxVictimsCompared = 24;
 
 /** A late request without a prospect is told so after this part (one in so many) of its caller's time, while there is time
  * left to come back. */
-constexpr int hopelessParts = 3;
+constexpr int lateRefusalDivisor = 3;
 /** A service with so much of its capacity unused in the long run has bursts; with less, its load stays. */
-constexpr double burstRoom = 0.05;
+constexpr double minSpareShare = 0.05;
 
 } // namespace
 
@@ -64,10 +64,10 @@
     }
     this->forecast.setSlots(this->slotCount);
     if (isAnyLeaving) {
-        this->leaveReplicas();
+        this->drainReplicas();
     }
     this->assign();
-    this->tell();
+    this->deliverDecisions();
 }
 
 void Dispatcher::putReplica(const DispatchReplica &traits)
@@ -75,7 +75,7 @@
     const auto [found, isNew] = this->replicas.try_emplace(traits.instance);
     DispatchedReplica &replica = found->second;
     if (isNew) {
-        replica.mark = nameHashOf(traits.instance);
+        replica.nameHash = nameHashOf(traits.instance);
         replica.number = ++this->lastReplica;
     } else {
         this->slotCount -= slotsOf(replica);
@@ -87,13 +87,13 @@
     this->index.update(replica);
 }
 
-void Dispatcher::leaveReplicas()
+void Dispatcher::drainReplicas()
 {
     for (auto placement = this->placements.begin(); placement != this->placements.end();) {
         const auto next = std::next(placement);
         const DispatchedReplica *const replica = this->replicaOf(placement->second);
         if (replica == nullptr) {
-            this->forget(placement);
+            this->erasePlacement(placement);
         } else if (replica->traits.isDraining && placement->second.work == WorkClass::Batch && !placement->second.stopped) {
             // Items make up what they lose; they must not hold up a replica that leaves.
             this->stop(placement->second);
@@ -108,30 +108,30 @@
     if (placed != this->placements.end()) {
         placed->second.confirmed = this->clock.now();
         this->decisions.push_back({PlacementDecision::Placed, request.id, placed->second.replica, {}});
-        this->tell();
+        this->deliverDecisions();
         return true;
     }
     if (WaitingQueue::Waiting *const waiting = this->waiting.find(request.id)) {
-        waiting->asked = this->clock.now();
+        waiting->lastRequested = this->clock.now();
         return false;
     }
     if (!this->isVersionServed(request)) {
-        this->sendAway(request, (request.deadline - this->clock.now()) / retryAfterDivisor);
-        this->tell();
+        this->refuseRequest(request, (request.deadline - this->clock.now()) / retryAfterDivisor);
+        this->deliverDecisions();
         return true;
     }
-    PlacementRequest taken = request;
-    this->welcome(taken);
-    this->waiting.add(taken, this->clock.now());
+    PlacementRequest admitted = request;
+    this->recognizeRetry(admitted);
+    this->waiting.add(admitted, this->clock.now());
     this->assign();
-    this->forecast.noteWaiting(this->waiting.isAnyOnTime());
-    this->sendAwayIfLate(taken);
+    this->forecast.recordWaiting(this->waiting.isAnyOnTime());
+    this->refuseIfLate(admitted);
     const bool isDecided = !this->waiting.contains(request.id);
-    this->tell();
+    this->deliverDecisions();
     return isDecided;
 }
 
-void Dispatcher::tell()
+void Dispatcher::deliverDecisions()
 {
     for (const Decision &decision : std::exchange(this->decisions, {})) {
         switch (decision.kind) {
@@ -177,7 +177,7 @@
     return open != this->openVersions.end() && open->second > unusable;
 }
 
-void Dispatcher::sendAwayUnserved()
+void Dispatcher::refuseUnserved()
 {
     std::vector<PlacementRequest> unserved;
     for (const WorkClass work : {WorkClass::Online, WorkClass::Batch}) {
@@ -188,31 +188,31 @@
         }
     }
     for (const PlacementRequest &request : unserved) {
-        this->sendAway(request, (request.deadline - this->clock.now()) / retryAfterDivisor);
+        this->refuseRequest(request, (request.deadline - this->clock.now()) / retryAfterDivisor);
     }
 }
 
-void Dispatcher::welcome(PlacementRequest &request)
+void Dispatcher::recognizeRetry(PlacementRequest &request)
 {
     if (request.work != WorkClass::Online || !request.mayRefuse) {
         return;
     }
-    const std::optional<RetrySchedule::Return> back = this->returns.take(request.content);
-    if (!back) {
-        this->forecast.noteArrival();
+    const std::optional<RetrySchedule::Retry> retry = this->retries.extract(request.content);
+    if (!retry) {
+        this->forecast.recordArrival();
         return;
     }
     // One that was promised a place goes before all that came after it, and is not sent away a second time. One that was not
     // promised any goes behind those that can be on time: they would be late in its stead.
-    request.arrived = std::min(request.arrived, back->arrived);
-    if (back->isPromised) {
+    request.arrived = std::min(request.arrived, retry->arrived);
+    if (retry->isReserved) {
         request.mayRefuse = false;
     } else {
         request.due = this->clock.now() - std::chrono::milliseconds(1);
     }
 }
 
-void Dispatcher::sendAwayIfLate(const PlacementRequest &request)
+void Dispatcher::refuseIfLate(const PlacementRequest &request)
 {
     const double rate = this->forecast.serviceRate();
     if (!request.mayRefuse || !this->waiting.contains(request.id) || rate <= 0) {
@@ -220,52 +220,52 @@
     }
     const SteadyTime now = this->clock.now();
     const std::chrono::duration<double> wait(static_cast<double>(this->waiting.onTimeAhead(request.priority)) / rate);
-    const SteadyTime longest = now + (request.deadline - now) / retryAfterDivisor;
+    const SteadyTime latest = now + (request.deadline - now) / retryAfterDivisor;
     const std::optional<SteadyTime> burstEnd = this->forecast.burstEnd();
     // Who comes back into the same burst would take the place of one that can still be on time. Served late after the burst, it
     // loses less.
-    if (now + wait <= request.due || !burstEnd || *burstEnd > longest) {
+    if (now + wait <= request.due || !burstEnd || *burstEnd > latest) {
         return;
     }
-    const SteadyTime earliest = std::max(*burstEnd, now + (longest - now) / 2);
-    const std::optional<SteadyTime> comes
-        = this->returns.promise(request.content, request.arrived, earliest, longest, this->forecast.usualRoom());
-    if (comes) {
-        this->sendAway(request, *comes - now);
+    const SteadyTime earliest = std::max(*burstEnd, now + (latest - now) / 2);
+    const std::optional<SteadyTime> retryAt
+        = this->retries.reserve(request.content, request.arrived, earliest, latest, this->forecast.spareCapacity());
+    if (retryAt) {
+        this->refuseRequest(request, *retryAt - now);
     }
 }
 
-void Dispatcher::sendAwayHopeless()
+void Dispatcher::refuseUnplaceable()
 {
     // After a burst the late ones are served; only where the load stays they are not. A dispatcher that is too young to tell
     // takes the load for one that stays: who is sent away then comes back within a third of its time.
     const double rate = this->forecast.serviceRate();
-    if (rate <= 0 || this->forecast.usualRoom() > rate * burstRoom) {
+    if (rate <= 0 || this->forecast.spareCapacity() > rate * minSpareShare) {
         return;
     }
     const SteadyTime now = this->clock.now();
-    const double lateRate = this->forecast.lateRate();
-    std::vector<PlacementRequest> hopeless;
+    const double latePlacementRate = this->forecast.latePlacementRate();
+    std::vector<PlacementRequest> unplaceable;
     std::size_t ahead = 0;
     for (const auto &[key, waiting] : this->waiting.of(WorkClass::Online)) {
         const PlacementRequest &request = waiting.request;
         const bool isLate = std::get<1>(key);
-        const bool hasWaitedLong = (now - request.arrived) * hopelessParts > request.deadline - request.arrived;
+        const bool hasWaitedLong = (now - request.arrived) * lateRefusalDivisor > request.deadline - request.arrived;
         const std::chrono::duration<double> remaining = request.deadline - now;
         ahead += isLate ? 1 : 0;
-        if (isLate && request.mayRefuse && hasWaitedLong && static_cast<double>(ahead) > lateRate * remaining.count()) {
-            hopeless.push_back(request);
+        if (isLate && request.mayRefuse && hasWaitedLong && static_cast<double>(ahead) > latePlacementRate * remaining.count()) {
+            unplaceable.push_back(request);
             --ahead;
         }
     }
-    for (const PlacementRequest &request : hopeless) {
+    for (const PlacementRequest &request : unplaceable) {
         const std::chrono::nanoseconds retryAfter = (request.deadline - now) / retryAfterDivisor;
-        this->returns.expect(request.content, request.arrived, now + retryAfter);
-        this->sendAway(request, retryAfter);
+        this->retries.expect(request.content, request.arrived, now + retryAfter);
+        this->refuseRequest(request, retryAfter);
     }
 }
 
-void Dispatcher::sendAway(const PlacementRequest &request, std::chrono::nanoseconds retryAfter)
+void Dispatcher::refuseRequest(const PlacementRequest &request, std::chrono::nanoseconds retryAfter)
 {
     this->waiting.remove(request.id);
     const auto wait = std::chrono::ceil<std::chrono::milliseconds>(retryAfter);
@@ -277,20 +277,20 @@
     this->waiting.remove(id);
     const auto placed = this->placements.find(id);
     if (placed != this->placements.end()) {
-        this->remove(placed, verdict);
+        this->endPlacement(placed, verdict);
     }
     this->assign();
-    this->tell();
+    this->deliverDecisions();
 }
 
 void Dispatcher::recordLoad(const EndpointName &instance, const ReportedLoad &load)
 {
     const auto found = this->replicas.find(instance);
     if (found != this->replicas.end()) {
-        found->second.slots.noteReported(load, this->clock.now());
+        found->second.slots.recordReport(load, this->clock.now());
         this->index.update(found->second);
         this->assign();
-        this->tell();
+        this->deliverDecisions();
     }
 }
 
@@ -312,7 +312,7 @@
             reported.erase(report);
         } else if (isReported || isCovered) {
             // It is over; or its node had waited too long for the answer, and chose a replica by itself.
-            this->forget(placement);
+            this->erasePlacement(placement);
         }
         placement = next;
     }
@@ -325,14 +325,14 @@
         const TicketId id{node, number};
         this->waiting.remove(id);
         this->placements.emplace(id, Placement{id, work, entry->replica, now, now, unknownSlack, std::nullopt});
-        replica->second.slots.take(work);
+        replica->second.slots.acquire(work);
         this->index.update(replica->second);
         if (work == WorkClass::Batch) {
             this->stoppable.emplace(unknownSlack, id);
         }
     }
     this->assign();
-    this->tell();
+    this->deliverDecisions();
 }
 
 void Dispatcher::dropNode(SessionNumber node)
@@ -343,41 +343,42 @@
     for (auto placement = this->placements.lower_bound({node, 0});
          placement != this->placements.end() && placement->first.node == node;) {
         const auto next = std::next(placement);
-        this->forget(placement);
+        this->erasePlacement(placement);
         placement = next;
     }
     this->assign();
-    this->tell();
+    this->deliverDecisions();
 }
 
 void Dispatcher::tick()
 {
     const SteadyTime now = this->clock.now();
-    if (now >= this->nextClean) {
-        this->nextClean = now + cleanInterval;
-        this->forgetOver();
-        this->sendAwayUnserved();
-    }
-    this->waiting.sinkLate();
-    this->forecast.noteWaiting(this->waiting.isAnyOnTime());
-    this->sendAwayHopeless();
-    this->returns.forgetOld(now);
+    if (now >= this->nextCleanup) {
+        this->nextCleanup = now + cleanupInterval;
+        this->removeExpiredWork();
+        this->refuseUnserved();
+    }
+    this->waiting.demoteLate();
+    this->forecast.recordWaiting(this->waiting.isAnyOnTime());
+    this->refuseUnplaceable();
+    this->retries.removeExpired(now);
     this->repeatStops();
     this->assign();
-    this->tell();
+    this->deliverDecisions();
 }
 
-void Dispatcher::forgetOver()
+void Dispatcher::removeExpiredWork()
 {
     const SteadyTime now = this->clock.now();
     this->waiting.removeIf([now](const WaitingQueue::Waiting &waiting) {
         const bool isBatch = waiting.request.work == WorkClass::Batch;
-        return now - waiting.asked > (isBatch ? batchWaitingForgotten : waitingForgotten) || now > waiting.request.deadline;
+        return now - waiting.lastRequested > (isBatch ? batchWaitingRetention : waitingRetention)
+            || now > waiting.request.deadline;
     });
     for (auto placement = this->placements.begin(); placement != this->placements.end();) {
         const auto next = std::next(placement);
-        if (now - placement->second.confirmed > placementForgotten) {
-            this->forget(placement);
+        if (now - placement->second.confirmed > placementRetention) {
+            this->erasePlacement(placement);
         }
         placement = next;
     }
@@ -388,7 +389,7 @@
     const SteadyTime now = this->clock.now();
     for (const TicketId id : this->stopping) {
         Placement &entry = this->placements.at(id);
-        if (now - *entry.stopped > stopRepeat) {
+        if (now - *entry.stopped > stopRepeatInterval) {
             entry.stopped = now;
             this->decisions.push_back({PlacementDecision::Stopped, id, {}, {}});
         }
@@ -417,7 +418,7 @@
     this->index.refresh();
     this->assignFrom(WorkClass::Online, &Dispatcher::placeOnline);
     if (online.empty()) {
-        this->assignFrom(WorkClass::Batch, &Dispatcher::placeOpen);
+        this->assignFrom(WorkClass::Batch, &Dispatcher::placeInFreeSlot);
     }
 }
 
@@ -425,31 +426,31 @@
 {
     const WaitingQueue::Queue &queue = this->waiting.of(work);
     const bool mayStop = work == WorkClass::Online;
-    std::set<SoftwareVersion> full;
+    std::set<SoftwareVersion> fullVersions;
     for (auto next = queue.begin(); next != queue.end();) {
         if (this->index.isEmpty() && (!mayStop || this->stoppable.empty())) {
             return;
         }
         const WaitingQueue::Key key = next->first;
-        if (full.contains(next->second.request.version)) {
+        if (fullVersions.contains(next->second.request.version)) {
             ++next;
             continue;
         }
         const PlacementRequest request = next->second.request;
-        if (this->waiting.sinkIfLate(request.id)) {
+        if (this->waiting.demoteIfLate(request.id)) {
             // Since the last look it has become late: who is still on time goes first. It comes again behind those.
             next = queue.upper_bound(key);
             continue;
         }
         if ((this->*place)(request)) {
             this->waiting.remove(request.id);
-        } else if (!request.isChoosy()) {
+        } else if (!request.isRestricted()) {
             // One that finds no place though any replica will do shows that there is none for the others either.
             return;
         } else if (request.avoided.empty()) {
             // The same for others of its version.
-            full.insert(request.version);
-            if (!mayStop && !this->index.isAnyOpenForItems(full)) {
+            fullVersions.insert(request.version);
+            if (!mayStop && !this->index.isAnyOpenForItems(fullVersions)) {
                 return;
             }
         }
@@ -459,7 +460,7 @@
 
 bool Dispatcher::placeOnline(const PlacementRequest &request)
 {
-    if (this->placeOpen(request)) {
+    if (this->placeInFreeSlot(request)) {
         return true;
     }
     Placement *const victim = this->victimFor(request);
@@ -472,7 +473,7 @@
     return true;
 }
 
-bool Dispatcher::placeOpen(const PlacementRequest &request)
+bool Dispatcher::placeInFreeSlot(const PlacementRequest &request)
 {
     DispatchedReplica *const best = this->index.best(request);
     if (best == nullptr) {
@@ -488,8 +489,8 @@
     // node. One that would be late by being stopped stays: it is nearer to its end than any request that would take its place.
     Placement *first = nullptr;
     std::size_t seen = 0;
-    for (auto item = this->stoppable.rbegin(); item != this->stoppable.rend() && seen < victimsCompared; ++item) {
-        if (item->first < stopSlack) {
+    for (auto item = this->stoppable.rbegin(); item != this->stoppable.rend() && seen < maxVictimsCompared; ++item) {
+        if (item->first < minStopSlack) {
             break;
         }
         const auto placement = this->placements.find(item->second);
@@ -498,7 +499,7 @@
         if (replica == nullptr || !this->isUsable(*replica, request)) {
             continue;
         }
-        if (request.isConnectedTo(replica->mark)) {
+        if (request.isConnectedTo(replica->nameHash)) {
             return &placement->second;
         }
         first = first == nullptr ? &placement->second : first;
@@ -510,14 +511,14 @@
 void Dispatcher::place(const PlacementRequest &request, DispatchedReplica &replica)
 {
     const SteadyTime now = this->clock.now();
-    replica.slots.take(request.work);
+    replica.slots.acquire(request.work);
     if (!replica.hasFreeSlot(now)) {
         replica.lastFull = now;
     }
-    replica.gate.noteSent(now);
+    replica.breaker.recordSent(now);
     this->index.update(replica);
     if (request.work == WorkClass::Online && now > request.due) {
-        this->forecast.noteLatePlaced();
+        this->forecast.recordLatePlacement();
     }
     const std::chrono::nanoseconds slack = now > request.due ? std::chrono::nanoseconds::max() : request.due - now;
     this->placements.insert_or_assign(
@@ -546,21 +547,21 @@
     return found != this->replicas.end() ? &found->second : nullptr;
 }
 
-void Dispatcher::remove(Placements::iterator placement, PlacementVerdict verdict)
+void Dispatcher::endPlacement(Placements::iterator placement, PlacementVerdict verdict)
 {
     const Placement &entry = placement->second;
     const SteadyTime now = this->clock.now();
     if (DispatchedReplica *const replica = this->replicaOf(entry)) {
-        replica->gate.noteEnd(verdict, now);
+        replica->breaker.recordEnd(verdict, now);
         this->index.update(*replica);
     }
     if (entry.work == WorkClass::Online && verdict == PlacementVerdict::Finished) {
         this->forecast.recordRun(now - entry.placed);
     }
-    this->forget(placement);
+    this->erasePlacement(placement);
 }
 
-void Dispatcher::forget(Placements::iterator placement)
+void Dispatcher::erasePlacement(Placements::iterator placement)
 {
     const Placement &entry = placement->second;
     const SteadyTime now = this->clock.now();
@@ -579,7 +580,7 @@
 
 bool Dispatcher::isUsable(const DispatchedReplica &replica, const PlacementRequest &request) const
 {
-    return !replica.traits.isDraining && replica.gate.isOpen(this->clock.now()) && !request.avoids(replica.traits.instance)
+    return !replica.traits.isDraining && replica.breaker.maySend(this->clock.now()) && !request.avoids(replica.traits.instance)
         && request.acceptsVersion(replica.traits.version);
 }
 
--- a/Libraries/LibDispatch/Dispatcher.h
+++ b/Libraries/LibDispatch/Dispatcher.h
@@ -115,29 +115,29 @@
     };
     using Placements = std::map<TicketId, Placement>;
 
-    void tell();
+    void deliverDecisions();
     void putReplica(const DispatchReplica &traits);
     void countVersion(const DispatchReplica &replica, int change);
-    void leaveReplicas();
-    void forgetOver();
+    void drainReplicas();
+    void removeExpiredWork();
     void repeatStops();
     void assign();
     void assignFrom(WorkClass work, bool (Dispatcher::*place)(const PlacementRequest &));
     bool placeOnline(const PlacementRequest &request);
-    bool placeOpen(const PlacementRequest &request);
+    bool placeInFreeSlot(const PlacementRequest &request);
     DispatchedReplica *replicaOf(const Placement &placement);
     Placement *victimFor(const PlacementRequest &request);
     void place(const PlacementRequest &request, DispatchedReplica &replica);
     /** @return whether a replica that takes requests has the version that it needs, if it needs one. */
     bool isVersionServed(const PlacementRequest &request) const;
-    void sendAwayUnserved();
-    void welcome(PlacementRequest &request);
-    void sendAwayIfLate(const PlacementRequest &request);
-    void sendAwayHopeless();
-    void sendAway(const PlacementRequest &request, std::chrono::nanoseconds retryAfter);
+    void refuseUnserved();
+    void recognizeRetry(PlacementRequest &request);
+    void refuseIfLate(const PlacementRequest &request);
+    void refuseUnplaceable();
+    void refuseRequest(const PlacementRequest &request, std::chrono::nanoseconds retryAfter);
     void stop(Placement &placement);
-    void remove(Placements::iterator placement, PlacementVerdict verdict);
-    void forget(Placements::iterator placement);
+    void endPlacement(Placements::iterator placement, PlacementVerdict verdict);
+    void erasePlacement(Placements::iterator placement);
     bool isUsable(const DispatchedReplica &replica, const PlacementRequest &request) const;
     static std::size_t slotsOf(const DispatchedReplica &replica);
 
@@ -157,9 +157,9 @@
     std::set<std::pair<std::chrono::nanoseconds, TicketId>> stoppable;
     /** Batch items that were told to stop and are not over. */
     std::set<TicketId> stopping;
-    SteadyTime nextClean{};
+    SteadyTime nextCleanup{};
     LoadForecast forecast;
-    RetrySchedule returns;
+    RetrySchedule retries;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibDispatch/FirstEventEstimate.cpp
+++ b/Libraries/LibDispatch/FirstEventEstimate.cpp
@@ -12,7 +12,7 @@
 /** Weight of the newest value: the last thirty or so requests count. */
 constexpr double weight = 0.03;
 /** A request that met a slow replica, or waited in its queue, must not make all others look hopeless. */
-constexpr double largestFactor = 3;
+constexpr double maxFactor = 3;
 /** So many mean deviations above the mean lie all but about two requests of a hundred. */
 constexpr double deviations = 2.5;
 /**
@@ -20,13 +20,13 @@
  * the dispatcher's answer, and that of the first event. Four times between VMs and callers, and the pauses of VMs that have
  * little processor.
  */
-constexpr std::chrono::milliseconds ways{10};
+constexpr std::chrono::milliseconds networkAllowance{10};
 
 } // namespace
 
 void FirstEventEstimate::record(std::chrono::nanoseconds took)
 {
-    const Milliseconds value = std::min(Milliseconds(took), this->mean * largestFactor);
+    const Milliseconds value = std::min(Milliseconds(took), this->mean * maxFactor);
     const Milliseconds difference = value - this->mean;
     this->mean += difference * weight;
     this->deviation += (Milliseconds(std::abs(difference.count())) - this->deviation) * weight;
@@ -39,7 +39,7 @@
 
 SteadyTime FirstEventEstimate::placementDeadline(SteadyTime arrived, std::chrono::milliseconds objective) const
 {
-    return arrived + std::max(objective - this->value() - ways, std::chrono::milliseconds(0));
+    return arrived + std::max(objective - this->value() - networkAllowance, std::chrono::milliseconds(0));
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibDispatch/ItemEstimate.cpp
+++ b/Libraries/LibDispatch/ItemEstimate.cpp
@@ -11,9 +11,9 @@
 /** Weight of the newest value: the last twenty or so items count. */
 constexpr double weight = 0.05;
 /** Runs of fewer events tell more of the prompt's reading than of the pace. */
-constexpr std::uint64_t fewestEvents = 10;
+constexpr std::uint64_t minEvents = 10;
 /** An item that is longer than the mean is near its end, most likely, but not at it. */
-constexpr double smallestShare = 0.1;
+constexpr double minShare = 0.1;
 
 } // namespace
 
@@ -24,15 +24,15 @@
 
 void ItemEstimate::recordRun(std::uint64_t events, std::chrono::nanoseconds took)
 {
-    if (events >= fewestEvents) {
+    if (events >= minEvents) {
         this->perEvent += (Milliseconds(took) / static_cast<double>(events) - this->perEvent) * weight;
     }
 }
 
 std::chrono::milliseconds ItemEstimate::remaining(std::uint64_t events) const
 {
-    const double left = std::max(this->meanEvents - static_cast<double>(events), this->meanEvents * smallestShare);
-    return std::chrono::ceil<std::chrono::milliseconds>(this->perEvent * left);
+    const double remainingEvents = std::max(this->meanEvents - static_cast<double>(events), this->meanEvents * minShare);
+    return std::chrono::ceil<std::chrono::milliseconds>(this->perEvent * remainingEvents);
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibDispatch/LoadForecast.cpp
+++ b/Libraries/LibDispatch/LoadForecast.cpp
@@ -11,90 +11,91 @@
 {
 
 /** Long against the gaps between requests that find a place by luck, short against the time that callers wait. */
-constexpr std::chrono::milliseconds lateMemory{1500};
+constexpr std::chrono::milliseconds latePlacementTimeConstant{1500};
 /** Several bursts and the calm between them; a load that has stayed for so long is the usual one. */
-constexpr std::chrono::seconds usualMemory{15};
+constexpr std::chrono::seconds arrivalTimeConstant{15};
 /** Before so much of it has passed, a burst can't be told from the usual load. */
-constexpr double enoughExperience = 0.4;
+constexpr double minObservedShare = 0.4;
 /** Weight of one run in the mean of how long a slot is held. */
 constexpr double runWeight = 0.02;
 /** Requests that wait again after a shorter pause than this belong to the same burst: about half of a caller's objective. */
-constexpr std::chrono::milliseconds burstPause{150};
+constexpr std::chrono::milliseconds maxGapInBurst{150};
 /** What is shorter is no burst but chance. */
-constexpr std::chrono::milliseconds shortestBurst{300};
+constexpr std::chrono::milliseconds minBurst{300};
 /** Weight of one burst in how long they last: the last three or so count. */
 constexpr double burstWeight = 0.3;
 
 } // namespace
 
-LoadForecast::Rate::Rate(std::chrono::duration<double> memory) : memory(memory)
+LoadForecast::Rate::Rate(std::chrono::duration<double> timeConstant) : timeConstant(timeConstant)
 {
 }
 
-void LoadForecast::Rate::note(SteadyTime now)
+void LoadForecast::Rate::record(SteadyTime now)
 {
     if (this->count == 0) {
         this->first = now;
     }
-    this->count = this->count * std::exp(-(now - this->last) / this->memory) + 1;
+    this->count = this->count * std::exp(-(now - this->last) / this->timeConstant) + 1;
     this->last = now;
 }
 
 double LoadForecast::Rate::perSecond(SteadyTime now) const
 {
-    const double known = 1 - std::exp(-std::max(this->experience(now), 0.1));
-    return this->count * std::exp(-(now - this->last) / this->memory) / this->memory.count() / known;
+    const double known = 1 - std::exp(-std::max(this->observedShare(now), 0.1));
+    return this->count * std::exp(-(now - this->last) / this->timeConstant) / this->timeConstant.count() / known;
 }
 
-double LoadForecast::Rate::experience(SteadyTime now) const
+double LoadForecast::Rate::observedShare(SteadyTime now) const
 {
-    return this->count == 0 ? 0 : (now - this->first) / this->memory;
+    return this->count == 0 ? 0 : (now - this->first) / this->timeConstant;
 }
 
-LoadForecast::LoadForecast(const Clock &clock) : clock(clock), late(lateMemory), usual(usualMemory)
+LoadForecast::LoadForecast(const Clock &clock)
+    : clock(clock), latePlacements(latePlacementTimeConstant), arrivals(arrivalTimeConstant)
 {
 }
 
-void LoadForecast::noteArrival()
+void LoadForecast::recordArrival()
 {
-    this->usual.note(this->clock.now());
+    this->arrivals.record(this->clock.now());
 }
 
-void LoadForecast::noteLatePlaced()
+void LoadForecast::recordLatePlacement()
 {
-    this->late.note(this->clock.now());
+    this->latePlacements.record(this->clock.now());
 }
 
-void LoadForecast::recordRun(std::chrono::nanoseconds held)
+void LoadForecast::recordRun(std::chrono::nanoseconds holdTime)
 {
-    const double weight = this->meanHeld.count() == 0 ? 1 : runWeight;
-    this->meanHeld += weight * (std::chrono::duration<double>(held) - this->meanHeld);
+    const double weight = this->meanHoldTime.count() == 0 ? 1 : runWeight;
+    this->meanHoldTime += weight * (std::chrono::duration<double>(holdTime) - this->meanHoldTime);
 }
 
-void LoadForecast::noteWaiting(bool isAnyWaiting)
+void LoadForecast::recordWaiting(bool isAnyWaiting)
 {
     const SteadyTime now = this->clock.now();
     if (isAnyWaiting) {
         this->burstSince = this->burstSince.value_or(now);
-        this->lastWaiting = now;
+        this->lastSeenWaiting = now;
         return;
     }
-    if (!this->burstSince || now - this->lastWaiting < burstPause) {
+    if (!this->burstSince || now - this->lastSeenWaiting < maxGapInBurst) {
         return;
     }
-    const std::chrono::duration<double> lasted = this->lastWaiting - *std::exchange(this->burstSince, std::nullopt);
-    if (lasted >= shortestBurst) {
-        const double weight = this->usualBurst.count() == 0 ? 1 : burstWeight;
-        this->usualBurst += weight * (lasted - this->usualBurst);
+    const std::chrono::duration<double> burst = this->lastSeenWaiting - *std::exchange(this->burstSince, std::nullopt);
+    if (burst >= minBurst) {
+        const double weight = this->meanBurst.count() == 0 ? 1 : burstWeight;
+        this->meanBurst += weight * (burst - this->meanBurst);
     }
 }
 
 std::optional<SteadyTime> LoadForecast::burstEnd() const
 {
-    if (!this->burstSince || this->usualBurst.count() == 0) {
+    if (!this->burstSince || this->meanBurst.count() == 0) {
         return std::nullopt;
     }
-    return *this->burstSince + std::chrono::duration_cast<SteadyTime::duration>(this->usualBurst);
+    return *this->burstSince + std::chrono::duration_cast<SteadyTime::duration>(this->meanBurst);
 }
 
 void LoadForecast::setSlots(std::size_t slots)
@@ -104,21 +105,21 @@
 
 double LoadForecast::serviceRate() const
 {
-    return this->meanHeld.count() > 0 ? static_cast<double>(this->slots) / this->meanHeld.count() : 0;
+    return this->meanHoldTime.count() > 0 ? static_cast<double>(this->slots) / this->meanHoldTime.count() : 0;
 }
 
-double LoadForecast::lateRate() const
+double LoadForecast::latePlacementRate() const
 {
-    return this->late.perSecond(this->clock.now());
+    return this->latePlacements.perSecond(this->clock.now());
 }
 
-double LoadForecast::usualRoom() const
+double LoadForecast::spareCapacity() const
 {
     const SteadyTime now = this->clock.now();
-    if (this->usual.experience(now) < enoughExperience) {
+    if (this->arrivals.observedShare(now) < minObservedShare) {
         return 0;
     }
-    return std::max(0.0, this->serviceRate() - this->usual.perSecond(now));
+    return std::max(0.0, this->serviceRate() - this->arrivals.perSecond(now));
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibDispatch/LoadForecast.h
+++ b/Libraries/LibDispatch/LoadForecast.h
@@ -20,16 +20,16 @@
     explicit LoadForecast(const Clock &clock);
 
     /** An online request came for the first time. */
-    void noteArrival();
+    void recordArrival();
 
     /** A request that was late already got a place, which nobody else wanted. */
-    void noteLatePlaced();
+    void recordLatePlacement();
 
     /** An online request gave its slot back. @param held how long it had it */
-    void recordRun(std::chrono::nanoseconds held);
+    void recordRun(std::chrono::nanoseconds holdTime);
 
     /** Tell at each look whether requests that can be on time wait for a place: by it the length of bursts is learned. */
-    void noteWaiting(bool isAnyWaiting);
+    void recordWaiting(bool isAnyWaiting);
 
     /**
      * @return when the present burst is over, most likely, by the length of those before it; nothing if none has ended yet, or
@@ -44,41 +44,41 @@
     double serviceRate() const;
 
     /** @return late requests that got a place in a second, lately. */
-    double lateRate() const;
+    double latePlacementRate() const;
 
     /** @return online requests a second that can be served beyond what comes in the long run; 0 if none or not known. */
-    double usualRoom() const;
+    double spareCapacity() const;
 
 private:
     /** Counts events, and forgets them over a time. */
     class Rate
     {
     public:
-        explicit Rate(std::chrono::duration<double> memory);
+        explicit Rate(std::chrono::duration<double> timeConstant);
 
-        void note(SteadyTime now);
+        void record(SteadyTime now);
         /** @return events a second. */
         double perSecond(SteadyTime now) const;
         /** @return since the first event, as a share of the time that is remembered. */
-        double experience(SteadyTime now) const;
+        double observedShare(SteadyTime now) const;
 
     private:
-        std::chrono::duration<double> memory;
+        std::chrono::duration<double> timeConstant;
         SteadyTime first{};
         SteadyTime last{};
         double count = 0;
     };
 
     const Clock &clock;
-    Rate late;
-    Rate usual;
+    Rate latePlacements;
+    Rate arrivals;
     std::size_t slots = 0;
-    std::chrono::duration<double> meanHeld{0};
+    std::chrono::duration<double> meanHoldTime{0};
     /** When requests began to wait, and when one was last seen to. */
     std::optional<SteadyTime> burstSince;
-    SteadyTime lastWaiting{};
+    SteadyTime lastSeenWaiting{};
     /** How long bursts last; zero as long as none has ended. */
-    std::chrono::duration<double> usualBurst{0};
+    std::chrono::duration<double> meanBurst{0};
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibDispatch/LocalPlacement.cpp
+++ b/Libraries/LibDispatch/LocalPlacement.cpp
@@ -9,9 +9,9 @@
 {
 
 /** A replica in another failure domain is worth this part of a request's load: at equal load the near one is taken. */
-constexpr double farPenalty = 0.5;
+constexpr double crossDomainPenalty = 0.5;
 /** A connection that is open already is worth this part of a request's load. */
-constexpr double connectionWorth = 0.6;
+constexpr double connectionBonus = 0.6;
 /** A replica that failed lately is taken only if all did: some answer is better than none. */
 constexpr double blockedPenalty = 1000;
 
@@ -32,14 +32,14 @@
     for (const DispatchReplica &traits : update.put) {
         Replica &replica = this->replicas[traits.instance];
         replica.traits = traits;
-        replica.mark = nameHashOf(traits.instance);
+        replica.nameHash = nameHashOf(traits.instance);
     }
     for (const EndpointName &instance : update.removed) {
         this->replicas.erase(instance);
     }
 }
 
-std::optional<EndpointName> LocalPlacement::select(const FailureDomain &near, const PlacementTraits &request)
+std::optional<EndpointName> LocalPlacement::select(const FailureDomain &ownDomain, const PlacementTraits &request)
 {
     std::optional<EndpointName> best;
     double bestScore = 0;
@@ -48,11 +48,11 @@
         if (replica.traits.isDraining || request.avoids(instance) || !request.acceptsVersion(replica.traits.version)) {
             continue;
         }
-        const bool isOpen = replica.gate.isOpen(this->clock.now());
-        const double far = replica.traits.failureDomain == near ? 0 : farPenalty;
-        const double open = request.isConnectedTo(replica.mark) ? connectionWorth : 0;
-        const double load = (replica.running + far - open + tieBreak(this->random)) / replica.traits.slots;
-        const double score = load + (isOpen ? 0 : blockedPenalty);
+        const bool maySend = replica.breaker.maySend(this->clock.now());
+        const double domainPenalty = replica.traits.failureDomain == ownDomain ? 0 : crossDomainPenalty;
+        const double bonus = request.isConnectedTo(replica.nameHash) ? connectionBonus : 0;
+        const double load = (replica.running + domainPenalty - bonus + tieBreak(this->random)) / replica.traits.slots;
+        const double score = load + (maySend ? 0 : blockedPenalty);
         if (!best || score < bestScore) {
             best = instance;
             bestScore = score;
@@ -66,7 +66,7 @@
     const auto replica = this->replicas.find(instance);
     if (replica != this->replicas.end()) {
         ++replica->second.running;
-        replica->second.gate.noteSent(this->clock.now());
+        replica->second.breaker.recordSent(this->clock.now());
     }
 }
 
@@ -75,7 +75,7 @@
     const auto replica = this->replicas.find(instance);
     if (replica != this->replicas.end()) {
         replica->second.running -= std::min<std::uint32_t>(replica->second.running, 1);
-        replica->second.gate.noteEnd(verdict, this->clock.now());
+        replica->second.breaker.recordEnd(verdict, this->clock.now());
     }
 }
 
--- a/Libraries/LibDispatch/LocalPlacement.h
+++ b/Libraries/LibDispatch/LocalPlacement.h
@@ -2,7 +2,7 @@
 
 #include <LibBase/Clock.h>
 #include <LibDispatch/PlacementTypes.h>
-#include <LibDispatch/ReplicaGate.h>
+#include <LibDispatch/ReplicaCircuitBreaker.h>
 #include <LibDispatch/ReplicaUpdate.h>
 
 #include <cstdint>
@@ -29,7 +29,7 @@
     void update(const ReplicaUpdate &update);
 
     /** @return the replica to use, or nothing if there is none that may be used */
-    std::optional<EndpointName> select(const FailureDomain &near, const PlacementTraits &request);
+    std::optional<EndpointName> select(const FailureDomain &ownDomain, const PlacementTraits &request);
 
     /** A request was sent there; end() has to follow. */
     void begin(const EndpointName &instance);
@@ -41,8 +41,8 @@
     {
         DispatchReplica traits;
         /** Its short name. */
-        std::uint32_t mark = 0;
-        ReplicaGate gate;
+        std::uint32_t nameHash = 0;
+        ReplicaCircuitBreaker breaker;
         std::uint32_t running = 0;
     };
 
--- a/Libraries/LibDispatch/PlacementTypes.h
+++ b/Libraries/LibDispatch/PlacementTypes.h
@@ -58,7 +58,7 @@
     SoftwareVersion version{};
 
     /** @return whether only some replicas can serve it, so that it may find no place where others would. */
-    bool isChoosy() const
+    bool isRestricted() const
     {
         return !this->avoided.empty() || !this->version.value().empty();
     }
@@ -76,9 +76,9 @@
     }
 
     /** @return whether its node has an open connection to the replica with a mark. */
-    bool isConnectedTo(std::uint32_t mark) const
+    bool isConnectedTo(std::uint32_t nameHash) const
     {
-        return std::ranges::find(this->connected, mark) != this->connected.end();
+        return std::ranges::find(this->connected, nameHash) != this->connected.end();
     }
 };
 
--- a/Libraries/LibDispatch/ReplicaGate.cpp
+++ b/Libraries/LibDispatch/ReplicaCircuitBreaker.cpp
@@ -1,4 +1,4 @@
-#include <LibDispatch/ReplicaGate.h>
+#include <LibDispatch/ReplicaCircuitBreaker.h>
 
 #include <algorithm>
 
@@ -11,33 +11,33 @@
 /** About how long a replica that is full takes to free a place: a tenth of a short answer. */
 constexpr std::chrono::milliseconds rejectedPause{50};
 /** A connection that breaks can be the fault of one request: a replica is left alone only after several in a row. */
-constexpr int brokenInRow = 2;
-constexpr std::chrono::milliseconds firstPause{200};
+constexpr int disconnectsToBlock = 2;
+constexpr std::chrono::milliseconds initialPause{200};
 /** Replicas are back some seconds after a crash; waiting much longer would leave them idle. */
-constexpr std::chrono::milliseconds longestPause{1600};
+constexpr std::chrono::milliseconds maxPause{1600};
 /** How long the request that tries a replica has to tell how it went, before the next may try. */
-constexpr std::chrono::milliseconds trialTime{400};
+constexpr std::chrono::milliseconds probeTimeout{400};
 
 } // namespace
 
-bool ReplicaGate::isOpen(SteadyTime now) const
+bool ReplicaCircuitBreaker::maySend(SteadyTime now) const
 {
     return now >= this->blockedUntil;
 }
 
-std::optional<SteadyTime> ReplicaGate::opensAt(SteadyTime now) const
+std::optional<SteadyTime> ReplicaCircuitBreaker::maySendAt(SteadyTime now) const
 {
-    return this->isOpen(now) ? std::nullopt : std::optional(this->blockedUntil);
+    return this->maySend(now) ? std::nullopt : std::optional(this->blockedUntil);
 }
 
-void ReplicaGate::noteSent(SteadyTime now)
+void ReplicaCircuitBreaker::recordSent(SteadyTime now)
 {
-    if (this->failures >= brokenInRow) {
-        this->block(trialTime, now);
+    if (this->failures >= disconnectsToBlock) {
+        this->block(probeTimeout, now);
     }
 }
 
-void ReplicaGate::noteEnd(PlacementVerdict verdict, SteadyTime now)
+void ReplicaCircuitBreaker::recordEnd(PlacementVerdict verdict, SteadyTime now)
 {
     switch (verdict) {
     case PlacementVerdict::Finished:
@@ -48,19 +48,19 @@
         this->block(rejectedPause, now);
         return;
     case PlacementVerdict::Broken:
-        if (++this->failures < brokenInRow) {
+        if (++this->failures < disconnectsToBlock) {
             return;
         }
         break;
     case PlacementVerdict::Unreachable:
-        this->failures = std::max(this->failures + 1, brokenInRow);
+        this->failures = std::max(this->failures + 1, disconnectsToBlock);
         break;
     }
-    const int doublings = std::min(this->failures - brokenInRow, 3);
-    this->block(std::min(firstPause * (1 << doublings), longestPause), now);
+    const int doublings = std::min(this->failures - disconnectsToBlock, 3);
+    this->block(std::min(initialPause * (1 << doublings), maxPause), now);
 }
 
-void ReplicaGate::block(std::chrono::milliseconds time, SteadyTime now)
+void ReplicaCircuitBreaker::block(std::chrono::milliseconds time, SteadyTime now)
 {
     this->blockedUntil = std::max(this->blockedUntil, now + time);
 }
--- a/Libraries/LibDispatch/ReplicaGate.h
+++ b/Libraries/LibDispatch/ReplicaCircuitBreaker.h
@@ -14,20 +14,20 @@
  * then one request tries it; each further failure doubles the while. So a replica that went dark costs one request a try,
  * and one that fails now and then stays in use.
  */
-class ReplicaGate
+class ReplicaCircuitBreaker
 {
 public:
     /** @return whether a request may be sent there now. */
-    bool isOpen(SteadyTime now) const;
+    bool maySend(SteadyTime now) const;
 
     /** @return from when on it may be sent requests, if it may not now. */
-    std::optional<SteadyTime> opensAt(SteadyTime now) const;
+    std::optional<SteadyTime> maySendAt(SteadyTime now) const;
 
     /** A request was sent there. */
-    void noteSent(SteadyTime now);
+    void recordSent(SteadyTime now);
 
     /** A request ended. */
-    void noteEnd(PlacementVerdict verdict, SteadyTime now);
+    void recordEnd(PlacementVerdict verdict, SteadyTime now);
 
 private:
     void block(std::chrono::milliseconds time, SteadyTime now);
--- a/Libraries/LibDispatch/ReplicaIndex.cpp
+++ b/Libraries/LibDispatch/ReplicaIndex.cpp
@@ -9,15 +9,15 @@
 {
 
 /** A connection that is open already is worth so many requests of difference in load. */
-constexpr double connectionWorth = 2;
+constexpr double connectionBonus = 2;
 /** Between failure domains bytes cost; at equal load the near replica is taken. */
-constexpr double farPenalty = 0.9;
+constexpr double crossDomainPenalty = 0.9;
 
 /** @return what a replica's load is for a request: less is better. */
 double scoreOf(const PlacementRequest &request, const DispatchedReplica &replica, double load, bool isConnected)
 {
-    const bool isNear = replica.traits.failureDomain == request.failureDomain;
-    return load + ((isNear ? 0.0 : farPenalty) - (isConnected ? connectionWorth : 0.0)) / replica.traits.slots;
+    const bool isSameDomain = replica.traits.failureDomain == request.failureDomain;
+    return load + ((isSameDomain ? 0.0 : crossDomainPenalty) - (isConnected ? connectionBonus : 0.0)) / replica.traits.slots;
 }
 
 } // namespace
@@ -29,43 +29,43 @@
 void ReplicaIndex::update(DispatchedReplica &replica)
 {
     const SteadyTime now = this->clock.now();
-    if (!this->wakes.contains(replica.number)) {
-        this->byMark.emplace(replica.mark, &replica);
-        this->wakes.emplace(replica.number, std::pair(SteadyTime(), &replica));
+    if (!this->refreshes.contains(replica.number)) {
+        this->byNameHash.emplace(replica.nameHash, &replica);
+        this->refreshes.emplace(replica.number, std::pair(SteadyTime(), &replica));
     }
-    this->drop(replica.number);
+    this->removePosition(replica.number);
     if (replica.isOpen(now)) {
-        const Place place{{replica.traits.failureDomain, replica.traits.version},
-                          {replica.load(now), replica.number},
-                          replica.mayTakeItem(now)};
-        OpenReplicas &open = this->groups[place.group];
-        open.all.emplace(place.key, &replica);
-        if (place.isForItems) {
-            open.forItems.emplace(place.key, &replica);
+        const Position position{{replica.traits.failureDomain, replica.traits.version},
+                                {replica.load(now), replica.number},
+                                replica.mayAcceptItem(now)};
+        OpenReplicas &open = this->groups[position.group];
+        open.all.emplace(position.key, &replica);
+        if (position.isForItems) {
+            open.forItems.emplace(position.key, &replica);
         }
-        this->places.emplace(replica.number, place);
+        this->positions.emplace(replica.number, position);
     }
-    this->wake(replica, now);
+    this->scheduleRefresh(replica, now);
 }
 
-void ReplicaIndex::wake(DispatchedReplica &replica, SteadyTime now)
+void ReplicaIndex::scheduleRefresh(DispatchedReplica &replica, SteadyTime now)
 {
-    SteadyTime &known = this->wakes.at(replica.number).first;
-    const SteadyTime next = replica.changesAt(now).value_or(SteadyTime());
-    if (next == known) {
+    SteadyTime &scheduled = this->refreshes.at(replica.number).first;
+    const SteadyTime next = replica.nextChange(now).value_or(SteadyTime());
+    if (next == scheduled) {
         return;
     }
-    this->wakeTimes.erase({known, replica.number});
+    this->refreshTimes.erase({scheduled, replica.number});
     if (next != SteadyTime()) {
-        this->wakeTimes.emplace(next, replica.number);
+        this->refreshTimes.emplace(next, replica.number);
     }
-    known = next;
+    scheduled = next;
 }
 
-void ReplicaIndex::drop(std::uint64_t number)
+void ReplicaIndex::removePosition(std::uint64_t number)
 {
-    const auto found = this->places.find(number);
-    if (found == this->places.end()) {
+    const auto found = this->positions.find(number);
+    if (found == this->positions.end()) {
         return;
     }
     const auto group = this->groups.find(found->second.group);
@@ -76,37 +76,37 @@
     if (group->second.all.empty()) {
         this->groups.erase(group);
     }
-    this->places.erase(found);
+    this->positions.erase(found);
 }
 
 void ReplicaIndex::remove(const DispatchedReplica &replica)
 {
-    this->drop(replica.number);
-    const auto [first, last] = this->byMark.equal_range(replica.mark);
-    const auto marked = std::find_if(first, last, [&replica](const auto &entry) {
-        return entry.second == &replica;
+    this->removePosition(replica.number);
+    const auto [first, last] = this->byNameHash.equal_range(replica.nameHash);
+    const auto entry = std::find_if(first, last, [&replica](const auto &candidate) {
+        return candidate.second == &replica;
     });
-    if (marked != last) {
-        this->byMark.erase(marked);
+    if (entry != last) {
+        this->byNameHash.erase(entry);
     }
-    const auto wake = this->wakes.find(replica.number);
-    if (wake != this->wakes.end()) {
-        this->wakeTimes.erase({wake->second.first, replica.number});
-        this->wakes.erase(wake);
+    const auto refresh = this->refreshes.find(replica.number);
+    if (refresh != this->refreshes.end()) {
+        this->refreshTimes.erase({refresh->second.first, replica.number});
+        this->refreshes.erase(refresh);
     }
 }
 
 void ReplicaIndex::refresh()
 {
     const SteadyTime now = this->clock.now();
-    while (!this->wakeTimes.empty() && this->wakeTimes.begin()->first <= now) {
-        this->update(*this->wakes.at(this->wakeTimes.begin()->second).second);
+    while (!this->refreshTimes.empty() && this->refreshTimes.begin()->first <= now) {
+        this->update(*this->refreshes.at(this->refreshTimes.begin()->second).second);
     }
 }
 
 bool ReplicaIndex::isEmpty() const
 {
-    return this->places.empty();
+    return this->positions.empty();
 }
 
 bool ReplicaIndex::isAnyOpenForItems(const std::set<SoftwareVersion> &exceptVersions) const
@@ -144,18 +144,18 @@
 DispatchedReplica *ReplicaIndex::bestConnected(const PlacementRequest &request, double &bestScore) const
 {
     DispatchedReplica *best = nullptr;
-    for (const std::uint32_t mark : request.connected) {
-        const auto [first, last] = this->byMark.equal_range(mark);
-        for (auto marked = first; marked != last; ++marked) {
-            DispatchedReplica &replica = *marked->second;
-            const auto place = this->places.find(replica.number);
-            const bool isUsable = place != this->places.end() && !request.avoids(replica.traits.instance)
+    for (const std::uint32_t nameHash : request.connected) {
+        const auto [first, last] = this->byNameHash.equal_range(nameHash);
+        for (auto entry = first; entry != last; ++entry) {
+            DispatchedReplica &replica = *entry->second;
+            const auto position = this->positions.find(replica.number);
+            const bool isUsable = position != this->positions.end() && !request.avoids(replica.traits.instance)
                 && request.acceptsVersion(replica.traits.version)
-                && (request.work == WorkClass::Online || place->second.isForItems);
+                && (request.work == WorkClass::Online || position->second.isForItems);
             if (!isUsable) {
                 continue;
             }
-            const double score = scoreOf(request, replica, place->second.key.first, true);
+            const double score = scoreOf(request, replica, position->second.key.first, true);
             const bool isFirst = best == nullptr || score < bestScore || (score == bestScore && replica.number < best->number);
             if (isFirst) {
                 best = &replica;
--- a/Libraries/LibDispatch/ReplicaIndex.h
+++ b/Libraries/LibDispatch/ReplicaIndex.h
@@ -65,7 +65,7 @@
     };
 
     /** Where a replica stands. */
-    struct Place
+    struct Position
     {
         Group group;
         Key key;
@@ -73,16 +73,16 @@
     };
 
     DispatchedReplica *bestConnected(const PlacementRequest &request, double &bestScore) const;
-    void drop(std::uint64_t number);
-    void wake(DispatchedReplica &replica, SteadyTime now);
+    void removePosition(std::uint64_t number);
+    void scheduleRefresh(DispatchedReplica &replica, SteadyTime now);
 
     const Clock &clock;
     std::map<Group, OpenReplicas> groups;
-    std::unordered_map<std::uint64_t, Place> places;
-    std::unordered_multimap<std::uint32_t, DispatchedReplica *> byMark;
+    std::unordered_map<std::uint64_t, Position> positions;
+    std::unordered_multimap<std::uint32_t, DispatchedReplica *> byNameHash;
     /** When time alone may change a replica. */
-    std::set<std::pair<SteadyTime, std::uint64_t>> wakeTimes;
-    std::unordered_map<std::uint64_t, std::pair<SteadyTime, DispatchedReplica *>> wakes;
+    std::set<std::pair<SteadyTime, std::uint64_t>> refreshTimes;
+    std::unordered_map<std::uint64_t, std::pair<SteadyTime, DispatchedReplica *>> refreshes;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibDispatch/ReplicaSlots.h
+++ b/Libraries/LibDispatch/ReplicaSlots.h
@@ -20,13 +20,13 @@
 {
 public:
     /** Something was placed there. */
-    void take(WorkClass work);
+    void acquire(WorkClass work);
 
     /** It is over, or was told to stop. */
     void release(WorkClass work, SteadyTime now);
 
     /** The replica said how much it has. */
-    void noteReported(const ReportedLoad &load, SteadyTime now);
+    void recordReport(const ReportedLoad &load, SteadyTime now);
 
     /** @return online requests that were placed there. */
     std::uint32_t online() const;
@@ -38,25 +38,25 @@
     std::uint32_t used(SteadyTime now) const;
 
     /** @return when what the replica told is too old to count, if that changes something after now. */
-    std::optional<SteadyTime> forgetsAt(SteadyTime now) const;
+    std::optional<SteadyTime> reportExpiresAt(SteadyTime now) const;
 
     /** @return whether it may get one more item. Where it isn't known what others have there, one item at a time asks. */
-    bool mayTakeItem(SteadyTime now) const;
+    bool mayAcceptItem(SteadyTime now) const;
 
 private:
-    void forgetReleased(SteadyTime now);
-    bool isFresh(SteadyTime now) const;
+    void removeOldReleases(SteadyTime now);
+    bool isReportFresh(SteadyTime now) const;
 
     std::uint32_t onlineCount = 0;
     std::uint32_t batchCount = 0;
     /** What was released a moment ago. */
-    std::deque<SteadyTime> released;
+    std::deque<SteadyTime> recentReleases;
     bool hasReport = false;
     /** What it has that was not placed by this dispatcher, as it was told last. */
-    std::uint32_t others = 0;
-    SteadyTime othersReported{};
+    std::uint32_t otherRequests = 0;
+    SteadyTime reportedAt{};
     /** Items that were placed since it told last. */
-    std::uint32_t itemsUnanswered = 0;
+    std::uint32_t itemsSinceReport = 0;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibDispatch/RetrySchedule.cpp
+++ b/Libraries/LibDispatch/RetrySchedule.cpp
@@ -9,46 +9,46 @@
 {
 
 /** A caller that comes so much later than it was told has given up, or found its way through another dispatcher. */
-constexpr std::chrono::seconds kept{2};
+constexpr std::chrono::seconds retention{2};
 
 } // namespace
 
 std::optional<SteadyTime>
-RetrySchedule::promise(std::uint64_t content, SteadyTime arrived, SteadyTime earliest, SteadyTime latest, double perSecond)
+RetrySchedule::reserve(std::uint64_t content, SteadyTime arrived, SteadyTime earliest, SteadyTime latest, double perSecond)
 {
     if (perSecond <= 0) {
         return std::nullopt;
     }
     const auto gap = std::chrono::duration_cast<SteadyTime::duration>(std::chrono::duration<double>(1 / perSecond));
-    const SteadyTime comes = std::max(this->last + gap, earliest);
-    if (comes > latest) {
+    const SteadyTime retryAt = std::max(this->lastReserved + gap, earliest);
+    if (retryAt > latest) {
         return std::nullopt;
     }
-    this->last = comes;
-    this->expected.emplace(content, Return{arrived, comes, true});
-    return comes;
+    this->lastReserved = retryAt;
+    this->expected.emplace(content, Retry{arrived, retryAt, true});
+    return retryAt;
 }
 
-void RetrySchedule::expect(std::uint64_t content, SteadyTime arrived, SteadyTime comes)
+void RetrySchedule::expect(std::uint64_t content, SteadyTime arrived, SteadyTime retryAt)
 {
-    this->expected.emplace(content, Return{arrived, comes, false});
+    this->expected.emplace(content, Retry{arrived, retryAt, false});
 }
 
-std::optional<RetrySchedule::Return> RetrySchedule::take(std::uint64_t content)
+std::optional<RetrySchedule::Retry> RetrySchedule::extract(std::uint64_t content)
 {
     const auto found = this->expected.find(content);
     if (found == this->expected.end()) {
         return std::nullopt;
     }
-    const Return taken = found->second;
+    const Retry retry = found->second;
     this->expected.erase(found);
-    return taken;
+    return retry;
 }
 
-void RetrySchedule::forgetOld(SteadyTime now)
+void RetrySchedule::removeExpired(SteadyTime now)
 {
     std::erase_if(this->expected, [now](const auto &entry) {
-        return now > entry.second.comes + kept;
+        return now > entry.second.retryAt + retention;
     });
 }
 
--- a/Libraries/LibDispatch/RetrySchedule.h
+++ b/Libraries/LibDispatch/RetrySchedule.h
@@ -17,14 +17,14 @@
 {
 public:
     /** A request that was sent away. */
-    struct Return
+    struct Retry
     {
         /** When it came first. */
         SteadyTime arrived{};
         /** When it was told to come. */
-        SteadyTime comes{};
+        SteadyTime retryAt{};
         /** Whether a place is set aside for it. */
-        bool isPromised = false;
+        bool isReserved = false;
     };
 
     /**
@@ -36,20 +36,20 @@
      * @return when it is to come, or nothing if all room until then is given away
      */
     std::optional<SteadyTime>
-    promise(std::uint64_t content, SteadyTime arrived, SteadyTime earliest, SteadyTime latest, double perSecond);
+    reserve(std::uint64_t content, SteadyTime arrived, SteadyTime earliest, SteadyTime latest, double perSecond);
 
     /** A request was sent away without a place set aside. */
-    void expect(std::uint64_t content, SteadyTime arrived, SteadyTime comes);
+    void expect(std::uint64_t content, SteadyTime arrived, SteadyTime retryAt);
 
     /** A request comes. @return what it was told, if it was sent away before */
-    std::optional<Return> take(std::uint64_t content);
+    std::optional<Retry> extract(std::uint64_t content);
 
     /** Drop the promises that nobody has come back for. */
-    void forgetOld(SteadyTime now);
+    void removeExpired(SteadyTime now);
 
 private:
-    std::multimap<std::uint64_t, Return> expected;
-    SteadyTime last{};
+    std::multimap<std::uint64_t, Retry> expected;
+    SteadyTime lastReserved{};
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibDispatch/VersionHistory.cpp
+++ b/Libraries/LibDispatch/VersionHistory.cpp
@@ -28,10 +28,10 @@
     }
     const SteadyTime now = this->clock.now();
     if (--found->second.replicas == 0) {
-        found->second.gone = now;
+        found->second.removedAt = now;
     }
     std::erase_if(this->entries, [now](const auto &entry) {
-        return entry.second.replicas == 0 && now - entry.second.gone > retained;
+        return entry.second.replicas == 0 && now - entry.second.removedAt > retained;
     });
 }
 
@@ -43,7 +43,7 @@
     }
     std::optional<SoftwareVersion> sole;
     for (const auto &[version, entry] : this->entries) {
-        const bool isRecent = entry.replicas > 0 || now - entry.gone <= period;
+        const bool isRecent = entry.replicas > 0 || now - entry.removedAt <= period;
         if (isRecent && sole) {
             return std::nullopt;
         }
--- a/Libraries/LibDispatch/VersionHistory.h
+++ b/Libraries/LibDispatch/VersionHistory.h
@@ -34,7 +34,7 @@
     {
         std::size_t replicas = 0;
         /** When the last one went; of no meaning while there are some. */
-        SteadyTime gone{};
+        SteadyTime removedAt{};
     };
 
     const Clock &clock;
--- a/Libraries/LibDispatch/WaitingQueue.cpp
+++ b/Libraries/LibDispatch/WaitingQueue.cpp
@@ -23,25 +23,25 @@
 
 bool WaitingQueue::contains(TicketId id) const
 {
-    return this->places.contains(id);
+    return this->positions.contains(id);
 }
 
 WaitingQueue::Waiting *WaitingQueue::find(TicketId id)
 {
-    const auto known = this->places.find(id);
-    if (known == this->places.end()) {
+    const auto found = this->positions.find(id);
+    if (found == this->positions.end()) {
         return nullptr;
     }
-    return &this->queueOf(known->second.work).at(known->second.key);
+    return &this->queueOf(found->second.work).at(found->second.key);
 }
 
-void WaitingQueue::add(const PlacementRequest &request, SteadyTime asked)
+void WaitingQueue::add(const PlacementRequest &request, SteadyTime lastRequested)
 {
     const bool isOnline = request.work == WorkClass::Online;
     const bool isLate = this->clock.now() > request.due;
     const Key key(request.priority, isLate, isOnline ? request.arrived : request.due, request.id);
-    this->queueOf(request.work).insert_or_assign(key, Waiting{request, asked});
-    this->places.insert_or_assign(request.id, Place{request.work, key});
+    this->queueOf(request.work).insert_or_assign(key, Waiting{request, lastRequested});
+    this->positions.insert_or_assign(request.id, Position{request.work, key});
     if (isOnline && !isLate) {
         ++this->onTime[request.priority];
     }
@@ -49,17 +49,17 @@
 
 void WaitingQueue::remove(TicketId id)
 {
-    const auto known = this->places.find(id);
-    if (known == this->places.end()) {
+    const auto found = this->positions.find(id);
+    if (found == this->positions.end()) {
         return;
     }
-    const auto &[work, key] = known->second;
+    const auto &[work, key] = found->second;
     const auto &[priority, isLate, order, ticket] = key;
     if (work == WorkClass::Online && !isLate) {
         --this->onTime[priority];
     }
     this->queueOf(work).erase(key);
-    this->places.erase(known);
+    this->positions.erase(found);
 }
 
 void WaitingQueue::removeIf(const std::function<bool(const Waiting &)> &isRemoved)
@@ -75,7 +75,7 @@
     }
 }
 
-void WaitingQueue::sinkLate()
+void WaitingQueue::demoteLate()
 {
     const SteadyTime now = this->clock.now();
     std::vector<TicketId> late;
@@ -87,22 +87,22 @@
         }
     }
     for (const TicketId id : late) {
-        this->sinkIfLate(id);
+        this->demoteIfLate(id);
     }
 }
 
-bool WaitingQueue::sinkIfLate(TicketId id)
+bool WaitingQueue::demoteIfLate(TicketId id)
 {
-    const auto known = this->places.find(id);
-    if (known == this->places.end() || std::get<1>(known->second.key)) {
+    const auto found = this->positions.find(id);
+    if (found == this->positions.end() || std::get<1>(found->second.key)) {
         return false;
     }
-    const Waiting waiting = this->queueOf(known->second.work).at(known->second.key);
+    const Waiting waiting = this->queueOf(found->second.work).at(found->second.key);
     if (this->clock.now() <= waiting.request.due) {
         return false;
     }
     this->remove(id);
-    this->add(waiting.request, waiting.asked);
+    this->add(waiting.request, waiting.lastRequested);
     return true;
 }
 
--- a/Libraries/LibDispatch/WaitingQueue.h
+++ b/Libraries/LibDispatch/WaitingQueue.h
@@ -26,7 +26,7 @@
     {
         PlacementRequest request;
         /** When its node last asked. */
-        SteadyTime asked{};
+        SteadyTime lastRequested{};
     };
 
     /** Priority, whether it is late, when it came or has to start, and which it is: whom to serve first stands first. */
@@ -35,7 +35,7 @@
 
     explicit WaitingQueue(const Clock &clock);
 
-    void add(const PlacementRequest &request, SteadyTime asked);
+    void add(const PlacementRequest &request, SteadyTime lastRequested);
 
     /** One that does not wait is ignored. */
     void remove(TicketId id);
@@ -51,10 +51,10 @@
     const Queue &of(WorkClass work) const;
 
     /** Put those that have become late behind the others. */
-    void sinkLate();
+    void demoteLate();
 
     /** Put one that has become late behind the others. @return whether it has */
-    bool sinkIfLate(TicketId id);
+    bool demoteIfLate(TicketId id);
 
     /** @return online requests of a priority or a more urgent one that can still be on time. */
     std::size_t onTimeAhead(std::uint32_t priority) const;
@@ -64,7 +64,7 @@
 
 private:
     /** Where one stands. */
-    struct Place
+    struct Position
     {
         WorkClass work = WorkClass::Online;
         Key key;
@@ -75,7 +75,7 @@
     const Clock &clock;
     Queue online;
     Queue batch;
-    std::map<TicketId, Place> places;
+    std::map<TicketId, Position> positions;
     /** Online requests that can still be on time, by priority. */
     std::map<std::uint32_t, std::size_t> onTime;
 };
--- a/Tests/LibDispatch/EqualReplicas.h
+++ b/Tests/LibDispatch/EqualReplicas.h
@@ -12,11 +12,11 @@
 /** @return replicas r0, r1, ... of one failure domain. */
 inline std::vector<DispatchReplica> equalReplicas(std::size_t count, std::uint32_t slots)
 {
-    std::vector<DispatchReplica> made;
+    std::vector<DispatchReplica> replicas;
     for (std::size_t number = 0; number < count; ++number) {
-        made.push_back({EndpointName("r" + std::to_string(number)), FailureDomain("z"), slots, false});
+        replicas.push_back({EndpointName("r" + std::to_string(number)), FailureDomain("z"), slots, false});
     }
-    return made;
+    return replicas;
 }
 
 } // namespace Dogwoodkeel
--- a/Tests/LibDispatch/TestConnectionReplay.cpp
+++ b/Tests/LibDispatch/TestConnectionReplay.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint32_t slots = 7;
 constexpr std::chrono::milliseconds streamTime{550};
 /** How long a connection that nobody uses is kept. */
-constexpr std::chrono::seconds idleKept{5};
+constexpr std::chrono::seconds idleTimeout{5};
 constexpr std::chrono::seconds length{30};
 constexpr double perSecond = 160;
 
@@ -72,9 +72,9 @@
     for (std::chrono::milliseconds time{0}; time < length; time += 1ms) {
         clock.advance(1ms);
         for (auto end = ends.begin(); end != ends.end() && end->first <= clock.now(); end = ends.begin()) {
-            const auto [id, mark] = end->second;
+            const auto [id, nameHash] = end->second;
             ends.erase(end);
-            idle.at(id.node.value() - 1).emplace(mark, clock.now());
+            idle.at(id.node.value() - 1).emplace(nameHash, clock.now());
             dispatcher.end(id, PlacementVerdict::Finished);
         }
         if (chance(random) >= perSecond / 1000) {
@@ -82,7 +82,7 @@
         }
         const std::size_t node = anyNode(random);
         std::erase_if(idle[node], [&clock](const auto &connection) {
-            return clock.now() - connection.second > idleKept;
+            return clock.now() - connection.second > idleTimeout;
         });
         PlacementRequest request;
         request.id = {SessionNumber(node + 1), ++outcome.requests};
@@ -91,8 +91,8 @@
         request.due = clock.now() + 250ms;
         request.deadline = clock.now() + 5s;
         if (reported == Reported::Yes) {
-            for (const auto &[mark, used] : idle[node]) {
-                request.connected.push_back(mark);
+            for (const auto &[nameHash, used] : idle[node]) {
+                request.connected.push_back(nameHash);
             }
         }
         outcome.waited += dispatcher.submit(request) ? 0 : 1;
@@ -106,21 +106,21 @@
 // which costs the replica's processor and the caller a round trip.
 TEST_CASE("requests go where their node has a connection, at no cost in waiting")
 {
-    const Outcome blind = replay(Reported::No);
-    const Outcome aware = replay(Reported::Yes);
+    const Outcome withoutConnections = replay(Reported::No);
+    const Outcome withConnections = replay(Reported::Yes);
     MESSAGE("connections for ",
-            blind.requests,
+            withoutConnections.requests,
             " requests: ",
-            blind.connections,
+            withoutConnections.connections,
             " without telling, ",
-            aware.connections,
+            withConnections.connections,
             " with; waited ",
-            blind.waited,
+            withoutConnections.waited,
             " and ",
-            aware.waited);
-    CHECK(aware.requests == blind.requests);
-    CHECK(aware.connections * 2 < blind.connections);
-    CHECK(aware.waited <= blind.waited);
+            withConnections.waited);
+    CHECK(withConnections.requests == withoutConnections.requests);
+    CHECK(withConnections.connections * 2 < withoutConnections.connections);
+    CHECK(withConnections.waited <= withoutConnections.waited);
 }
 
 TEST_CASE("an open connection does not fill one replica while others are idle")
--- a/Tests/LibDispatch/TestItemReplay.cpp
+++ b/Tests/LibDispatch/TestItemReplay.cpp
@@ -31,7 +31,7 @@
 constexpr std::chrono::milliseconds step{2};
 constexpr std::chrono::milliseconds tickInterval{20};
 constexpr std::chrono::milliseconds reportInterval{200};
-constexpr std::chrono::milliseconds askInterval{200};
+constexpr std::chrono::milliseconds resubmitInterval{200};
 constexpr std::chrono::seconds length{60};
 /** Square bursts: 2.8 s of 6.6 s at 1.84 times the mean, the rest at 0.377 times. */
 constexpr std::chrono::milliseconds period{6600};
@@ -56,7 +56,7 @@
     SteadyTime due{};
     std::uint64_t size = 0;
     std::uint64_t generated = 0;
-    SteadyTime began{};
+    SteadyTime startedAt{};
 };
 
 /** Batch items of many jobs and bursts of online requests before one dispatcher, in virtual time. */
@@ -80,9 +80,9 @@
                           },
                       .refuse = [](TicketId, std::chrono::milliseconds) {}})
     {
-        const double all = replicaCount * slots;
-        this->onlineRate = all * onlineShare / std::chrono::duration<double>(streamTime).count();
-        this->jobRate = all * itemShare / (meanEvents * std::chrono::duration<double>(perEvent).count()) / jobItems;
+        const double totalSlots = replicaCount * slots;
+        this->onlineRate = totalSlots * onlineShare / std::chrono::duration<double>(streamTime).count();
+        this->jobRate = totalSlots * itemShare / (meanEvents * std::chrono::duration<double>(perEvent).count()) / jobItems;
         this->dispatcher.setReplicas(equalReplicas(replicaCount, slots));
         for (const DispatchReplica &replica : equalReplicas(replicaCount, slots)) {
             this->dispatcher.recordLoad(replica.instance, {});
@@ -111,7 +111,7 @@
     {
         const double factor = time % period >= burstStart ? burstFactor : troughFactor;
         if (this->isDue(this->onlineRate * factor)) {
-            this->askOnline();
+            this->submitOnline();
         }
         // What comes near the end can't be judged.
         if (time < length - jobTime && this->isDue(this->jobRate)) {
@@ -121,53 +121,53 @@
                 item.due = this->clock.now() + jobTime;
                 item.size = static_cast<std::uint64_t>(std::clamp(size(this->random), 10.0, 122.0));
                 ++this->outcome.items;
-                this->askItem(item);
+                this->submitItem(item);
             }
         }
     }
 
-    void askOnline()
+    void submitOnline()
     {
         PlacementRequest request;
-        request.id = {SessionNumber(1), ++this->last};
+        request.id = {SessionNumber(1), ++this->lastTicket};
         request.arrived = this->clock.now();
         request.due = this->clock.now() + objective;
         request.deadline = this->clock.now() + 5s;
         ++this->outcome.requests;
-        this->asked[this->last] = request;
+        this->waiting[this->lastTicket] = request;
         this->dispatcher.submit(request);
     }
 
-    void askItem(const Item &item)
+    void submitItem(const Item &item)
     {
         PlacementRequest request;
-        request.id = {SessionNumber(1), ++this->last};
+        request.id = {SessionNumber(1), ++this->lastTicket};
         request.work = WorkClass::Batch;
         request.priority = 2;
         request.arrived = this->clock.now();
         request.due = item.due - this->estimate.remaining(item.generated);
         request.deadline = this->clock.now() + 1h;
-        this->items[this->last] = item;
-        this->asked[this->last] = request;
+        this->items[this->lastTicket] = item;
+        this->waiting[this->lastTicket] = request;
         this->dispatcher.submit(request);
     }
 
     void begin(std::uint64_t number, const EndpointName &replica)
     {
-        const auto waited = this->asked.extract(number);
-        if (waited.empty()) {
+        const auto submitted = this->waiting.extract(number);
+        if (submitted.empty()) {
             return;
         }
         this->running[number] = replica;
         const auto item = this->items.find(number);
         if (item == this->items.end()) {
-            this->outcome.requestsOnTime += this->clock.now() <= waited.mapped().due ? 1 : 0;
+            this->outcome.requestsOnTime += this->clock.now() <= submitted.mapped().due ? 1 : 0;
             this->ends.emplace(this->clock.now() + streamTime, number);
             return;
         }
-        item->second.began = this->clock.now();
-        const std::uint64_t left = item->second.size - item->second.generated;
-        this->ends.emplace(this->clock.now() + firstEvent + left * perEvent, number);
+        item->second.startedAt = this->clock.now();
+        const std::uint64_t remainingEvents = item->second.size - item->second.generated;
+        this->ends.emplace(this->clock.now() + firstEvent + remainingEvents * perEvent, number);
     }
 
     void endRuns()
@@ -179,7 +179,8 @@
             if (const auto item = this->items.extract(number); !item.empty()) {
                 ++this->outcome.itemsDone;
                 this->outcome.itemsOnTime += this->clock.now() <= item.mapped().due ? 1 : 0;
-                this->estimate.recordRun(item.mapped().size - item.mapped().generated, this->clock.now() - item.mapped().began);
+                this->estimate.recordRun(item.mapped().size - item.mapped().generated,
+                                         this->clock.now() - item.mapped().startedAt);
                 this->estimate.recordCompleted(item.mapped().size);
             }
             this->dispatcher.end({SessionNumber(1), number}, PlacementVerdict::Finished);
@@ -198,11 +199,11 @@
                 return end.second == number;
             });
             Item item = found.mapped();
-            const auto ran = this->clock.now() - item.began - firstEvent;
-            const auto made = std::max<std::int64_t>(0, ran / perEvent);
-            item.generated = std::min(item.generated + static_cast<std::uint64_t>(made), item.size - 1);
+            const auto ran = this->clock.now() - item.startedAt - firstEvent;
+            const auto generatedEvents = std::max<std::int64_t>(0, ran / perEvent);
+            item.generated = std::min(item.generated + static_cast<std::uint64_t>(generatedEvents), item.size - 1);
             this->dispatcher.end({SessionNumber(1), number}, PlacementVerdict::Finished);
-            this->askItem(item);
+            this->submitItem(item);
         }
     }
 
@@ -216,14 +217,14 @@
             for (const auto &[number, replica] : this->running) {
                 report.push_back({number, replica, this->items.contains(number)});
             }
-            this->dispatcher.reconcile(SessionNumber(1), this->last, report);
+            this->dispatcher.reconcile(SessionNumber(1), this->lastTicket, report);
         }
-        if (time % askInterval == 0ms) {
-            std::vector<PlacementRequest> again;
-            for (const auto &[number, request] : this->asked) {
-                again.push_back(request);
+        if (time % resubmitInterval == 0ms) {
+            std::vector<PlacementRequest> resubmitted;
+            for (const auto &[number, request] : this->waiting) {
+                resubmitted.push_back(request);
             }
-            for (const PlacementRequest &request : again) {
+            for (const PlacementRequest &request : resubmitted) {
                 this->dispatcher.submit(request);
             }
         }
@@ -235,8 +236,8 @@
     Outcome outcome;
     double onlineRate = 0;
     double jobRate = 0;
-    std::uint64_t last = 0;
-    std::map<std::uint64_t, PlacementRequest> asked;
+    std::uint64_t lastTicket = 0;
+    std::map<std::uint64_t, PlacementRequest> waiting;
     std::map<std::uint64_t, Item> items;
     std::map<std::uint64_t, EndpointName> running;
     std::multimap<SteadyTime, std::uint64_t> ends;
@@ -250,18 +251,18 @@
 // an item waits makes another one late: one replica that was just full must not keep items from all others.
 TEST_CASE("items that ask for a little more than the slots are done in time but for a few")
 {
-    Outcome sum;
+    Outcome total;
     for (unsigned seed = 1; seed <= 4; ++seed) {
-        const Outcome one = ItemReplay(0.5, 0.55, seed).run();
-        sum.items += one.items;
-        sum.itemsOnTime += one.itemsOnTime;
-        sum.itemsDone += one.itemsDone;
-        sum.requests += one.requests;
-        sum.requestsOnTime += one.requestsOnTime;
-        sum.stops += one.stops;
+        const Outcome outcome = ItemReplay(0.5, 0.55, seed).run();
+        total.items += outcome.items;
+        total.itemsOnTime += outcome.itemsOnTime;
+        total.itemsDone += outcome.itemsDone;
+        total.requests += outcome.requests;
+        total.requestsOnTime += outcome.requestsOnTime;
+        total.stops += outcome.stops;
     }
-    MESSAGE(sum.itemsOnTime << " items on time, " << sum.itemsDone << " done of " << sum.items << ", " << sum.stops << " stops; "
-                            << sum.requestsOnTime << " requests of " << sum.requests << " on time");
-    CHECK(static_cast<double>(sum.itemsOnTime) > 0.97 * static_cast<double>(sum.items));
-    CHECK(static_cast<double>(sum.requestsOnTime) > 0.999 * static_cast<double>(sum.requests));
+    MESSAGE(total.itemsOnTime << " items on time, " << total.itemsDone << " done of " << total.items << ", " << total.stops
+                              << " stops; " << total.requestsOnTime << " requests of " << total.requests << " on time");
+    CHECK(static_cast<double>(total.itemsOnTime) > 0.97 * static_cast<double>(total.items));
+    CHECK(static_cast<double>(total.requestsOnTime) > 0.999 * static_cast<double>(total.requests));
 }
--- a/Tests/LibDispatch/TestLeftoverReplay.cpp
+++ b/Tests/LibDispatch/TestLeftoverReplay.cpp
@@ -21,7 +21,7 @@
 constexpr std::uint32_t replicaCount = 12;
 constexpr std::uint32_t slots = 8;
 /** Items that each replica still runs for nodes that are gone. */
-constexpr std::uint32_t leftover = 4;
+constexpr std::uint32_t leftoverItems = 4;
 constexpr std::chrono::milliseconds streamTime{550};
 constexpr std::chrono::milliseconds itemTime{1500};
 constexpr std::chrono::milliseconds objective{250};
@@ -51,7 +51,7 @@
         std::uniform_int_distribution<int> remaining(800, 3000);
         for (std::uint32_t i = 0; i < replicaCount; ++i) {
             Engine &engine = this->engines[EndpointName("r" + std::to_string(i))];
-            for (std::uint32_t item = 0; item < leftover; ++item) {
+            for (std::uint32_t item = 0; item < leftoverItems; ++item) {
                 engine.running.emplace(this->clock.now() + std::chrono::milliseconds(remaining(random)), 0);
             }
         }
@@ -76,29 +76,29 @@
     /** @return requests that are over now. */
     std::vector<std::uint64_t> endDue()
     {
-        std::vector<std::uint64_t> over;
+        std::vector<std::uint64_t> finished;
         for (auto &[instance, engine] : this->engines) {
             while (!engine.running.empty() && engine.running.begin()->first <= this->clock.now()) {
-                over.push_back(engine.running.begin()->second);
+                finished.push_back(engine.running.begin()->second);
                 engine.running.erase(engine.running.begin());
             }
         }
-        return over;
+        return finished;
     }
 
     /** @return requests that begin now, with where. */
-    std::vector<std::pair<std::uint64_t, EndpointName>> beginWaiting()
+    std::vector<std::pair<std::uint64_t, EndpointName>> startWaiting()
     {
-        std::vector<std::pair<std::uint64_t, EndpointName>> begun;
+        std::vector<std::pair<std::uint64_t, EndpointName>> started;
         for (auto &[instance, engine] : this->engines) {
             while (!engine.waiting.empty() && engine.running.size() < slots) {
                 const auto [number, runTime] = engine.waiting.front();
                 engine.waiting.pop_front();
                 engine.running.emplace(this->clock.now() + runTime, number);
-                begun.emplace_back(number, instance);
+                started.emplace_back(number, instance);
             }
         }
-        return begun;
+        return started;
     }
 
     ReportedLoad load(const EndpointName &instance) const
@@ -143,7 +143,7 @@
             dispatcher.recordLoad(replica.instance, {});
         }
     }
-    const auto ask = [&](std::uint64_t number, WorkClass work) {
+    const auto submit = [&](std::uint64_t number, WorkClass work) {
         PlacementRequest request;
         request.id = {SessionNumber(1), number};
         request.work = work;
@@ -157,9 +157,9 @@
         dispatcher.end({SessionNumber(1), number}, PlacementVerdict::Finished);
     };
     for (std::uint64_t item = 1; item <= itemCount; ++item) {
-        ask(item, WorkClass::Batch);
+        submit(item, WorkClass::Batch);
     }
-    std::uint64_t last = itemCount;
+    std::uint64_t lastTicket = itemCount;
     std::minstd_rand random(11);
     std::uniform_real_distribution<double> chance(0, 1);
     for (std::chrono::milliseconds time{0}; time < length; time += 1ms) {
@@ -173,21 +173,21 @@
             engines.cancel(placedAt.at(number), number);
             end(number);
         }
-        for (const auto &[number, instance] : engines.beginWaiting()) {
+        for (const auto &[number, instance] : engines.startWaiting()) {
             const auto online = arrived.find(number);
             const bool isOnline = online != arrived.end();
             outcome.onTime += isOnline && clock.now() - online->second <= objective ? 1 : 0;
             const ReportedLoad load = engines.load(instance);
-            const bool isNews = !isOnline || load.waiting > 0 || load.running >= slots;
-            if (reported == Reported::Yes && isNews) {
+            const bool isReported = !isOnline || load.waiting > 0 || load.running >= slots;
+            if (reported == Reported::Yes && isReported) {
                 dispatcher.recordLoad(instance, load);
             }
         }
         // What comes in the last moments can't be judged any more.
         if (time + objective < length && chance(random) < perSecond / 1000) {
             ++outcome.requests;
-            arrived[++last] = clock.now();
-            ask(last, WorkClass::Online);
+            arrived[++lastTicket] = clock.now();
+            submit(lastTicket, WorkClass::Online);
         }
         if (time % 20ms == 0ms) {
             dispatcher.tick();
--- a/Tests/LibDispatch/TestLoadReplay.cpp
+++ b/Tests/LibDispatch/TestLoadReplay.cpp
@@ -26,7 +26,7 @@
 /** What a node does regularly. */
 constexpr std::chrono::milliseconds tickInterval{20};
 constexpr std::chrono::milliseconds reportInterval{200};
-constexpr std::chrono::milliseconds askInterval{200};
+constexpr std::chrono::milliseconds resubmitInterval{200};
 constexpr std::chrono::seconds length{33};
 /** Square bursts: 2.8 s of 6.6 s at 1.84 times the mean, the rest at 0.377 times. */
 constexpr std::chrono::milliseconds period{6600};
@@ -82,7 +82,7 @@
     std::vector<std::uint64_t> stops;
     std::map<std::uint64_t, RunningPlacement> running;
     std::map<std::uint64_t, PlacementRequest> waiting;
-    std::size_t inTime = 0;
+    std::size_t onTimeCount = 0;
     std::chrono::nanoseconds itemWork{0};
     Dispatcher dispatcher(clock,
                           {.place =
@@ -91,7 +91,7 @@
                                    running[id.number] = {id.number, replica, !arrived.contains(id.number)};
                                    const auto online = arrived.find(id.number);
                                    if (online != arrived.end()) {
-                                       inTime += clock.now() - online->second <= objective ? 1 : 0;
+                                       onTimeCount += clock.now() - online->second <= objective ? 1 : 0;
                                        ends.emplace(clock.now() + streamTime, id.number);
                                    } else {
                                        itemStarts[id.number] = clock.now();
@@ -107,10 +107,10 @@
     for (const DispatchReplica &replica : equalReplicas(replicaCount, slots)) {
         dispatcher.recordLoad(replica.instance, {});
     }
-    std::uint64_t last = 0;
-    const auto ask = [&](WorkClass work) {
+    std::uint64_t lastTicket = 0;
+    const auto submit = [&](WorkClass work) {
         PlacementRequest request;
-        request.id = {SessionNumber(1), ++last};
+        request.id = {SessionNumber(1), ++lastTicket};
         request.work = work;
         request.arrived = clock.now();
         // Items that may not be stopped are made so by having no time to spare.
@@ -118,9 +118,9 @@
         request.due = clock.now() + (mayWait ? std::chrono::milliseconds(10000) : objective);
         request.deadline = clock.now() + std::chrono::hours(1);
         if (work == WorkClass::Online) {
-            arrived[last] = clock.now();
+            arrived[lastTicket] = clock.now();
         }
-        waiting[last] = request;
+        waiting[lastTicket] = request;
         dispatcher.submit(request);
     };
     const auto endRun = [&](std::uint64_t number) {
@@ -146,10 +146,10 @@
             dispatcher.end({SessionNumber(1), number}, PlacementVerdict::Finished);
         }
         if (arrivals.isDue(time)) {
-            ask(WorkClass::Online);
+            submit(WorkClass::Online);
         }
         while (dispatcher.load().batchWaiting < 5) {
-            ask(WorkClass::Batch);
+            submit(WorkClass::Batch);
         }
         if (time % tickInterval == std::chrono::milliseconds(0)) {
             dispatcher.tick();
@@ -160,21 +160,21 @@
             for (const auto &[number, placement] : running) {
                 report.push_back(placement);
             }
-            dispatcher.reconcile(SessionNumber(1), last, report);
+            dispatcher.reconcile(SessionNumber(1), lastTicket, report);
         }
         // As nodes do: what waits is asked for again.
-        if (time % askInterval == std::chrono::milliseconds(0)) {
-            std::vector<PlacementRequest> asked;
-            asked.reserve(waiting.size());
+        if (time % resubmitInterval == std::chrono::milliseconds(0)) {
+            std::vector<PlacementRequest> requests;
+            requests.reserve(waiting.size());
             for (const auto &[number, request] : waiting) {
-                asked.push_back(request);
+                requests.push_back(request);
             }
-            for (const PlacementRequest &request : asked) {
+            for (const PlacementRequest &request : requests) {
                 dispatcher.submit(request);
             }
         }
     }
-    return {static_cast<double>(inTime) / static_cast<double>(arrived.size()),
+    return {static_cast<double>(onTimeCount) / static_cast<double>(arrived.size()),
             std::chrono::duration<double>(itemWork) / std::chrono::duration<double>(itemTime)};
 }
 
@@ -194,11 +194,11 @@
     };
     std::map<EndpointName, Engine> engines;
     std::multimap<SteadyTime, std::pair<EndpointName, std::size_t>> ends;
-    std::size_t inTime = 0;
-    std::size_t asked = 0;
-    const auto begin = [&](const EndpointName &instance, SteadyTime since, std::size_t node) {
+    std::size_t onTimeCount = 0;
+    std::size_t requests = 0;
+    const auto start = [&](const EndpointName &instance, SteadyTime since, std::size_t node) {
         ++engines[instance].running;
-        inTime += clock.now() - since <= objective ? 1 : 0;
+        onTimeCount += clock.now() - since <= objective ? 1 : 0;
         ends.emplace(clock.now() + streamTime, std::pair(instance, node));
     };
     Arrivals arrivals(perSecond, 7);
@@ -214,24 +214,24 @@
             if (!engine.waiting.empty()) {
                 const auto [since, waitingNode] = engine.waiting.front();
                 engine.waiting.pop_front();
-                begin(instance, since, waitingNode);
+                start(instance, since, waitingNode);
             }
         }
         if (!arrivals.isDue(time)) {
             continue;
         }
-        ++asked;
+        ++requests;
         const std::size_t node = random() % nodeCount;
-        const std::optional<EndpointName> chosen = nodes[node]->select(FailureDomain("z"), {});
-        REQUIRE(chosen);
-        nodes[node]->begin(*chosen);
-        if (engines[*chosen].running < slots) {
-            begin(*chosen, clock.now(), node);
+        const std::optional<EndpointName> selected = nodes[node]->select(FailureDomain("z"), {});
+        REQUIRE(selected);
+        nodes[node]->begin(*selected);
+        if (engines[*selected].running < slots) {
+            start(*selected, clock.now(), node);
         } else {
-            engines[*chosen].waiting.emplace_back(clock.now(), node);
+            engines[*selected].waiting.emplace_back(clock.now(), node);
         }
     }
-    return {static_cast<double>(inTime) / static_cast<double>(asked), 0};
+    return {static_cast<double>(onTimeCount) / static_cast<double>(requests), 0};
 }
 
 } // namespace
--- a/Tests/LibDispatch/TestBrinkReplay.cpp
+++ b/Tests/LibDispatch/TestPlacementDeadlineReplay.cpp
@@ -20,14 +20,14 @@
 constexpr std::chrono::milliseconds streamTime{780};
 constexpr std::chrono::milliseconds objective{300};
 /** From the caller's first byte until its request has arrived, and on the way of an answer. */
-constexpr std::chrono::milliseconds wayIn{3};
-constexpr std::chrono::milliseconds wayOfPlace{2};
-constexpr std::chrono::milliseconds wayOut{1};
+constexpr std::chrono::milliseconds requestDelay{3};
+constexpr std::chrono::milliseconds placementDelay{2};
+constexpr std::chrono::milliseconds responseDelay{1};
 constexpr double meanFirst = 85;
 constexpr double spreadFirst = 8;
 constexpr std::chrono::milliseconds step{1};
 constexpr std::chrono::milliseconds tickInterval{20};
-constexpr std::chrono::milliseconds askInterval{200};
+constexpr std::chrono::milliseconds resubmitInterval{200};
 constexpr std::chrono::milliseconds period{6600};
 constexpr std::chrono::milliseconds burstStart{3800};
 constexpr std::chrono::seconds length{33};
@@ -43,10 +43,10 @@
 };
 
 /** Bursts over what the slots can serve, before replicas that take more or less long to the first event. */
-class BrinkReplay
+class PlacementDeadlineReplay
 {
 public:
-    explicit BrinkReplay(double burst)
+    explicit PlacementDeadlineReplay(double burst)
         : burst(burst)
         , dispatcher(this->clock,
                      {.place =
@@ -67,32 +67,32 @@
             this->endRuns();
             const double load = time % period >= burstStart ? this->burst : 0.4;
             if (chance(this->random) < load * capacity / 1000) {
-                this->ask();
+                this->submit();
             }
             if (time % tickInterval == 0ms) {
                 this->dispatcher.tick();
             }
-            if (time % askInterval == 0ms) {
-                this->askAgain();
+            if (time % resubmitInterval == 0ms) {
+                this->resubmit();
             }
         }
         return this->outcome;
     }
 
 private:
-    void ask()
+    void submit()
     {
         PlacementRequest request;
-        request.id = {SessionNumber(1), ++this->last};
+        request.id = {SessionNumber(1), ++this->lastTicket};
         request.arrived = this->clock.now();
         request.due = this->estimate.placementDeadline(request.arrived, objective);
         request.deadline = request.arrived + 5s;
         ++this->outcome.requests;
-        this->waiting[this->last] = request;
+        this->waiting[this->lastTicket] = request;
         this->dispatcher.submit(request);
     }
 
-    void askAgain()
+    void resubmit()
     {
         const std::map<std::uint64_t, PlacementRequest> again = this->waiting;
         for (const auto &[number, request] : again) {
@@ -102,14 +102,14 @@
 
     void begin(std::uint64_t number)
     {
-        const auto asked = this->waiting.extract(number);
-        if (asked.empty()) {
+        const auto waited = this->waiting.extract(number);
+        if (waited.empty()) {
             return;
         }
         std::normal_distribution<double> first(meanFirst, spreadFirst);
         const std::chrono::milliseconds took(static_cast<int>(std::max(first(this->random), 62.0)));
         this->estimate.record(took);
-        const auto seen = wayIn + (this->clock.now() - asked.mapped().arrived) + wayOfPlace + took + wayOut;
+        const auto seen = requestDelay + (this->clock.now() - waited.mapped().arrived) + placementDelay + took + responseDelay;
         this->outcome.onTime += seen <= objective ? 1 : 0;
         this->ends.emplace(this->clock.now() + streamTime, number);
     }
@@ -128,7 +128,7 @@
     std::minstd_rand random{7};
     FirstEventEstimate estimate;
     Outcome outcome;
-    std::uint64_t last = 0;
+    std::uint64_t lastTicket = 0;
     std::map<std::uint64_t, PlacementRequest> waiting;
     std::multimap<SteadyTime, std::uint64_t> ends;
     Dispatcher dispatcher;
@@ -141,9 +141,9 @@
 // could have served others in time are spent on them.
 TEST_CASE("who is placed at the last moment in a burst is on time at its caller")
 {
-    const Outcome calm = BrinkReplay(0.9).run();
+    const Outcome calm = PlacementDeadlineReplay(0.9).run();
     CHECK(calm.onTime > 0.995 * static_cast<double>(calm.requests));
-    const Outcome burst = BrinkReplay(burstLoad).run();
+    const Outcome burst = PlacementDeadlineReplay(burstLoad).run();
     // What the slots can't serve is late, less the queue at the end of each burst; nothing else need be.
     const double excess = (burstLoad - 1) * capacity * std::chrono::duration<double>(period - burstStart).count();
     const double queued = capacity * std::chrono::duration<double>(objective).count() / 2;
--- a/Tests/LibDispatch/TestRefusalReplay.cpp
+++ b/Tests/LibDispatch/TestRefusalReplay.cpp
@@ -19,35 +19,35 @@
 constexpr std::chrono::milliseconds streamTime{770};
 constexpr std::chrono::milliseconds objective{250};
 constexpr std::chrono::seconds timeout{5};
-constexpr std::chrono::milliseconds step{1};
+constexpr std::chrono::milliseconds timeStep{1};
 constexpr std::chrono::milliseconds tickInterval{20};
-constexpr std::chrono::milliseconds askInterval{200};
+constexpr std::chrono::milliseconds resubmitInterval{200};
 constexpr std::chrono::seconds length{60};
 /** What the replicas can serve in a second. */
 constexpr double capacity = replicaCount * slots / 0.77;
 /** What an answer is worth to a caller that gets it late, and to one that was told at once to come back and was on time then. */
-constexpr double lateWorth = 0.15;
-constexpr double returnedWorth = 0.575;
+constexpr double lateValue = 0.15;
+constexpr double retriedOnTimeValue = 0.575;
 
 /** What became of the callers of one replay. */
 struct Outcome
 {
     int callers = 0;
     int onTime = 0;
-    int returnedOnTime = 0;
+    int retriedOnTime = 0;
     int late = 0;
-    int sentAway = 0;
+    int refused = 0;
     /** Waited until their time was over. */
-    int held = 0;
+    int timedOut = 0;
 
-    double worth() const
+    double value() const
     {
-        return (this->onTime + returnedWorth * this->returnedOnTime + lateWorth * this->late) / this->callers;
+        return (this->onTime + retriedOnTimeValue * this->retriedOnTime + lateValue * this->late) / this->callers;
     }
 };
 
 /** Whether the dispatcher may send requests away. */
-enum class Refusing {
+enum class Refusal {
     Yes,
     No,
 };
@@ -59,19 +59,19 @@
 class Replay
 {
 public:
-    Replay(Load load, Refusing refusing, std::size_t replicasAtBurst = replicaCount)
+    Replay(Load load, Refusal refusal, std::size_t reducedReplicas = replicaCount)
         : load(std::move(load))
-        , refusing(refusing)
-        , replicasAtBurst(replicasAtBurst)
+        , refusal(refusal)
+        , reducedReplicas(reducedReplicas)
         , dispatcher(this->clock,
                      {.place =
                           [this](TicketId id, const EndpointName &) {
-                              this->takePlace(id.number);
+                              this->handlePlaced(id.number);
                           },
                       .stop = [](TicketId) {},
                       .refuse =
                           [this](TicketId id, std::chrono::milliseconds retryAfter) {
-                              this->takeRefusal(id.number, retryAfter);
+                              this->handleRefusal(id.number, retryAfter);
                           }})
     {
     }
@@ -79,20 +79,20 @@
     Outcome run()
     {
         std::uniform_real_distribution<double> chance(0, 1);
-        for (std::chrono::milliseconds time{0}; time < length; time += step) {
-            this->clock.advance(step);
+        for (std::chrono::milliseconds time{0}; time < length; time += timeStep) {
+            this->clock.advance(timeStep);
             this->setReplicas(time);
             this->endRuns();
             if (chance(this->random) < this->load(time) * capacity / 1000) {
                 ++this->outcome.callers;
-                this->ask({++this->lastContent, this->clock.now(), true, {}});
+                this->submit({++this->lastContent, this->clock.now(), true, {}});
             }
-            this->comeAgain();
+            this->retryDue();
             if (time % tickInterval == std::chrono::milliseconds(0)) {
                 this->dispatcher.tick();
             }
-            if (time % askInterval == std::chrono::milliseconds(0)) {
-                this->askAgain();
+            if (time % resubmitInterval == std::chrono::milliseconds(0)) {
+                this->resubmit();
             }
         }
         return this->outcome;
@@ -109,15 +109,15 @@
 
     void setReplicas(std::chrono::milliseconds time)
     {
-        const bool isFew = time >= length / 2 && time < length / 2 + std::chrono::seconds(5);
-        const std::size_t count = isFew ? this->replicasAtBurst : replicaCount;
-        if (std::exchange(this->present, count) == count) {
+        const bool isReduced = time >= length / 2 && time < length / 2 + std::chrono::seconds(5);
+        const std::size_t count = isReduced ? this->reducedReplicas : replicaCount;
+        if (std::exchange(this->currentReplicas, count) == count) {
             return;
         }
         this->dispatcher.setReplicas(equalReplicas(count, slots));
     }
 
-    void ask(Caller caller)
+    void submit(Caller caller)
     {
         const SteadyTime now = this->clock.now();
         PlacementRequest &request = caller.request;
@@ -126,28 +126,28 @@
         request.due = now + objective;
         request.deadline = caller.first + timeout;
         request.content = caller.content;
-        request.mayRefuse = this->refusing == Refusing::Yes;
+        request.mayRefuse = this->refusal == Refusal::Yes;
         this->waiting[request.id.number] = caller;
         this->dispatcher.submit(PlacementRequest(request));
     }
 
-    void askAgain()
+    void resubmit()
     {
-        std::vector<PlacementRequest> asked;
-        for (auto waits = this->waiting.begin(); waits != this->waiting.end();) {
-            const bool isOver = waits->second.request.deadline < this->clock.now();
-            this->outcome.held += isOver ? 1 : 0;
+        std::vector<PlacementRequest> resubmitted;
+        for (auto waited = this->waiting.begin(); waited != this->waiting.end();) {
+            const bool isOver = waited->second.request.deadline < this->clock.now();
+            this->outcome.timedOut += isOver ? 1 : 0;
             if (!isOver) {
-                asked.push_back(waits->second.request);
+                resubmitted.push_back(waited->second.request);
             }
-            waits = isOver ? this->waiting.erase(waits) : std::next(waits);
+            waited = isOver ? this->waiting.erase(waited) : std::next(waited);
         }
-        for (const PlacementRequest &request : asked) {
+        for (const PlacementRequest &request : resubmitted) {
             this->dispatcher.submit(request);
         }
     }
 
-    void takePlace(std::uint64_t ticket)
+    void handlePlaced(std::uint64_t ticket)
     {
         const auto found = this->waiting.find(ticket);
         if (found == this->waiting.end()) {
@@ -155,35 +155,35 @@
         }
         const Caller &caller = found->second;
         const bool isOnTime = this->clock.now() <= caller.request.due;
-        const bool wasEarly = caller.isFirstTry || this->wasSentAwayEarly[caller.content];
+        const bool mayCountOnTime = caller.isFirstTry || this->wasRefusedEarly[caller.content];
         this->outcome.onTime += isOnTime && caller.isFirstTry ? 1 : 0;
-        this->outcome.returnedOnTime += isOnTime && !caller.isFirstTry && wasEarly ? 1 : 0;
-        this->outcome.late += !isOnTime || !wasEarly ? 1 : 0;
+        this->outcome.retriedOnTime += isOnTime && !caller.isFirstTry && mayCountOnTime ? 1 : 0;
+        this->outcome.late += !isOnTime || !mayCountOnTime ? 1 : 0;
         this->ends.emplace(this->clock.now() + streamTime, ticket);
         this->waiting.erase(found);
     }
 
-    void takeRefusal(std::uint64_t ticket, std::chrono::milliseconds retryAfter)
+    void handleRefusal(std::uint64_t ticket, std::chrono::milliseconds retryAfter)
     {
         const auto found = this->waiting.find(ticket);
         REQUIRE(found != this->waiting.end());
         Caller caller = found->second;
         this->waiting.erase(found);
-        this->outcome.sentAway += 1;
+        this->outcome.refused += 1;
         if (caller.isFirstTry) {
-            this->wasSentAwayEarly[caller.content] = (this->clock.now() - caller.first) * 4 <= objective;
+            this->wasRefusedEarly[caller.content] = (this->clock.now() - caller.first) * 4 <= objective;
             caller.isFirstTry = false;
-            const auto most = (caller.request.deadline - this->clock.now()) / 3;
-            this->returns.emplace(this->clock.now() + std::min<std::chrono::nanoseconds>(retryAfter, most), caller);
+            const auto maxRetryAfter = (caller.request.deadline - this->clock.now()) / 3;
+            this->retries.emplace(this->clock.now() + std::min<std::chrono::nanoseconds>(retryAfter, maxRetryAfter), caller);
         }
     }
 
-    void comeAgain()
+    void retryDue()
     {
-        while (!this->returns.empty() && this->returns.begin()->first <= this->clock.now()) {
-            const Caller caller = this->returns.begin()->second;
-            this->returns.erase(this->returns.begin());
-            this->ask(caller);
+        while (!this->retries.empty() && this->retries.begin()->first <= this->clock.now()) {
+            const Caller caller = this->retries.begin()->second;
+            this->retries.erase(this->retries.begin());
+            this->submit(caller);
         }
     }
 
@@ -196,17 +196,17 @@
     }
 
     Load load;
-    Refusing refusing;
-    std::size_t replicasAtBurst;
-    std::size_t present = 0;
+    Refusal refusal;
+    std::size_t reducedReplicas;
+    std::size_t currentReplicas = 0;
     ManualClock clock;
     std::minstd_rand random{7};
     std::uint64_t lastTicket = 0;
     std::uint64_t lastContent = 0;
     std::map<std::uint64_t, Caller> waiting;
-    std::multimap<SteadyTime, Caller> returns;
+    std::multimap<SteadyTime, Caller> retries;
     std::multimap<SteadyTime, std::uint64_t> ends;
-    std::map<std::uint64_t, bool> wasSentAwayEarly;
+    std::map<std::uint64_t, bool> wasRefusedEarly;
     Outcome outcome;
     Dispatcher dispatcher;
 };
@@ -229,11 +229,12 @@
     };
 }
 
-std::string tell(const Outcome &outcome)
+std::string describe(const Outcome &outcome)
 {
-    return "worth " + std::to_string(outcome.worth()) + ", on time " + std::to_string(outcome.onTime) + ", returned "
-        + std::to_string(outcome.returnedOnTime) + ", late " + std::to_string(outcome.late) + ", sent away "
-        + std::to_string(outcome.sentAway) + ", held " + std::to_string(outcome.held) + " of " + std::to_string(outcome.callers);
+    return "worth " + std::to_string(outcome.value()) + ", on time " + std::to_string(outcome.onTime) + ", returned "
+        + std::to_string(outcome.retriedOnTime) + ", late " + std::to_string(outcome.late) + ", sent away "
+        + std::to_string(outcome.refused) + ", held " + std::to_string(outcome.timedOut) + " of "
+        + std::to_string(outcome.callers);
 }
 
 } // namespace
@@ -254,14 +255,14 @@
 TEST_CASE("in a burst, who can't be on time is told at once to come back to a place")
 {
     for (const double share : {1.1, 1.2, 1.3, 1.5}) {
-        const Outcome queueing = Replay(bursts(share), Refusing::No).run();
-        const Outcome refusing = Replay(bursts(share), Refusing::Yes).run();
-        MESSAGE("burst of ", share, ": queueing ", tell(queueing), "; refusing ", tell(refusing));
-        CHECK(refusing.worth() > queueing.worth() - 0.001);
-        CHECK(refusing.onTime > 0.99 * queueing.onTime);
-        CHECK(refusing.late < 0.95 * queueing.late);
-        CHECK(refusing.onTime + refusing.returnedOnTime > 0.97 * servable(share, refusing.callers));
-        CHECK(refusing.held == 0);
+        const Outcome queueing = Replay(bursts(share), Refusal::No).run();
+        const Outcome refusal = Replay(bursts(share), Refusal::Yes).run();
+        MESSAGE("burst of ", share, ": queueing ", describe(queueing), "; refusing ", describe(refusal));
+        CHECK(refusal.value() > queueing.value() - 0.001);
+        CHECK(refusal.onTime > 0.99 * queueing.onTime);
+        CHECK(refusal.late < 0.95 * queueing.late);
+        CHECK(refusal.onTime + refusal.retriedOnTime > 0.97 * servable(share, refusal.callers));
+        CHECK(refusal.timedOut == 0);
     }
 }
 
@@ -270,29 +271,29 @@
 TEST_CASE("under a load that stays, nobody is held to the end, and no less is served")
 {
     for (const double share : {1.02, 1.07, 1.2, 1.5}) {
-        const Outcome queueing = Replay(steady(share), Refusing::No).run();
-        const Outcome refusing = Replay(steady(share), Refusing::Yes).run();
-        MESSAGE("steady ", share, ": queueing ", tell(queueing), "; refusing ", tell(refusing));
-        CHECK(queueing.held > 100);
-        CHECK(refusing.held <= 1);
-        CHECK(refusing.onTime >= queueing.onTime);
-        CHECK(refusing.onTime + refusing.late >= queueing.onTime + queueing.late);
-        CHECK(refusing.returnedOnTime == 0);
+        const Outcome queueing = Replay(steady(share), Refusal::No).run();
+        const Outcome refusal = Replay(steady(share), Refusal::Yes).run();
+        MESSAGE("steady ", share, ": queueing ", describe(queueing), "; refusing ", describe(refusal));
+        CHECK(queueing.timedOut > 100);
+        CHECK(refusal.timedOut <= 1);
+        CHECK(refusal.onTime >= queueing.onTime);
+        CHECK(refusal.onTime + refusal.late >= queueing.onTime + queueing.late);
+        CHECK(refusal.retriedOnTime == 0);
     }
 }
 
 TEST_CASE("nobody is sent away while there is room")
 {
-    CHECK(Replay(steady(0.9), Refusing::Yes).run().sentAway == 0);
+    CHECK(Replay(steady(0.9), Refusal::Yes).run().refused == 0);
 }
 
 // More than half of the replicas go for 5 s. What is served meanwhile must not suffer from refusals.
 TEST_CASE("while half of the replicas are gone, refusals cost nobody an answer")
 {
-    const Outcome queueing = Replay(steady(0.6), Refusing::No, 4).run();
-    const Outcome refusing = Replay(steady(0.6), Refusing::Yes, 4).run();
-    MESSAGE("half gone: queueing ", tell(queueing), "; refusing ", tell(refusing));
-    CHECK(refusing.onTime >= queueing.onTime);
-    CHECK(refusing.worth() > queueing.worth() - 0.005);
-    CHECK(refusing.held == 0);
+    const Outcome queueing = Replay(steady(0.6), Refusal::No, 4).run();
+    const Outcome refusal = Replay(steady(0.6), Refusal::Yes, 4).run();
+    MESSAGE("half gone: queueing ", describe(queueing), "; refusing ", describe(refusal));
+    CHECK(refusal.onTime >= queueing.onTime);
+    CHECK(refusal.value() > queueing.value() - 0.005);
+    CHECK(refusal.timedOut == 0);
 }
--- a/Tests/LibDispatch/TestReplicaIndex.cpp
+++ b/Tests/LibDispatch/TestReplicaIndex.cpp
@@ -31,7 +31,7 @@
         DispatchedReplica &replica = this->all[number];
         replica.number = number;
         replica.traits = {EndpointName("r" + std::to_string(number)), FailureDomain("z" + std::to_string(number % 3)), 4, false};
-        replica.mark = nameHashOf(replica.traits.instance);
+        replica.nameHash = nameHashOf(replica.traits.instance);
         this->index.update(replica);
     }
 
@@ -45,13 +45,13 @@
     }
 
     /** One of the things that happen to a replica. */
-    void change(DispatchedReplica &replica, int what, int amount)
+    void change(DispatchedReplica &replica, int action, int amount)
     {
         const SteadyTime now = this->clock.now();
         const WorkClass work = amount % 2 == 0 ? WorkClass::Online : WorkClass::Batch;
-        switch (what) {
+        switch (action) {
         case 0:
-            replica.slots.take(work);
+            replica.slots.acquire(work);
             replica.lastFull = replica.hasFreeSlot(now) ? replica.lastFull : now;
             break;
         case 1:
@@ -60,10 +60,10 @@
             }
             break;
         case 2:
-            replica.slots.noteReported({static_cast<std::uint32_t>(amount), 0}, now);
+            replica.slots.recordReport({static_cast<std::uint32_t>(amount), 0}, now);
             break;
         case 3:
-            replica.gate.noteEnd(amount % 2 == 0 ? PlacementVerdict::Broken : PlacementVerdict::Rejected, now);
+            replica.breaker.recordEnd(amount % 2 == 0 ? PlacementVerdict::Broken : PlacementVerdict::Rejected, now);
             break;
         default:
             replica.traits.isDraining = !replica.traits.isDraining;
@@ -76,23 +76,23 @@
     {
         const SteadyTime now = this->clock.now();
         const bool isAvoided = std::ranges::find(request.avoided, replica.traits.instance) != request.avoided.end();
-        return !isAvoided && replica.isOpen(now) && (request.work == WorkClass::Online || replica.mayTakeItem(now));
+        return !isAvoided && replica.isOpen(now) && (request.work == WorkClass::Online || replica.mayAcceptItem(now));
     }
 
     /** @return whether the chosen replica is possible, and none that differs from it in load alone has less. */
-    bool isBest(const DispatchedReplica *chosen, const PlacementRequest &request) const
+    bool isBest(const DispatchedReplica *selected, const PlacementRequest &request) const
     {
         const auto isConnected = [&request](const DispatchedReplica &replica) {
-            return std::ranges::find(request.connected, replica.mark) != request.connected.end();
+            return std::ranges::find(request.connected, replica.nameHash) != request.connected.end();
         };
         return std::ranges::all_of(this->all, [&](const auto &entry) {
             const DispatchedReplica &other = entry.second;
             if (!this->isPossible(other, request)) {
-                return chosen != &other;
+                return selected != &other;
             }
-            const bool isAlike = chosen != nullptr && other.traits.failureDomain == chosen->traits.failureDomain
-                && isConnected(other) == isConnected(*chosen);
-            return chosen != nullptr && (!isAlike || other.load(this->clock.now()) >= chosen->load(this->clock.now()));
+            const bool isComparable = selected != nullptr && other.traits.failureDomain == selected->traits.failureDomain
+                && isConnected(other) == isConnected(*selected);
+            return selected != nullptr && (!isComparable || other.load(this->clock.now()) >= selected->load(this->clock.now()));
         });
     }
 
@@ -111,15 +111,15 @@
         Replicas replicas(count);
         for (int step = 0; step < 60; ++step) {
             const auto number = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(count)));
-            const int what = *rc::gen::inRange(0, 8);
-            if (what == 7) {
+            const int action = *rc::gen::inRange(0, 8);
+            if (action == 7) {
                 replicas.clock.advance(std::chrono::milliseconds(*rc::gen::inRange(1, 900)));
-            } else if (what == 6) {
+            } else if (action == 6) {
                 replicas.remove(number);
             } else if (!replicas.all.contains(number)) {
                 replicas.put(number);
             } else {
-                replicas.change(replicas.all.at(number), what, *rc::gen::inRange(0, 6));
+                replicas.change(replicas.all.at(number), action, *rc::gen::inRange(0, 6));
             }
             PlacementRequest request;
             request.work = step % 2 == 0 ? WorkClass::Online : WorkClass::Batch;
--- a/Tests/LibDispatch/TestReplicaSlots.cpp
+++ b/Tests/LibDispatch/TestReplicaSlots.cpp
@@ -10,10 +10,10 @@
 {
     ManualClock clock;
     ReplicaSlots slots;
-    slots.take(WorkClass::Online);
-    slots.noteReported({6, 2}, clock.now());
+    slots.acquire(WorkClass::Online);
+    slots.recordReport({6, 2}, clock.now());
     CHECK(slots.used(clock.now()) == 8);
-    slots.take(WorkClass::Online);
+    slots.acquire(WorkClass::Online);
     CHECK(slots.used(clock.now()) == 9);
     clock.advance(801ms);
     CHECK(slots.used(clock.now()) == 2);
@@ -25,14 +25,14 @@
 {
     ManualClock clock;
     ReplicaSlots slots;
-    slots.take(WorkClass::Online);
-    slots.take(WorkClass::Batch);
+    slots.acquire(WorkClass::Online);
+    slots.acquire(WorkClass::Batch);
     slots.release(WorkClass::Batch, clock.now());
     clock.advance(50ms);
-    slots.noteReported({2, 0}, clock.now());
+    slots.recordReport({2, 0}, clock.now());
     CHECK(slots.used(clock.now()) == 1);
     clock.advance(20ms);
-    slots.noteReported({2, 0}, clock.now());
+    slots.recordReport({2, 0}, clock.now());
     CHECK(slots.used(clock.now()) == 2);
 }
 
@@ -43,13 +43,13 @@
     ManualClock clock;
     ReplicaSlots slots;
     for (int item = 0; item < 3; ++item) {
-        slots.take(WorkClass::Batch);
+        slots.acquire(WorkClass::Batch);
     }
-    slots.noteReported({7, 0}, clock.now());
+    slots.recordReport({7, 0}, clock.now());
     CHECK(slots.used(clock.now()) == 7);
     slots.release(WorkClass::Batch, clock.now());
-    slots.take(WorkClass::Online);
-    slots.noteReported({7, 0}, clock.now());
+    slots.acquire(WorkClass::Online);
+    slots.recordReport({7, 0}, clock.now());
     CHECK(slots.used(clock.now()) == 7);
 }
 
@@ -57,9 +57,9 @@
 {
     ManualClock clock;
     ReplicaSlots slots;
-    slots.take(WorkClass::Online);
-    slots.take(WorkClass::Online);
-    slots.noteReported({0, 0}, clock.now());
+    slots.acquire(WorkClass::Online);
+    slots.acquire(WorkClass::Online);
+    slots.recordReport({0, 0}, clock.now());
     CHECK(slots.used(clock.now()) == 2);
 }
 
@@ -67,11 +67,11 @@
 {
     ManualClock clock;
     ReplicaSlots slots;
-    CHECK(slots.mayTakeItem(clock.now()));
-    slots.take(WorkClass::Batch);
-    CHECK_FALSE(slots.mayTakeItem(clock.now()));
-    slots.noteReported({}, clock.now());
-    CHECK(slots.mayTakeItem(clock.now()));
+    CHECK(slots.mayAcceptItem(clock.now()));
+    slots.acquire(WorkClass::Batch);
+    CHECK_FALSE(slots.mayAcceptItem(clock.now()));
+    slots.recordReport({}, clock.now());
+    CHECK(slots.mayAcceptItem(clock.now()));
 }
 
 // A replica that was busy with work of others says nothing while none of its requests begins. Filled after that silence, it would
@@ -80,11 +80,11 @@
 {
     ManualClock clock;
     ReplicaSlots slots;
-    slots.noteReported({6, 0}, clock.now());
-    slots.take(WorkClass::Batch);
-    CHECK(slots.mayTakeItem(clock.now()));
+    slots.recordReport({6, 0}, clock.now());
+    slots.acquire(WorkClass::Batch);
+    CHECK(slots.mayAcceptItem(clock.now()));
     clock.advance(801ms);
-    CHECK_FALSE(slots.mayTakeItem(clock.now()));
-    slots.noteReported({1, 0}, clock.now());
-    CHECK(slots.mayTakeItem(clock.now()));
+    CHECK_FALSE(slots.mayAcceptItem(clock.now()));
+    slots.recordReport({1, 0}, clock.now());
+    CHECK(slots.mayAcceptItem(clock.now()));
 }
--- a/Tests/LibDispatch/TestRetrySchedule.cpp
+++ b/Tests/LibDispatch/TestRetrySchedule.cpp
@@ -11,16 +11,16 @@
     const SteadyTime now = SteadyTime(std::chrono::seconds(100));
     const SteadyTime latest = now + std::chrono::milliseconds(500);
     RetrySchedule schedule;
-    CHECK(schedule.promise(1, now, now + std::chrono::milliseconds(300), latest, 10) == now + std::chrono::milliseconds(300));
-    CHECK(schedule.promise(2, now, now + std::chrono::milliseconds(300), latest, 10) == now + std::chrono::milliseconds(400));
-    CHECK(schedule.promise(3, now, now, latest, 10) == latest);
-    CHECK_FALSE(schedule.promise(4, now, now, latest, 10));
-    CHECK_FALSE(schedule.promise(5, now, now, latest + std::chrono::seconds(5), 0));
-    const auto back = schedule.take(2);
-    REQUIRE(back);
-    CHECK(back->arrived == now);
-    CHECK(back->isPromised);
-    CHECK_FALSE(schedule.take(2));
+    CHECK(schedule.reserve(1, now, now + std::chrono::milliseconds(300), latest, 10) == now + std::chrono::milliseconds(300));
+    CHECK(schedule.reserve(2, now, now + std::chrono::milliseconds(300), latest, 10) == now + std::chrono::milliseconds(400));
+    CHECK(schedule.reserve(3, now, now, latest, 10) == latest);
+    CHECK_FALSE(schedule.reserve(4, now, now, latest, 10));
+    CHECK_FALSE(schedule.reserve(5, now, now, latest + std::chrono::seconds(5), 0));
+    const auto retry = schedule.extract(2);
+    REQUIRE(retry);
+    CHECK(retry->arrived == now);
+    CHECK(retry->isReserved);
+    CHECK_FALSE(schedule.extract(2));
 }
 
 TEST_CASE("who does not come back is forgotten")
@@ -28,11 +28,11 @@
     const SteadyTime now = SteadyTime(std::chrono::seconds(100));
     RetrySchedule schedule;
     schedule.expect(1, now, now + std::chrono::seconds(1));
-    schedule.forgetOld(now + std::chrono::seconds(2));
-    CHECK_FALSE(schedule.take(1)->isPromised);
+    schedule.removeExpired(now + std::chrono::seconds(2));
+    CHECK_FALSE(schedule.extract(1)->isReserved);
     schedule.expect(1, now, now + std::chrono::seconds(1));
-    schedule.forgetOld(now + std::chrono::seconds(4));
-    CHECK_FALSE(schedule.take(1));
+    schedule.removeExpired(now + std::chrono::seconds(4));
+    CHECK_FALSE(schedule.extract(1));
 }
 
 // A burst right after the start of a dispatcher looks like a load that stays, and the other way round; until it knows, it
@@ -47,14 +47,14 @@
     CHECK(forecast.serviceRate() == doctest::Approx(100));
     for (int arrival = 0; arrival < 250; ++arrival) {
         clock.advance(std::chrono::milliseconds(20));
-        forecast.noteArrival();
+        forecast.recordArrival();
     }
-    CHECK(forecast.usualRoom() == 0);
+    CHECK(forecast.spareCapacity() == 0);
     for (int arrival = 0; arrival < 1000; ++arrival) {
         clock.advance(std::chrono::milliseconds(20));
-        forecast.noteArrival();
+        forecast.recordArrival();
     }
-    CHECK(forecast.usualRoom() == doctest::Approx(50).epsilon(0.05));
+    CHECK(forecast.spareCapacity() == doctest::Approx(50).epsilon(0.05));
     forecast.setSlots(40);
-    CHECK(forecast.usualRoom() == 0);
+    CHECK(forecast.spareCapacity() == 0);
 }
