--- a/Libraries/LibDispatch/DispatchedReplica.h
+++ b/Libraries/LibDispatch/DispatchedReplica.h
@@ -12,42 +12,45 @@
 namespace Dogwoodkeel
 {
 
-/** A slot that online requests have just left is most likely wanted by the next one: starting an item in it only to stop it again
- * would make a replica read the item's tokens again. About two gaps between requests in a burst. */
+/**
+ * How long after a replica was last full no batch item is placed there. Its free slot is most likely needed by the next
+ * online request, and a stopped item costs the replica a second prefill of the item's tokens. About two gaps between
+ * requests in a burst.
+ */
 inline constexpr std::chrono::milliseconds batchStartDelay{30};
 
-/** A replica as its dispatcher sees it. */
+/** The state of one replica at its dispatcher. */
 struct DispatchedReplica
 {
     DispatchReplica traits;
-    /** Its short name. */
+    /** See nameHashOf(). */
     std::uint32_t nameHash = 0;
-    /** Which of all that the dispatcher has known it is: the order among equals. */
+    /** Sequence number at this dispatcher; breaks ties between replicas of equal load. */
     std::uint64_t number = 0;
     ReplicaCircuitBreaker breaker;
     ReplicaSlots slots;
     /** When it last had no free slot. */
     SteadyTime lastFull{};
 
-    /** @return whether a request more would find a free slot. */
+    /** @return whether at least one slot is free. */
     bool hasFreeSlot(SteadyTime now) const
     {
         return this->slots.used(now) < this->traits.slots;
     }
 
-    /** @return whether it takes requests and has a free slot. */
+    /** @return whether it accepts requests and has a free slot. */
     bool isOpen(SteadyTime now) const
     {
         return !this->traits.isDraining && this->breaker.maySend(now) && this->hasFreeSlot(now);
     }
 
-    /** @return whether an open replica takes an item of a batch job. */
+    /** @return whether an item of a batch job may be placed on this replica if it is open. */
     bool mayAcceptItem(SteadyTime now) const
     {
         return this->slots.mayAcceptItem(now) && now - this->lastFull >= batchStartDelay;
     }
 
-    /** @return when time alone next changes what it may get, if it does. */
+    /** @return when the passing of time next changes what may be placed here, or nothing if it does not. */
     std::optional<SteadyTime> nextChange(SteadyTime now) const
     {
         std::optional<SteadyTime> next = this->slots.reportExpiresAt(now);
@@ -61,7 +64,7 @@
         return next;
     }
 
-    /** @return the part of its slots that is taken. */
+    /** @return the share of its slots that is in use. */
     double load(SteadyTime now) const
     {
         return static_cast<double>(this->slots.used(now)) / this->traits.slots;
--- a/Libraries/LibDispatch/Dispatcher.cpp
+++ b/Libraries/LibDispatch/Dispatcher.cpp
@@ -9,29 +9,40 @@
 namespace
 {
 
-/** A waiting request that its node has not asked for again in this time is over: the word of its end was lost. */
+/** A waiting request that its node has not sent again within this time is over: the datagram that ended it was lost. */
 constexpr std::chrono::milliseconds waitingRetention{800};
 constexpr std::chrono::milliseconds batchWaitingRetention{4000};
-/** A placement that its node has not reported in this time is over; nodes report several times as often. */
+/** A placement that its node has not reported within this time is over; nodes report several times as often. */
 constexpr std::chrono::milliseconds placementRetention{1500};
-/** A report may have left its node before the word of a placement reached it; longer than any datagram travels. */
+/** A report that is sent sooner than this after a placement may not include it yet. Longer than any datagram takes. */
 constexpr std::chrono::milliseconds reportLag{250};
-/** An order to stop that has had no effect by then was lost, and is repeated. */
+/** A stop order without effect after this time was lost, and is repeated. */
 constexpr std::chrono::milliseconds stopRepeatInterval{40};
-/** An item that may wait for less than this would be late if it were stopped: most likely no slot is free again sooner. */
+/** An item with less slack is not stopped: most likely no slot would be free again before it is late. */
 constexpr std::chrono::milliseconds minStopSlack{500};
-/** Of an item whose slack was not told: it may be stopped, but after those that are known to have more. */
+/**
+ * Assumed slack of an item that is known only from a report: it may be stopped, but after items that are known to have
+ * more.
+ */
 constexpr std::chrono::milliseconds unknownSlack{1000};
-/** How often what is over is looked for among all that runs and waits: several times as often as the shortest time below. */
+/** Interval of the cleanup of expired requests and placements; several times shorter than the retention times. */
 constexpr std::chrono::milliseconds cleanupInterval{100};
 
-/** So many items with the most time to spare are looked at for one whose replica has an open connection. */
+/**
+ * How many usable items with the most slack are compared to find one whose replica has an open connection from the
+ * requesting node.
+ */
 constexpr std::size_t maxVictimsCompared = 24;
 
-/** A late request without a prospect is told so after this part (one in so many) of its caller's time, while there is time
- * left to come back. */
+/**
+ * A late request that is unlikely to get a slot is refused after this fraction (1/lateRefusalDivisor) of its caller's
+ * timeout, so that the caller has time left to retry.
+ */
 constexpr int lateRefusalDivisor = 3;
-/** A service with so much of its capacity unused in the long run has bursts; with less, its load stays. */
+/**
+ * Share of a service's capacity that is unused in the long run: above it an overload is taken for a burst, below it for
+ * a sustained overload.
+ */
 constexpr double minSpareShare = 0.05;
 
 } // namespace
@@ -95,7 +106,7 @@
         if (replica == nullptr) {
             this->erasePlacement(placement);
         } else if (replica->traits.isDraining && placement->second.work == WorkClass::Batch && !placement->second.stopped) {
-            // Items make up what they lose; they must not hold up a replica that leaves.
+            // Items can make up the lost time; they must not delay the removal of a draining replica.
             this->stop(placement->second);
         }
         placement = next;
@@ -202,8 +213,8 @@
         this->forecast.recordArrival();
         return;
     }
-    // One that was promised a place goes before all that came after it, and is not sent away a second time. One that was not
-    // promised any goes behind those that can be on time: they would be late in its stead.
+    // A retry with reserved capacity is served before all later arrivals and is not refused again. A retry without goes
+    // behind the requests that can be on time, because it would make them late in its place.
     request.arrived = std::min(request.arrived, retry->arrived);
     if (retry->isReserved) {
         request.mayRefuse = false;
@@ -222,8 +233,8 @@
     const std::chrono::duration<double> wait(static_cast<double>(this->waiting.onTimeAhead(request.priority)) / rate);
     const SteadyTime latest = now + (request.deadline - now) / retryAfterDivisor;
     const std::optional<SteadyTime> burstEnd = this->forecast.burstEnd();
-    // Who comes back into the same burst would take the place of one that can still be on time. Served late after the burst, it
-    // loses less.
+    // A retry within the same burst would take the slot of a request that can still be on time. Serving this one late
+    // after the burst costs less.
     if (now + wait <= request.due || !burstEnd || *burstEnd > latest) {
         return;
     }
@@ -237,8 +248,9 @@
 
 void Dispatcher::refuseUnplaceable()
 {
-    // After a burst the late ones are served; only where the load stays they are not. A dispatcher that is too young to tell
-    // takes the load for one that stays: who is sent away then comes back within a third of its time.
+    // Late requests are served after a burst; only under sustained overload they are not. A dispatcher that has not
+    // observed the load for long enough assumes a sustained overload: the refused requests then retry within a third of
+    // their remaining time.
     const double rate = this->forecast.serviceRate();
     if (rate <= 0 || this->forecast.spareCapacity() > rate * minSpareShare) {
         return;
@@ -311,7 +323,7 @@
             placement->second.confirmed = now;
             reported.erase(report);
         } else if (isReported || isCovered) {
-            // It is over; or its node had waited too long for the answer, and chose a replica by itself.
+            // The request is over, or its node timed out waiting for the answer and selected another replica itself.
             this->erasePlacement(placement);
         }
         placement = next;
@@ -438,17 +450,18 @@
         }
         const PlacementRequest request = next->second.request;
         if (this->waiting.demoteIfLate(request.id)) {
-            // Since the last look it has become late: who is still on time goes first. It comes again behind those.
+            // The request has become late since the last check and moves behind those on time; it is reached again
+            // there.
             next = queue.upper_bound(key);
             continue;
         }
         if ((this->*place)(request)) {
             this->waiting.remove(request.id);
         } else if (!request.isRestricted()) {
-            // One that finds no place though any replica will do shows that there is none for the others either.
+            // A request that any replica can serve finds no slot, so there is none for the others either.
             return;
         } else if (request.avoided.empty()) {
-            // The same for others of its version.
+            // No other request that needs this version can be placed either.
             fullVersions.insert(request.version);
             if (!mayStop && !this->index.isAnyOpenForItems(fullVersions)) {
                 return;
@@ -485,8 +498,9 @@
 
 Dispatcher::Placement *Dispatcher::victimFor(const PlacementRequest &request)
 {
-    // The item with the most time left gives way, one that is late anyway before all; what it has generated is kept by its
-    // node. One that would be late by being stopped stays: it is nearer to its end than any request that would take its place.
+    // Stops the item with the most slack; one that is late already comes first. Its node keeps what it has generated.
+    // An item that would become late by being stopped is not stopped: it is nearer to its end than any request that
+    // would take its slot.
     Placement *first = nullptr;
     std::size_t seen = 0;
     for (auto item = this->stoppable.rbegin(); item != this->stoppable.rend() && seen < maxVictimsCompared; ++item) {
--- a/Libraries/LibDispatch/Dispatcher.h
+++ b/Libraries/LibDispatch/Dispatcher.h
@@ -22,29 +22,34 @@
 {
 
 /**
- * Decides for one service, over all nodes, which request goes to which replica, and when.
+ * Assigns the requests of all nodes for one service to replicas, and decides when each of them starts.
  *
- * One queue and one count a replica: no slot stands idle while a request waits anywhere, and no request waits in a
- * replica's own queue, where its order could no longer be chosen. Batch items fill what online requests leave, and are
- * stopped for them at once: a replica reads the item's tokens again in some milliseconds when it goes on.
+ * There is one queue and one count of used slots per replica for all nodes, so no slot is idle while a request waits at
+ * any node, and no request waits in a replica's own queue, where it could not be reordered. Batch items use the slots
+ * that online requests leave free and are preempted at once for an online request; when an item resumes, the replica
+ * needs some milliseconds to prefill its tokens again.
  *
- * Its state is soft. Nodes report what they run, which corrects what lost datagrams left wrong, and tells a new dispatcher
- * what there is. Nothing that must hold depends on it: a replica that gets one request too many queues or rejects it.
+ * The state is soft. Nodes report their running requests regularly, which corrects the effect of lost datagrams and
+ * informs a new dispatcher. No guarantee depends on this state: a replica that receives more requests than it has slots
+ * queues or rejects them.
  */
 class Dispatcher
 {
 public:
-    /** Who hears of decisions. Told after each call, when all that the call changes is changed: a hook may call back. */
+    /**
+     * Callbacks for decisions. They run at the end of each call, when the state is consistent; a callback may call the
+     * dispatcher again.
+     */
     struct Hooks
     {
         std::function<void(TicketId, const EndpointName &)> place;
-        /** A batch item has to give up its place. */
+        /** A batch item has to release its slot. */
         std::function<void(TicketId)> stop;
-        /** It can't be served in time. */
+        /** The request is refused because it can't be served in time. */
         std::function<void(TicketId, std::chrono::milliseconds retryAfter)> refuse;
     };
 
-    /** What there is, for metrics and status. */
+    /** Counts for metrics and status. */
     struct Load
     {
         std::size_t slots = 0;
@@ -56,31 +61,35 @@
 
     Dispatcher(const Clock &clock, Hooks hooks);
 
-    /** The replicas there are now. */
+    /** Sets the complete list of replicas. */
     void setReplicas(const std::vector<DispatchReplica> &replicas);
 
-    /** What changed among the replicas. */
+    /** Applies a change to the list of replicas. */
     void update(const ReplicaUpdate &update);
 
-    /** A request wants a place; asked again, it gets the same answer. @return whether it has one now */
+    /**
+     * Requests a slot. May be repeated for the same ticket: for a placed request the placement is reported again, for a
+     * waiting one the wait is kept alive.
+     * @return whether the request is decided, that is, placed or refused
+     */
     bool submit(const PlacementRequest &request);
 
-    /** A request is over, or wants no place any more. */
+    /** Ends a request that finished, or withdraws one that waits. */
     void end(TicketId id, PlacementVerdict verdict);
 
-    /** A replica told with an answer how much it has. */
+    /** Records the load that a replica reported with an answer. */
     void recordLoad(const EndpointName &instance, const ReportedLoad &load);
 
     /**
-     * All that a node runs.
-     * @param lastTicket tickets of the node above it are not covered
+     * Applies a node's report of all its running requests.
+     * @param lastTicket the newest ticket that the report covers
      */
     void reconcile(SessionNumber node, std::uint64_t lastTicket, const std::vector<RunningPlacement> &running);
 
-    /** A node is gone, and with it all its requests. */
+    /** Removes a departed node and all its requests. */
     void dropNode(SessionNumber node);
 
-    /** Look after what time brings: waits that are over, replicas that may be tried again, orders that were lost. */
+    /** Handles timeouts: expired waits, replicas that may be probed again, and stop orders that were lost. */
     void tick();
 
     Load load() const;
@@ -92,25 +101,25 @@
         WorkClass work = WorkClass::Online;
         EndpointName replica;
         SteadyTime placed{};
-        /** When its node was last heard of it. */
+        /** When its node last confirmed it. */
         SteadyTime confirmed{};
         /**
-         * Of a batch item: how long it may wait in all without being late. It stays the same while the item runs. An item that
-         * is late anyway has any time.
+         * For a batch item: how long it can still wait in total without missing its deadline. Constant while the item
+         * runs; unlimited for an item that is late already.
          */
         std::chrono::nanoseconds slack{0};
-        /** When it was told to stop, if it was. */
+        /** When the last stop order was sent, if any. */
         std::optional<SteadyTime> stopped;
     };
 
-    /** What is still to be told. */
+    /** A decision that is not delivered to the hooks yet. */
     struct Decision
     {
         PlacementDecision kind = PlacementDecision::Placed;
         TicketId id;
-        /** With Placed. */
+        /** Set for Placed. */
         EndpointName replica;
-        /** With Refused. */
+        /** Set for Refused. */
         std::chrono::milliseconds retryAfter{0};
     };
     using Placements = std::map<TicketId, Placement>;
@@ -128,7 +137,7 @@
     DispatchedReplica *replicaOf(const Placement &placement);
     Placement *victimFor(const PlacementRequest &request);
     void place(const PlacementRequest &request, DispatchedReplica &replica);
-    /** @return whether a replica that takes requests has the version that it needs, if it needs one. */
+    /** @return whether a replica that accepts requests has the version that the request needs, if it needs one. */
     bool isVersionServed(const PlacementRequest &request) const;
     void refuseUnserved();
     void recognizeRetry(PlacementRequest &request);
@@ -145,17 +154,17 @@
     Hooks hooks;
     std::unordered_map<EndpointName, DispatchedReplica> replicas;
     std::uint64_t lastReplica = 0;
-    /** Replicas of each version that do not leave. */
+    /** Number of replicas of each version that are not draining. */
     std::map<SoftwareVersion, std::ptrdiff_t> openVersions;
-    /** Of the replicas that do not leave. */
+    /** Slots of all replicas that are not draining. */
     std::size_t slotCount = 0;
     ReplicaIndex index;
     Placements placements;
     WaitingQueue waiting;
     std::vector<Decision> decisions;
-    /** Batch items that run and were not told to stop, by their slack. */
+    /** Running batch items that were sent no stop order, ordered by slack. */
     std::set<std::pair<std::chrono::nanoseconds, TicketId>> stoppable;
-    /** Batch items that were told to stop and are not over. */
+    /** Batch items that were sent a stop order and have not ended yet. */
     std::set<TicketId> stopping;
     SteadyTime nextCleanup{};
     LoadForecast forecast;
--- a/Libraries/LibDispatch/FirstEventEstimate.cpp
+++ b/Libraries/LibDispatch/FirstEventEstimate.cpp
@@ -9,16 +9,16 @@
 namespace
 {
 
-/** Weight of the newest value: the last thirty or so requests count. */
+/** Weight of the newest value; about the last thirty requests count. */
 constexpr double weight = 0.03;
-/** A request that met a slow replica, or waited in its queue, must not make all others look hopeless. */
+/** Limits the effect of one outlier, such as a request on a slow replica or one that waited in its queue. */
 constexpr double maxFactor = 3;
-/** So many mean deviations above the mean lie all but about two requests of a hundred. */
+/** Mean deviations above the mean; all but about two requests of a hundred are below. */
 constexpr double deviations = 2.5;
 /**
- * What the objective has to last for besides: the caller's connection and the way of its request before it arrives, the way of
- * the dispatcher's answer, and that of the first event. Four times between VMs and callers, and the pauses of VMs that have
- * little processor.
+ * The other delays within the objective: connecting and sending the caller's request, the dispatcher's answer, and the
+ * first event. Four one-way delays between VMs and callers, and the scheduling pauses of VMs with little processor
+ * time.
  */
 constexpr std::chrono::milliseconds networkAllowance{10};
 
--- a/Libraries/LibDispatch/ItemEstimate.cpp
+++ b/Libraries/LibDispatch/ItemEstimate.cpp
@@ -8,11 +8,13 @@
 namespace
 {
 
-/** Weight of the newest value: the last twenty or so items count. */
+/** Weight of the newest value; about the last twenty items count. */
 constexpr double weight = 0.05;
-/** Runs of fewer events tell more of the prompt's reading than of the pace. */
+/** The duration of a run with fewer events depends more on the prefill than on the pace. */
 constexpr std::uint64_t minEvents = 10;
-/** An item that is longer than the mean is near its end, most likely, but not at it. */
+/**
+ * Minimum remaining share of the mean: an item that is longer than the mean is most likely near its end, but not at it.
+ */
 constexpr double minShare = 0.1;
 
 } // namespace
--- a/Libraries/LibDispatch/ItemEstimate.h
+++ b/Libraries/LibDispatch/ItemEstimate.h
@@ -7,25 +7,32 @@
 {
 
 /**
- * How long batch items of a service still run, learned from those that were completed. By it a dispatcher knows until when an
- * item has to have a place to be done in time.
+ * Estimates the remaining run time of a service's batch items from those that were completed. The result determines the
+ * time by which an item has to be placed to meet its deadline.
  */
 class ItemEstimate
 {
 public:
-    /** An item was completed. @param events that it generated in all */
+    /**
+     * Records a completed item.
+     * @param events that it generated in total
+     */
     void recordCompleted(std::uint64_t events);
 
-    /** Part of an item was generated. @param events how many @param took from the request to the last of them */
+    /**
+     * Records one run of an item.
+     * @param events generated in this run
+     * @param took from sending the request to the last of them
+     */
     void recordRun(std::uint64_t events, std::chrono::nanoseconds took);
 
-    /** @return how long an item still runs that has generated some events. */
+    /** @return the remaining run time of an item that has generated a number of events. */
     std::chrono::milliseconds remaining(std::uint64_t events) const;
 
 private:
     using Milliseconds = std::chrono::duration<double, std::milli>;
 
-    /** Before anything is learned: a report of some hundred events at the pace of a filled engine. */
+    /** Initial values before any measurement: a report of some hundred events at the pace of a fully loaded engine. */
     double meanEvents = 200;
     Milliseconds perEvent{22};
 };
--- a/Libraries/LibDispatch/LoadForecast.cpp
+++ b/Libraries/LibDispatch/LoadForecast.cpp
@@ -10,19 +10,22 @@
 namespace
 {
 
-/** Long against the gaps between requests that find a place by luck, short against the time that callers wait. */
+/**
+ * Long compared with the gaps between late requests that find a slot by chance, short compared with the time that
+ * callers wait.
+ */
 constexpr std::chrono::milliseconds latePlacementTimeConstant{1500};
-/** Several bursts and the calm between them; a load that has stayed for so long is the usual one. */
+/** Covers several bursts and the calm between them; a load that has lasted this long is the usual one. */
 constexpr std::chrono::seconds arrivalTimeConstant{15};
-/** Before so much of it has passed, a burst can't be told from the usual load. */
+/** Share of the time constant that has to be observed before a burst can be distinguished from the usual load. */
 constexpr double minObservedShare = 0.4;
-/** Weight of one run in the mean of how long a slot is held. */
+/** Weight of one run in the mean time for which a slot is held. */
 constexpr double runWeight = 0.02;
-/** Requests that wait again after a shorter pause than this belong to the same burst: about half of a caller's objective. */
+/** A shorter pause between waiting requests does not end a burst. About half of a caller's objective. */
 constexpr std::chrono::milliseconds maxGapInBurst{150};
-/** What is shorter is no burst but chance. */
+/** Shorter episodes are random fluctuations, not bursts. */
 constexpr std::chrono::milliseconds minBurst{300};
-/** Weight of one burst in how long they last: the last three or so count. */
+/** Weight of one burst in their mean length; about the last three count. */
 constexpr double burstWeight = 0.3;
 
 } // namespace
--- a/Libraries/LibDispatch/LoadForecast.h
+++ b/Libraries/LibDispatch/LoadForecast.h
@@ -10,56 +10,64 @@
 {
 
 /**
- * What a service can serve and what is asked of it, learned from the requests themselves: how fast slots become free, how
- * fast requests come in the long run, and how many that are late already get a place nevertheless. The first two tell a burst,
- * after which there is room, from a load that stays.
+ * Estimates a service's capacity and load from its requests: the service rate, the long-term arrival rate, the rate at
+ * which late requests are still placed, and the length of bursts. The service and arrival rates distinguish a burst,
+ * after which capacity is free again, from a sustained overload.
  */
 class LoadForecast
 {
 public:
     explicit LoadForecast(const Clock &clock);
 
-    /** An online request came for the first time. */
+    /** Records the first arrival of an online request; retries do not count. */
     void recordArrival();
 
-    /** A request that was late already got a place, which nobody else wanted. */
+    /** Records that a request was placed though it was late already, in a slot that no request on time needed. */
     void recordLatePlacement();
 
-    /** An online request gave its slot back. @param held how long it had it */
+    /**
+     * Records that an online request released its slot.
+     * @param holdTime how long it held the slot
+     */
     void recordRun(std::chrono::nanoseconds holdTime);
 
-    /** Tell at each look whether requests that can be on time wait for a place: by it the length of bursts is learned. */
+    /**
+     * Records at each check whether requests wait that can still be on time. The length of bursts is learned from this.
+     */
     void recordWaiting(bool isAnyWaiting);
 
     /**
-     * @return when the present burst is over, most likely, by the length of those before it; nothing if none has ended yet, or
-     * there is none
+     * @return the expected end of the current burst, from the length of earlier ones; nothing if there is no burst or
+     * none has ended yet
      */
     std::optional<SteadyTime> burstEnd() const;
 
-    /** @param slots that all replicas have together */
+    /** @param slots total over all replicas */
     void setSlots(std::size_t slots);
 
-    /** @return online requests a second that all slots can serve; 0 as long as it isn't known. */
+    /** @return online requests per second that all slots can serve; 0 while unknown. */
     double serviceRate() const;
 
-    /** @return late requests that got a place in a second, lately. */
+    /** @return the recent number of late requests placed per second. */
     double latePlacementRate() const;
 
-    /** @return online requests a second that can be served beyond what comes in the long run; 0 if none or not known. */
+    /**
+     * @return online requests per second that can be served beyond the long-term arrival rate; 0 if there is no spare
+     * capacity or it is unknown.
+     */
     double spareCapacity() const;
 
 private:
-    /** Counts events, and forgets them over a time. */
+    /** An event rate with exponential decay. */
     class Rate
     {
     public:
         explicit Rate(std::chrono::duration<double> timeConstant);
 
         void record(SteadyTime now);
-        /** @return events a second. */
+        /** @return events per second. */
         double perSecond(SteadyTime now) const;
-        /** @return since the first event, as a share of the time that is remembered. */
+        /** @return the time since the first event, as a multiple of the time constant. */
         double observedShare(SteadyTime now) const;
 
     private:
@@ -74,10 +82,10 @@
     Rate arrivals;
     std::size_t slots = 0;
     std::chrono::duration<double> meanHoldTime{0};
-    /** When requests began to wait, and when one was last seen to. */
+    /** When the current burst started, and when a request was last seen waiting in it. */
     std::optional<SteadyTime> burstSince;
     SteadyTime lastSeenWaiting{};
-    /** How long bursts last; zero as long as none has ended. */
+    /** Mean length of a burst; zero until one has ended. */
     std::chrono::duration<double> meanBurst{0};
 };
 
--- a/Libraries/LibDispatch/LocalPlacement.cpp
+++ b/Libraries/LibDispatch/LocalPlacement.cpp
@@ -8,11 +8,13 @@
 namespace
 {
 
-/** A replica in another failure domain is worth this part of a request's load: at equal load the near one is taken. */
+/**
+ * Penalty for a replica in another failure domain, in requests: at equal load a replica in the own domain is selected.
+ */
 constexpr double crossDomainPenalty = 0.5;
-/** A connection that is open already is worth this part of a request's load. */
+/** Bonus for an open connection, in requests. */
 constexpr double connectionBonus = 0.6;
-/** A replica that failed lately is taken only if all did: some answer is better than none. */
+/** A blocked replica is selected only if all are blocked: an attempt is better than no answer. */
 constexpr double blockedPenalty = 1000;
 
 } // namespace
--- a/Libraries/LibDispatch/LocalPlacement.h
+++ b/Libraries/LibDispatch/LocalPlacement.h
@@ -15,8 +15,9 @@
 {
 
 /**
- * Chooses replicas by what this node alone sends them: for services whose calls are short, and while no dispatcher can be
- * reached. Counts of other nodes would be out of date by the time they are used, and make all nodes choose the same replica.
+ * Selects replicas by the number of requests that this node alone has running there. Used for services whose calls are
+ * short, and while no dispatcher can be reached. Counts of other nodes are left out: they would be out of date when
+ * used, and would make all nodes select the same replica.
  */
 class LocalPlacement
 {
@@ -25,13 +26,13 @@
 
     void setReplicas(const std::vector<DispatchReplica> &replicas);
 
-    /** What changed among the replicas. */
+    /** Applies a change to the list of replicas. */
     void update(const ReplicaUpdate &update);
 
-    /** @return the replica to use, or nothing if there is none that may be used */
+    /** @return the replica to use, or nothing if no replica may be used */
     std::optional<EndpointName> select(const FailureDomain &ownDomain, const PlacementTraits &request);
 
-    /** A request was sent there; end() has to follow. */
+    /** Records that a request was sent to a replica; end() has to follow. */
     void begin(const EndpointName &instance);
 
     void end(const EndpointName &instance, PlacementVerdict verdict);
@@ -40,7 +41,7 @@
     struct Replica
     {
         DispatchReplica traits;
-        /** Its short name. */
+        /** See nameHashOf(). */
         std::uint32_t nameHash = 0;
         ReplicaCircuitBreaker breaker;
         std::uint32_t running = 0;
--- a/Libraries/LibDispatch/PlacementTypes.h
+++ b/Libraries/LibDispatch/PlacementTypes.h
@@ -13,7 +13,7 @@
 namespace Dogwoodkeel
 {
 
-/** Names a request that wants a place at a replica, among all nodes. */
+/** Identifies a placement request among those of all nodes. */
 struct TicketId
 {
     SessionNumber node;
@@ -22,42 +22,44 @@
     auto operator<=>(const TicketId &) const = default;
 };
 
-/** Whether a request can be made to wait in favour of others. */
+/** Whether a request may be delayed in favour of others. */
 enum class WorkClass {
-    /** Somebody waits for it. */
+    /** A caller waits for the answer. */
     Online,
-    /** An item of a batch job: it gives its place up when an online request needs it. */
+    /** An item of a batch job: it releases its slot when an online request needs it. */
     Batch,
 };
 
-/** @return a short name of a replica, for lists of many: two replicas of a fleet of thousands share one in one case of a
- * thousand. */
+/**
+ * @return a 32-bit hash of a replica's name, to keep lists short. In a fleet of thousands, about one fleet in a
+ * thousand has a collision.
+ */
 std::uint32_t nameHashOf(const EndpointName &instance);
 
-/** What a request says of itself when it wants a place. */
+/** The properties of a request that its placement depends on. */
 struct PlacementTraits
 {
     WorkClass work = WorkClass::Online;
-    /** The most urgent is 0. */
+    /** 0 is the most urgent. */
     std::uint32_t priority = 0;
     /** When it arrived at its node. */
     SteadyTime arrived{};
-    /** Until when it has to have a place to be on time. */
+    /** By when it has to be placed to be on time. */
     SteadyTime due{};
-    /** Until when its caller waits. */
+    /** When its caller's timeout expires. */
     SteadyTime deadline{};
-    /** Hash of what it asks for: by it, a request that was sent away is known when it comes back. */
+    /** Hash of the request's content; identifies the retry of a refused request. */
     std::uint64_t content = 0;
-    /** Whether it has never been at a replica: only then it may be refused. */
+    /** Whether it may be refused: only a request that was never sent to a replica. */
     bool mayRefuse = false;
-    /** Replicas that turned it away or failed it. */
+    /** Replicas that rejected it or failed while serving it. */
     std::vector<EndpointName> avoided;
-    /** Marks of the replicas to which its node has an open connection that it can use. */
+    /** Name hashes of the replicas to which its node has a usable open connection. */
     std::vector<std::uint32_t> connected;
-    /** The only version that can go on with its stream; empty: any will do. */
+    /** The only version that can resume its stream; empty if any version will do. */
     SoftwareVersion version{};
 
-    /** @return whether only some replicas can serve it, so that it may find no place where others would. */
+    /** @return whether only some replicas can serve it, so that it may find no slot where other requests would. */
     bool isRestricted() const
     {
         return !this->avoided.empty() || !this->version.value().empty();
@@ -69,37 +71,36 @@
         return this->version.value().empty() || this->version == offered;
     }
 
-    /** @return whether a replica turned it away or failed it. */
+    /** @return whether a replica rejected it or failed while serving it. */
     bool avoids(const EndpointName &instance) const
     {
         return std::ranges::find(this->avoided, instance) != this->avoided.end();
     }
 
-    /** @return whether its node has an open connection to the replica with a mark. */
+    /** @return whether its node has an open connection to the replica with this name hash. */
     bool isConnectedTo(std::uint32_t nameHash) const
     {
         return std::ranges::find(this->connected, nameHash) != this->connected.end();
     }
 };
 
-/** A request that wants a place, as its dispatcher knows it. */
+/** A placement request as its dispatcher receives it. */
 struct PlacementRequest : PlacementTraits
 {
     TicketId id;
-    /** Where its node is. */
+    /** The failure domain of its node. */
     FailureDomain failureDomain;
 };
 
-/** A replica as far as placing requests needs to know it. */
+/** The properties of a replica that placement depends on. */
 struct DispatchReplica
 {
     EndpointName instance;
     FailureDomain failureDomain;
-    /** Requests that it runs side by side. */
+    /** Number of requests that it runs concurrently. */
     std::uint32_t slots = 1;
-    /** Whether it takes no new requests. */
+    /** Whether it accepts no new requests. */
     bool isDraining = false;
-    /** Of its software. */
     SoftwareVersion version{};
 };
 
--- a/Libraries/LibDispatch/ReplicaCircuitBreaker.cpp
+++ b/Libraries/LibDispatch/ReplicaCircuitBreaker.cpp
@@ -8,14 +8,17 @@
 namespace
 {
 
-/** About how long a replica that is full takes to free a place: a tenth of a short answer. */
+/** How long a full replica takes to free a slot: about a tenth of a short answer. */
 constexpr std::chrono::milliseconds rejectedPause{50};
-/** A connection that breaks can be the fault of one request: a replica is left alone only after several in a row. */
+/**
+ * A lost connection may be caused by one request, so a replica is blocked only after this number of consecutive
+ * failures.
+ */
 constexpr int disconnectsToBlock = 2;
 constexpr std::chrono::milliseconds initialPause{200};
-/** Replicas are back some seconds after a crash; waiting much longer would leave them idle. */
+/** Replicas restart within some seconds after a crash; a much longer pause would leave them idle. */
 constexpr std::chrono::milliseconds maxPause{1600};
-/** How long the request that tries a replica has to tell how it went, before the next may try. */
+/** How long the outcome of a probe request is awaited before the next request may probe the replica. */
 constexpr std::chrono::milliseconds probeTimeout{400};
 
 } // namespace
--- a/Libraries/LibDispatch/ReplicaCircuitBreaker.h
+++ b/Libraries/LibDispatch/ReplicaCircuitBreaker.h
@@ -10,23 +10,23 @@
 {
 
 /**
- * Whether a replica should get requests, judged by what its last ones met. After a failure it is left alone for a while,
- * then one request tries it; each further failure doubles the while. So a replica that went dark costs one request a try,
- * and one that fails now and then stays in use.
+ * Decides from the outcome of recent requests whether a replica should receive more. After a failure the replica is
+ * blocked for a while, then one request probes it; each further failure doubles the time, up to a maximum. So an
+ * unreachable replica costs one request per probe, and a replica that fails occasionally stays in use.
  */
 class ReplicaCircuitBreaker
 {
 public:
-    /** @return whether a request may be sent there now. */
+    /** @return whether a request may be sent to the replica now. */
     bool maySend(SteadyTime now) const;
 
-    /** @return from when on it may be sent requests, if it may not now. */
+    /** @return when the replica may receive requests again, or nothing if it may now. */
     std::optional<SteadyTime> maySendAt(SteadyTime now) const;
 
-    /** A request was sent there. */
+    /** Records that a request was sent to the replica. */
     void recordSent(SteadyTime now);
 
-    /** A request ended. */
+    /** Records how a request ended. */
     void recordEnd(PlacementVerdict verdict, SteadyTime now);
 
 private:
--- a/Libraries/LibDispatch/ReplicaIndex.cpp
+++ b/Libraries/LibDispatch/ReplicaIndex.cpp
@@ -8,12 +8,15 @@
 namespace
 {
 
-/** A connection that is open already is worth so many requests of difference in load. */
+/** Bonus for an open connection, in requests of difference in load. */
 constexpr double connectionBonus = 2;
-/** Between failure domains bytes cost; at equal load the near replica is taken. */
+/**
+ * Penalty for another failure domain, in requests: traffic between domains is charged, so at equal load a replica in
+ * the same domain is selected.
+ */
 constexpr double crossDomainPenalty = 0.9;
 
-/** @return what a replica's load is for a request: less is better. */
+/** @return the score of a replica for a request; the lowest is best. */
 double scoreOf(const PlacementRequest &request, const DispatchedReplica &replica, double load, bool isConnected)
 {
     const bool isSameDomain = replica.traits.failureDomain == request.failureDomain;
@@ -125,7 +128,8 @@
             continue;
         }
         const Order &order = request.work == WorkClass::Batch ? open.forItems : open.all;
-        // All in the order score alike, but those that are connected, which were looked at before: the first one is the best.
+        // Without connections the score depends on the load alone, and connected replicas were compared above, so the
+        // first usable replica is the best of its group.
         for (const auto &[key, replica] : order) {
             if (request.avoids(replica->traits.instance)) {
                 continue;
--- a/Libraries/LibDispatch/ReplicaIndex.h
+++ b/Libraries/LibDispatch/ReplicaIndex.h
@@ -15,39 +15,39 @@
 {
 
 /**
- * The replicas that have a free slot and take requests now, by failure domain and load, so that the best one for a request is
- * found without a look at all of them. A replica is put in order again when something of it changes, and when time alone opens
- * it.
+ * Indexes the replicas that accept requests and have a free slot, by failure domain, version and load, so that the best
+ * one for a request is found without a scan of all replicas. A replica's position is updated when its state changes,
+ * and by refresh() when the passing of time changes it.
  */
 class ReplicaIndex
 {
 public:
     explicit ReplicaIndex(const Clock &clock);
 
-    /** Something of a replica changed; it stays where it is in memory until remove(). */
+    /** Updates the position of a replica, or adds a new one. The object has to stay at its address until remove(). */
     void update(DispatchedReplica &replica);
 
-    /** A replica is gone. */
+    /** Removes a replica. */
     void remove(const DispatchedReplica &replica);
 
-    /** Take in what time has changed since the last call. */
+    /** Applies the changes that the passing of time brought since the last call. */
     void refresh();
 
-    /** @return whether no replica has a free slot. */
+    /** @return whether no replica is open. */
     bool isEmpty() const;
 
-    /** @return whether a replica of any other version may take an item. */
+    /** @return whether a replica of any version but these may accept an item. */
     bool isAnyOpenForItems(const std::set<SoftwareVersion> &exceptVersions) const;
 
-    /** @return the best replica for a request, or null if there is none with a free slot that it may use. */
+    /** @return the best replica for a request, or null if no open replica can be used. */
     DispatchedReplica *best(const PlacementRequest &request) const;
 
 private:
-    /** Load, and the number among equals. */
+    /** Load, then the replica's number as a tie-breaker. */
     using Key = std::pair<double, std::uint64_t>;
     using Order = std::map<Key, DispatchedReplica *>;
 
-    /** Replicas among which any is as good as another of the same load. */
+    /** Replicas that are equivalent for a request if their load is equal. */
     struct Group
     {
         FailureDomain domain;
@@ -60,11 +60,11 @@
     struct OpenReplicas
     {
         Order all;
-        /** Those of them that may take an item. */
+        /** Those of them that may accept a batch item. */
         Order forItems;
     };
 
-    /** Where a replica stands. */
+    /** The position of a replica in the index. */
     struct Position
     {
         Group group;
@@ -80,7 +80,7 @@
     std::map<Group, OpenReplicas> groups;
     std::unordered_map<std::uint64_t, Position> positions;
     std::unordered_multimap<std::uint32_t, DispatchedReplica *> byNameHash;
-    /** When time alone may change a replica. */
+    /** When the passing of time may next change a replica: ordered by time, and by the replica's number. */
     std::set<std::pair<SteadyTime, std::uint64_t>> refreshTimes;
     std::unordered_map<std::uint64_t, std::pair<SteadyTime, DispatchedReplica *>> refreshes;
 };
--- a/Libraries/LibDispatch/ReplicaSlots.cpp
+++ b/Libraries/LibDispatch/ReplicaSlots.cpp
@@ -9,11 +9,16 @@
 namespace
 {
 
-/** What a replica tells may be older than what is known here: the word of an end and the replica's own answer travel by two
- * ways. A datagram's way and a node's longest pause between two events. */
+/**
+ * How long a release may be missing from a report: the end of a request and the replica's report arrive by different
+ * routes. Covers one datagram and a node's longest pause between two events.
+ */
 constexpr std::chrono::milliseconds reportLag{60};
-/** Nobody says when what others have placed ends. Items are told of anew at each that begins; a replica without news is taken to
- * be free for requests again after about the time of a run; items go on one by one. */
+/**
+ * How long other requests of a report count, as their end is not reported. Each item that starts brings a new report. A
+ * replica without one counts as free for online requests after about the duration of a run; items are then placed one
+ * at a time.
+ */
 constexpr std::chrono::milliseconds reportRetention{800};
 
 } // namespace
@@ -39,7 +44,8 @@
     this->removeOldReleases(now);
     const std::uint64_t reported = std::uint64_t{load.running} + load.waiting;
     const std::uint64_t placed = std::uint64_t{this->onlineCount} + this->batchCount;
-    // What was released a moment ago may still be in what it tells, or not: what is believed so far decides between the two.
+    // The report may or may not still include the recent releases, so the previous value is kept if it lies within the
+    // possible range.
     const std::uint64_t maxOthers = reported > placed ? reported - placed : 0;
     const std::uint64_t minOthers = maxOthers > this->recentReleases.size() ? maxOthers - this->recentReleases.size() : 0;
     this->hasReport = true;
--- a/Libraries/LibDispatch/ReplicaSlots.h
+++ b/Libraries/LibDispatch/ReplicaSlots.h
@@ -11,36 +11,40 @@
 {
 
 /**
- * What of a replica is taken: what its dispatcher has placed there, and what the replica itself told of more.
+ * Counts the used slots of a replica: those that this dispatcher has placed, and others that the replica reported.
  *
- * A dispatcher that has just begun knows nothing of what others have placed before it. After a loss of all nodes nobody does, and
- * the replicas go on with it: they would be filled a second time, and what comes first would wait in their queues.
+ * A new dispatcher does not know what was placed before it, and after the loss of all nodes no node does, while the
+ * replicas go on with those requests. Without the reported load it would fill the replicas a second time, and new
+ * requests would wait in their queues.
  */
 class ReplicaSlots
 {
 public:
-    /** Something was placed there. */
+    /** Records that a request was placed. */
     void acquire(WorkClass work);
 
-    /** It is over, or was told to stop. */
+    /** Records that a placed request ended or was sent a stop order. */
     void release(WorkClass work, SteadyTime now);
 
-    /** The replica said how much it has. */
+    /** Records the load that the replica reported. */
     void recordReport(const ReportedLoad &load, SteadyTime now);
 
-    /** @return online requests that were placed there. */
+    /** @return online requests placed by this dispatcher. */
     std::uint32_t online() const;
 
-    /** @return batch items that were placed there and not told to stop. */
+    /** @return batch items placed by this dispatcher that were sent no stop order. */
     std::uint32_t batch() const;
 
-    /** @return slots that are taken, by whomever. */
+    /** @return used slots, whichever dispatcher placed the requests. */
     std::uint32_t used(SteadyTime now) const;
 
-    /** @return when what the replica told is too old to count, if that changes something after now. */
+    /** @return when the last report expires, if that changes the number of used slots. */
     std::optional<SteadyTime> reportExpiresAt(SteadyTime now) const;
 
-    /** @return whether it may get one more item. Where it isn't known what others have there, one item at a time asks. */
+    /**
+     * @return whether one more batch item may be placed. Without a fresh report of other requests, one item is placed
+     * at a time; the answer to it brings the next report.
+     */
     bool mayAcceptItem(SteadyTime now) const;
 
 private:
@@ -49,13 +53,13 @@
 
     std::uint32_t onlineCount = 0;
     std::uint32_t batchCount = 0;
-    /** What was released a moment ago. */
+    /** Times of recent releases, which the next report may not reflect yet. */
     std::deque<SteadyTime> recentReleases;
     bool hasReport = false;
-    /** What it has that was not placed by this dispatcher, as it was told last. */
+    /** Requests of the last report that were not placed by this dispatcher. */
     std::uint32_t otherRequests = 0;
     SteadyTime reportedAt{};
-    /** Items that were placed since it told last. */
+    /** Items placed since the last report. */
     std::uint32_t itemsSinceReport = 0;
 };
 
--- a/Libraries/LibDispatch/ReplicaUpdate.h
+++ b/Libraries/LibDispatch/ReplicaUpdate.h
@@ -8,17 +8,17 @@
 namespace Dogwoodkeel
 {
 
-/** What changed among the replicas of a service. */
+/** A change to the list of a service's replicas. */
 struct ReplicaUpdate
 {
-    /** Those that are new, or not as they were. */
+    /** Replicas that are new or have changed. */
     std::vector<DispatchReplica> put;
     std::vector<EndpointName> removed;
 };
 
 /**
- * @tparam Known a map from the instances that are known
- * @return the update that leaves just the replicas of a list
+ * @tparam Known a map keyed by the known instances
+ * @return the update after which exactly the listed replicas are known
  */
 template <typename Known>
 ReplicaUpdate updateTo(const std::vector<DispatchReplica> &replicas, const Known &known)
--- a/Libraries/LibDispatch/RetrySchedule.cpp
+++ b/Libraries/LibDispatch/RetrySchedule.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** A caller that comes so much later than it was told has given up, or found its way through another dispatcher. */
+/** A caller that is overdue by more than this has given up or was served through another dispatcher. */
 constexpr std::chrono::seconds retention{2};
 
 } // namespace
--- a/Libraries/LibDispatch/RetrySchedule.h
+++ b/Libraries/LibDispatch/RetrySchedule.h
@@ -9,42 +9,50 @@
 namespace Dogwoodkeel
 {
 
-/** Callers come back after at most a third of the time that they have left, whatever they are told. */
+/**
+ * Callers retry after at most this fraction (1/retryAfterDivisor) of their remaining time, even if the advised delay is
+ * longer.
+ */
 inline constexpr int retryAfterDivisor = 3;
 
-/** When requests that were sent away come back, so that each comes back to a place of its own and not all at once. */
+/**
+ * Schedules the retries of refused requests, so that each one finds a reserved slot and they do not arrive all at once.
+ */
 class RetrySchedule
 {
 public:
-    /** A request that was sent away. */
+    /** The expected retry of a refused request. */
     struct Retry
     {
-        /** When it came first. */
+        /** When the request first arrived. */
         SteadyTime arrived{};
-        /** When it was told to come. */
+        /** When the retry is due. */
         SteadyTime retryAt{};
-        /** Whether a place is set aside for it. */
+        /** Whether capacity is reserved for it. */
         bool isReserved = false;
     };
 
     /**
-     * Set a place aside.
-     * @param content what the request asks for
-     * @param arrived when it came first
-     * @param latest after which it does not come any more
-     * @param perSecond returns for which there is room
-     * @return when it is to come, or nothing if all room until then is given away
+     * Reserves capacity for a retry.
+     * @param content hash of the request's content
+     * @param arrived when the request first arrived
+     * @param latest the last time at which the caller still retries
+     * @param perSecond retries per second for which there is capacity
+     * @return when the retry is due, or nothing if all capacity until then is reserved
      */
     std::optional<SteadyTime>
     reserve(std::uint64_t content, SteadyTime arrived, SteadyTime earliest, SteadyTime latest, double perSecond);
 
-    /** A request was sent away without a place set aside. */
+    /** Records a refused request without reserved capacity. */
     void expect(std::uint64_t content, SteadyTime arrived, SteadyTime retryAt);
 
-    /** A request comes. @return what it was told, if it was sent away before */
+    /**
+     * Removes the expected retry that matches a request, if there is one.
+     * @return that retry, or nothing if the request was not refused before
+     */
     std::optional<Retry> extract(std::uint64_t content);
 
-    /** Drop the promises that nobody has come back for. */
+    /** Removes the retries that are overdue. */
     void removeExpired(SteadyTime now);
 
 private:
--- a/Libraries/LibDispatch/VersionHistory.h
+++ b/Libraries/LibDispatch/VersionHistory.h
@@ -11,21 +11,21 @@
 namespace Dogwoodkeel
 {
 
-/** Which software versions the replicas of a service have had of late. */
+/** Records which software versions the replicas of a service have run recently. */
 class VersionHistory
 {
 public:
     explicit VersionHistory(const Clock &clock);
 
-    /** A replica of a version is there. */
+    /** Records that a replica of a version was added. */
     void add(const SoftwareVersion &version);
 
-    /** A replica of a version is gone. */
+    /** Records that a replica of a version was removed. */
     void remove(const SoftwareVersion &version);
 
     /**
-     * @return the version that all replicas have had for a period, or nothing if there were several, or it is not known for so
-     *         long
+     * @return the version that all replicas have run for the whole period, or nothing if there were several or the
+     * history is shorter than the period
      */
     std::optional<SoftwareVersion> sole(std::chrono::milliseconds period) const;
 
@@ -33,7 +33,7 @@
     struct Entry
     {
         std::size_t replicas = 0;
-        /** When the last one went; of no meaning while there are some. */
+        /** When the last replica was removed; meaningless while there are replicas. */
         SteadyTime removedAt{};
     };
 
--- a/Libraries/LibDispatch/WaitingQueue.h
+++ b/Libraries/LibDispatch/WaitingQueue.h
@@ -13,11 +13,12 @@
 {
 
 /**
- * The requests and items that wait for a place, in the order in which they are served: the more urgent first; of those who can
- * still be on time the one that came first, of items the one that has to start first; the late ones behind them.
+ * Holds the requests and items that wait for a slot, in the order in which they are served: by priority; then those
+ * that can still be on time before the late ones; then online requests by arrival and batch items by the time they have
+ * to start.
  *
- * Under overload, first come first served makes everybody late, and so does first due: the slots are spent on those who have just
- * missed their objective.
+ * Under overload, serving in order of arrival or of deadline alone makes every request late: the slots go to requests
+ * that have just missed their objective.
  */
 class WaitingQueue
 {
@@ -25,11 +26,14 @@
     struct Waiting
     {
         PlacementRequest request;
-        /** When its node last asked. */
+        /** When its node last sent the request. */
         SteadyTime lastRequested{};
     };
 
-    /** Priority, whether it is late, when it came or has to start, and which it is: whom to serve first stands first. */
+    /**
+     * Priority, whether it is late, arrival (online) or latest start (batch), and ticket; the smallest key is served
+     * first.
+     */
     using Key = std::tuple<std::uint32_t, bool, SteadyTime, TicketId>;
     using Queue = std::map<Key, Waiting>;
 
@@ -37,33 +41,36 @@
 
     void add(const PlacementRequest &request, SteadyTime lastRequested);
 
-    /** One that does not wait is ignored. */
+    /** Removes a waiting request; does nothing if it does not wait. */
     void remove(TicketId id);
 
     void removeIf(const std::function<bool(const Waiting &)> &isRemoved);
 
     bool contains(TicketId id) const;
 
-    /** @return one that waits, or null. */
+    /** @return the waiting request, or null. */
     Waiting *find(TicketId id);
 
-    /** @return all of a class that wait, in their order. */
+    /** @return all waiting requests of a class, in the order of service. */
     const Queue &of(WorkClass work) const;
 
-    /** Put those that have become late behind the others. */
+    /** Moves the requests that have become late behind those on time. */
     void demoteLate();
 
-    /** Put one that has become late behind the others. @return whether it has */
+    /**
+     * Moves a request behind those on time if it has become late.
+     * @return whether it was moved
+     */
     bool demoteIfLate(TicketId id);
 
-    /** @return online requests of a priority or a more urgent one that can still be on time. */
+    /** @return the number of waiting online requests of this or a more urgent priority that can still be on time. */
     std::size_t onTimeAhead(std::uint32_t priority) const;
 
-    /** @return whether any online request that can still be on time waits. */
+    /** @return whether an online request waits that can still be on time. */
     bool isAnyOnTime() const;
 
 private:
-    /** Where one stands. */
+    /** The position of a request in the queues. */
     struct Position
     {
         WorkClass work = WorkClass::Online;
@@ -76,7 +83,7 @@
     Queue online;
     Queue batch;
     std::map<TicketId, Position> positions;
-    /** Online requests that can still be on time, by priority. */
+    /** Number of online requests that can still be on time, by priority. */
     std::map<std::uint32_t, std::size_t> onTime;
 };
 
