--- a/Libraries/LibDispatch/Dispatcher.cpp
+++ b/Libraries/LibDispatch/Dispatcher.cpp
@@ -40,8 +40,8 @@
  */
 constexpr int lateRefusalDivisor = 3;
 /**
- * Share of a service's capacity that is unused in the long run: above it an overload is taken for a burst, below it for
- * a sustained overload.
+ * Minimum share of a service's capacity that is unused in the long run if an overload is only a burst; with less, the
+ * overload is sustained.
  */
 constexpr double minSpareShare = 0.05;
 
--- a/Libraries/LibDispatch/ReplicaCircuitBreaker.h
+++ b/Libraries/LibDispatch/ReplicaCircuitBreaker.h
@@ -10,20 +10,19 @@
 {
 
 /**
- * Decides from the outcome of recent requests whether a replica should receive more. After a failure the replica is
- * blocked for a while, then one request probes it; each further failure doubles the time, up to a maximum. So an
- * unreachable replica costs one request per probe, and a replica that fails occasionally stays in use.
+ * Blocks a replica for a while after failures, then lets one request probe it; each further failure doubles the time,
+ * up to a maximum. So an unreachable replica costs one request per probe, and one that fails occasionally stays in use.
  */
 class ReplicaCircuitBreaker
 {
 public:
-    /** @return whether a request may be sent to the replica now. */
+    /** @return whether a request may be sent now. */
     bool maySend(SteadyTime now) const;
 
-    /** @return when the replica may receive requests again, or nothing if it may now. */
+    /** @return when requests may be sent again, or nothing if they may be now. */
     std::optional<SteadyTime> maySendAt(SteadyTime now) const;
 
-    /** Records that a request was sent to the replica. */
+    /** Records a sent request. */
     void recordSent(SteadyTime now);
 
     /** Records how a request ended. */
--- a/Libraries/LibDispatch/RetrySchedule.cpp
+++ b/Libraries/LibDispatch/RetrySchedule.cpp
@@ -20,11 +20,11 @@
         return std::nullopt;
     }
     const auto gap = std::chrono::duration_cast<SteadyTime::duration>(std::chrono::duration<double>(1 / perSecond));
-    const SteadyTime retryAt = std::max(this->lastReserved + gap, earliest);
+    const SteadyTime retryAt = std::max(this->last + gap, earliest);
     if (retryAt > latest) {
         return std::nullopt;
     }
-    this->lastReserved = retryAt;
+    this->last = retryAt;
     this->expected.emplace(content, Retry{arrived, retryAt, true});
     return retryAt;
 }
--- a/Libraries/LibDispatch/RetrySchedule.h
+++ b/Libraries/LibDispatch/RetrySchedule.h
@@ -9,22 +9,17 @@
 namespace Dogwoodkeel
 {
 
-/**
- * Callers retry after at most this fraction (1/retryAfterDivisor) of their remaining time, even if the advised delay is
- * longer.
- */
+/** Callers retry after at most this part of their remaining time (one third), whatever delay is advised. */
 inline constexpr int retryAfterDivisor = 3;
 
-/**
- * Schedules the retries of refused requests, so that each one finds a reserved slot and they do not arrive all at once.
- */
+/** Schedules the retries of refused requests, so that each one finds a free slot and they do not arrive all at once. */
 class RetrySchedule
 {
 public:
     /** The expected retry of a refused request. */
     struct Retry
     {
-        /** When the request first arrived. */
+        /** When it came first. */
         SteadyTime arrived{};
         /** When the retry is due. */
         SteadyTime retryAt{};
@@ -34,10 +29,10 @@
 
     /**
      * Reserves capacity for a retry.
-     * @param content hash of the request's content
-     * @param arrived when the request first arrived
-     * @param latest the last time at which the caller still retries
-     * @param perSecond retries per second for which there is capacity
+     * @param content what the request asks for
+     * @param arrived when it came first
+     * @param latest the last time at which the caller retries
+     * @param perSecond retries for which there is capacity
      * @return when the retry is due, or nothing if all capacity until then is reserved
      */
     std::optional<SteadyTime>
@@ -47,7 +42,7 @@
     void expect(std::uint64_t content, SteadyTime arrived, SteadyTime retryAt);
 
     /**
-     * Removes the expected retry that matches a request, if there is one.
+     * Removes the expected retry of a request.
      * @return that retry, or nothing if the request was not refused before
      */
     std::optional<Retry> extract(std::uint64_t content);
@@ -57,7 +52,7 @@
 
 private:
     std::multimap<std::uint64_t, Retry> expected;
-    SteadyTime lastReserved{};
+    SteadyTime last{};
 };
 
 } // namespace Dogwoodkeel
--- a/Tests/LibDispatch/TestDispatcher.cpp
+++ b/Tests/LibDispatch/TestDispatcher.cpp
@@ -85,7 +85,7 @@
 
 } // namespace
 
-TEST_CASE("requests are spread over the replicas, and wait when all slots are taken")
+TEST_CASE("requests are spread over the replicas, and wait when all slots are in use")
 {
     DispatcherFixture fixture;
     for (std::uint64_t number = 1; number <= 5; ++number) {
--- a/Tests/LibDispatch/TestItemReplay.cpp
+++ b/Tests/LibDispatch/TestItemReplay.cpp
@@ -33,7 +33,7 @@
 constexpr std::chrono::milliseconds reportInterval{200};
 constexpr std::chrono::milliseconds resubmitInterval{200};
 constexpr std::chrono::seconds length{60};
-/** Square bursts: 2.8 s of 6.6 s at 1.84 times the mean, the rest at 0.377 times. */
+/** Square bursts: 2.8 s of 6.6 s at 1.84 times the mean, the remainder at 0.377 times. */
 constexpr std::chrono::milliseconds period{6600};
 constexpr std::chrono::milliseconds burstStart{3800};
 constexpr double burstFactor = 1.84;
@@ -68,8 +68,8 @@
 {
 public:
     /**
-     * @param onlineShare of the slots that online requests take in the mean
-     * @param itemShare of the slots that items take in the mean, if no work is lost
+     * @param onlineShare mean share of the slots that online requests use
+     * @param itemShare mean share of the slots that items use if no work is lost
      */
     ItemReplay(double onlineShare, double itemShare, unsigned seed)
         : random(seed)
