--- a/Libraries/LibDispatch/RetrySchedule.h
+++ b/Libraries/LibDispatch/RetrySchedule.h
@@ -9,10 +9,10 @@
 namespace Dogwoodkeel
 {
 
-/** Callers retry after at most this part of their remaining time (one third), whatever delay is advised. */
+/** Callers retry after at most a third of their remaining time, whatever delay is advised. */
 inline constexpr int retryAfterDivisor = 3;
 
-/** Schedules the retries of refused requests, so that each one finds a free slot and they do not arrive all at once. */
+/** Schedules the retries of refused requests, so that each finds a free slot and not all come at once. */
 class RetrySchedule
 {
 public:
@@ -42,8 +42,8 @@
     void expect(std::uint64_t content, SteadyTime arrived, SteadyTime retryAt);
 
     /**
-     * Removes the expected retry of a request.
-     * @return that retry, or nothing if the request was not refused before
+     * Removes a request's expected retry.
+     * @return that retry, if there was one
      */
     std::optional<Retry> extract(std::uint64_t content);
 
