--- a/Libraries/LibDispatch/Dispatcher.cpp
+++ b/Libraries/LibDispatch/Dispatcher.cpp
@@ -450,8 +450,7 @@
         }
         const PlacementRequest request = next->second.request;
         if (this->waiting.demoteIfLate(request.id)) {
-            // The request has become late since the last check and moves behind those on time; it is reached again
-            // there.
+            // It has become late since the last check, so it moves behind those on time and is reached again there.
             next = queue.upper_bound(key);
             continue;
         }
--- a/Libraries/LibDispatch/Dispatcher.h
+++ b/Libraries/LibDispatch/Dispatcher.h
@@ -127,6 +127,7 @@
     void deliverDecisions();
     void putReplica(const DispatchReplica &traits);
     void countVersion(const DispatchReplica &replica, int change);
+    /** Erases placements at removed replicas and stops the batch items of draining ones. */
     void drainReplicas();
     void removeExpiredWork();
     void repeatStops();
@@ -135,16 +136,22 @@
     bool placeOnline(const PlacementRequest &request);
     bool placeInFreeSlot(const PlacementRequest &request);
     DispatchedReplica *replicaOf(const Placement &placement);
+    /** @return the batch item to stop in favour of an online request, or null. */
     Placement *victimFor(const PlacementRequest &request);
     void place(const PlacementRequest &request, DispatchedReplica &replica);
     /** @return whether a replica that accepts requests has the version that the request needs, if it needs one. */
     bool isVersionServed(const PlacementRequest &request) const;
+    /** Refuses waiting requests whose version no replica has. */
     void refuseUnserved();
+    /** Records the arrival of a request, or applies what was agreed if it is the retry of a refused one. */
     void recognizeRetry(PlacementRequest &request);
+    /** Refuses a new request that would be late in a burst, if capacity can be reserved for its retry after the burst. */
     void refuseIfLate(const PlacementRequest &request);
+    /** Refuses, under sustained overload, late requests that are unlikely to get a slot before their deadline. */
     void refuseUnplaceable();
     void refuseRequest(const PlacementRequest &request, std::chrono::nanoseconds retryAfter);
     void stop(Placement &placement);
+    /** Records the outcome of a placement and erases it. */
     void endPlacement(Placements::iterator placement, PlacementVerdict verdict);
     void erasePlacement(Placements::iterator placement);
     bool isUsable(const DispatchedReplica &replica, const PlacementRequest &request) const;
--- a/Tests/LibDispatch/TestDispatcher.cpp
+++ b/Tests/LibDispatch/TestDispatcher.cpp
@@ -232,8 +232,8 @@
     CHECK_FALSE(fixture.isPlaced(2));
 }
 
-// More work than slots for a while. Items that can't meet their deadline any more have the earliest one; served first,
-// they would make all others late as well.
+// More work than slots for a while. Items that can no longer meet their deadline have the earliest due time; served
+// first, they would make all others late as well.
 TEST_CASE("a batch item that can still be on time is served before one that cannot")
 {
     DispatcherFixture fixture(1, 1);
--- a/Tests/LibDispatch/TestReplicaIndex.cpp
+++ b/Tests/LibDispatch/TestReplicaIndex.cpp
@@ -103,7 +103,7 @@
 
 } // namespace
 
-// Guards against an outdated position in the index: a full replica would receive requests, or a free one no more.
+// Guards against an outdated position in the index: a full replica would receive requests, or a free one none.
 TEST_CASE("the index finds the same replica as a linear search after any changes")
 {
     const bool holds = rc::check("the best replica is found", [] {
