--- a/Tests/LibDispatch/TestItemReplay.cpp
+++ b/Tests/LibDispatch/TestItemReplay.cpp
@@ -59,11 +59,7 @@
     SteadyTime startedAt{};
 };
 
-/**
- * Replays batch items of many jobs and bursts of online requests at one dispatcher, in virtual time.
- * @param onlineShare mean share of the slots that online requests use
- * @param itemShare mean share of the slots that items use if no work is lost
- */
+/** Replays batch items of many jobs and bursts of online requests at one dispatcher, in virtual time. */
 class ItemReplay
 {
 public:
