--- a/Libraries/LibDispatch/ReplicaCircuitBreaker.h
+++ b/Libraries/LibDispatch/ReplicaCircuitBreaker.h
@@ -10,24 +10,23 @@
 {
 
 /**
- * Whether a replica should get requests, judged by what its last ones met. After a failure it is left alone for a while,
- * then one request tries it; each further failure doubles the while. So a replica that went dark costs one request a try,
- * and one that fails now and then stays in use.
+ * Blocks a replica for a while after failures, then lets one request probe it; each further failure doubles the time,
+ * up to a maximum. So an unreachable replica costs one request per probe, and one that fails occasionally stays in use.
  */
-class ReplicaGate
+class ReplicaCircuitBreaker
 {
 public:
-    /** @return whether a request may be sent there now. */
-    bool isOpen(SteadyTime now) const;
+    /** @return whether a request may be sent now. */
+    bool maySend(SteadyTime now) const;
 
-    /** @return from when on it may be sent requests, if it may not now. */
-    std::optional<SteadyTime> opensAt(SteadyTime now) const;
+    /** @return when requests may be sent again, or nothing if they may be now. */
+    std::optional<SteadyTime> maySendAt(SteadyTime now) const;
 
-    /** A request was sent there. */
-    void noteSent(SteadyTime now);
+    /** Records a sent request. */
+    void recordSent(SteadyTime now);
 
-    /** A request ended. */
-    void noteEnd(PlacementVerdict verdict, SteadyTime now);
+    /** Records how a request ended. */
+    void recordEnd(PlacementVerdict verdict, SteadyTime now);
 
 private:
     void block(std::chrono::milliseconds time, SteadyTime now);
--- a/Libraries/LibDispatch/RetrySchedule.h
+++ b/Libraries/LibDispatch/RetrySchedule.h
@@ -9,46 +9,49 @@
 namespace Dogwoodkeel
 {
 
-/** Callers come back after at most a third of the time that they have left, whatever they are told. */
-inline constexpr int returnShare = 3;
+/** Callers retry after at most a third of their remaining time, whatever delay is advised. */
+inline constexpr int retryAfterDivisor = 3;
 
-/** When requests that were sent away come back, so that each comes back to a place of its own and not all at once. */
-class ReturnSchedule
+/** Schedules the retries of refused requests, so that each finds a free slot and not all come at once. */
+class RetrySchedule
 {
 public:
-    /** A request that was sent away. */
-    struct Return
+    /** The expected retry of a refused request. */
+    struct Retry
     {
         /** When it came first. */
         SteadyTime arrived{};
-        /** When it was told to come. */
-        SteadyTime comes{};
-        /** Whether a place is set aside for it. */
-        bool isPromised = false;
+        /** When the retry is due. */
+        SteadyTime retryAt{};
+        /** Whether capacity is reserved for it. */
+        bool isReserved = false;
     };
 
     /**
-     * Set a place aside.
+     * Reserves capacity for a retry.
      * @param content what the request asks for
      * @param arrived when it came first
-     * @param latest after which it does not come any more
-     * @param perSecond returns for which there is room
-     * @return when it is to come, or nothing if all room until then is given away
+     * @param latest the last time at which the caller retries
+     * @param perSecond retries for which there is capacity
+     * @return when the retry is due, or nothing if all capacity until then is reserved
      */
     std::optional<SteadyTime>
-    promise(std::uint64_t content, SteadyTime arrived, SteadyTime earliest, SteadyTime latest, double perSecond);
+    reserve(std::uint64_t content, SteadyTime arrived, SteadyTime earliest, SteadyTime latest, double perSecond);
 
-    /** A request was sent away without a place set aside. */
-    void expect(std::uint64_t content, SteadyTime arrived, SteadyTime comes);
+    /** Records a refused request without reserved capacity. */
+    void expect(std::uint64_t content, SteadyTime arrived, SteadyTime retryAt);
 
-    /** A request comes. @return what it was told, if it was sent away before */
-    std::optional<Return> take(std::uint64_t content);
+    /**
+     * Removes a request's expected retry.
+     * @return that retry, if there was one
+     */
+    std::optional<Retry> extract(std::uint64_t content);
 
-    /** Drop the promises that nobody has come back for. */
-    void forgetOld(SteadyTime now);
+    /** Removes the retries that are overdue. */
+    void removeExpired(SteadyTime now);
 
 private:
-    std::multimap<std::uint64_t, Return> expected;
+    std::multimap<std::uint64_t, Retry> expected;
     SteadyTime last{};
 };
 
--- a/Tests/LibDispatch/TestConnectionReplay.cpp
+++ b/Tests/LibDispatch/TestConnectionReplay.cpp
@@ -18,12 +18,12 @@
 constexpr std::uint32_t replicaCount = 30;
 constexpr std::uint32_t slots = 7;
 constexpr std::chrono::milliseconds streamTime{550};
-/** How long a connection that nobody uses is kept. */
-constexpr std::chrono::seconds idleKept{5};
+/** How long an idle connection is kept. */
+constexpr std::chrono::seconds idleTimeout{5};
 constexpr std::chrono::seconds length{30};
 constexpr double perSecond = 160;
 
-/** Whether nodes tell the dispatcher to which replicas they have a connection. */
+/** Whether nodes report to the dispatcher which replicas they have a connection to. */
 enum class Reported {
     Yes,
     No,
@@ -37,7 +37,7 @@
     std::size_t waited = 0;
 };
 
-/** Idle connections of one node, by the replica's mark, with when they were last used. */
+/** Idle connections of one node: the replica's name hash, and when the connection was last used. */
 using Idle = std::multimap<std::uint32_t, SteadyTime>;
 
 Outcome replay(Reported reported)
@@ -50,13 +50,13 @@
                           {.place =
                                [&](TicketId id, const EndpointName &replica) {
                                    Idle &own = idle.at(id.node.value() - 1);
-                                   const auto open = own.find(markOf(replica));
+                                   const auto open = own.find(nameHashOf(replica));
                                    if (open != own.end()) {
                                        own.erase(open);
                                    } else {
                                        ++outcome.connections;
                                    }
-                                   ends.emplace(clock.now() + streamTime, std::pair(id, markOf(replica)));
+                                   ends.emplace(clock.now() + streamTime, std::pair(id, nameHashOf(replica)));
                                },
                            .stop = [](TicketId) {},
                            .refuse = [](TicketId, std::chrono::milliseconds) {}});
@@ -72,9 +72,9 @@
     for (std::chrono::milliseconds time{0}; time < length; time += 1ms) {
         clock.advance(1ms);
         for (auto end = ends.begin(); end != ends.end() && end->first <= clock.now(); end = ends.begin()) {
-            const auto [id, mark] = end->second;
+            const auto [id, nameHash] = end->second;
             ends.erase(end);
-            idle.at(id.node.value() - 1).emplace(mark, clock.now());
+            idle.at(id.node.value() - 1).emplace(nameHash, clock.now());
             dispatcher.end(id, PlacementVerdict::Finished);
         }
         if (chance(random) >= perSecond / 1000) {
@@ -82,7 +82,7 @@
         }
         const std::size_t node = anyNode(random);
         std::erase_if(idle[node], [&clock](const auto &connection) {
-            return clock.now() - connection.second > idleKept;
+            return clock.now() - connection.second > idleTimeout;
         });
         PlacementRequest request;
         request.id = {SessionNumber(node + 1), ++outcome.requests};
@@ -91,36 +91,36 @@
         request.due = clock.now() + 250ms;
         request.deadline = clock.now() + 5s;
         if (reported == Reported::Yes) {
-            for (const auto &[mark, used] : idle[node]) {
-                request.connected.push_back(mark);
+            for (const auto &[nameHash, used] : idle[node]) {
+                request.connected.push_back(nameHash);
             }
         }
-        outcome.waited += dispatcher.ask(request) ? 0 : 1;
+        outcome.waited += dispatcher.submit(request) ? 0 : 1;
     }
     return outcome;
 }
 
 } // namespace
 
-// Many nodes before many replicas: a node that goes to another replica with each request opens a connection for nearly each,
-// which costs the replica's processor and the caller a round trip.
-TEST_CASE("requests go where their node has a connection, at no cost in waiting")
+// With many nodes and many replicas, a node that uses another replica for each request opens a connection for nearly
+// each of them, which costs processor time at the replica and a round trip for the caller.
+TEST_CASE("requests are placed where their node has a connection, without more waiting")
 {
-    const Outcome blind = replay(Reported::No);
-    const Outcome aware = replay(Reported::Yes);
+    const Outcome withoutConnections = replay(Reported::No);
+    const Outcome withConnections = replay(Reported::Yes);
     MESSAGE("connections for ",
-            blind.requests,
+            withoutConnections.requests,
             " requests: ",
-            blind.connections,
-            " without telling, ",
-            aware.connections,
+            withoutConnections.connections,
+            " without reports, ",
+            withConnections.connections,
             " with; waited ",
-            blind.waited,
+            withoutConnections.waited,
             " and ",
-            aware.waited);
-    CHECK(aware.requests == blind.requests);
-    CHECK(aware.connections * 2 < blind.connections);
-    CHECK(aware.waited <= blind.waited);
+            withConnections.waited);
+    CHECK(withConnections.requests == withoutConnections.requests);
+    CHECK(withConnections.connections * 2 < withoutConnections.connections);
+    CHECK(withConnections.waited <= withoutConnections.waited);
 }
 
 TEST_CASE("an open connection does not fill one replica while others are idle")
@@ -141,8 +141,8 @@
         request.id = {SessionNumber(1), number};
         request.due = clock.now() + 1s;
         request.deadline = clock.now() + 5s;
-        request.connected = {markOf(EndpointName("a"))};
-        dispatcher.ask(request);
+        request.connected = {nameHashOf(EndpointName("a"))};
+        dispatcher.submit(request);
     }
     CHECK(placed["a"] - placed["b"] <= 2);
 }
--- a/Tests/LibDispatch/TestItemEstimate.cpp
+++ b/Tests/LibDispatch/TestItemEstimate.cpp
@@ -4,13 +4,13 @@
 
 using namespace Dogwoodkeel;
 
-TEST_CASE("what an item still needs follows from the items before it")
+TEST_CASE("the remaining time of an item is estimated from earlier items")
 {
     ItemEstimate estimate;
     for (int i = 0; i < 200; ++i) {
-        estimate.noteCompleted(100);
-        estimate.noteRun(50, std::chrono::milliseconds(500));
-        estimate.noteRun(3, std::chrono::milliseconds(500));
+        estimate.recordCompleted(100);
+        estimate.recordRun(50, std::chrono::milliseconds(500));
+        estimate.recordRun(3, std::chrono::milliseconds(500));
     }
     CHECK(estimate.remaining(0) >= std::chrono::milliseconds(990));
     CHECK(estimate.remaining(0) <= std::chrono::milliseconds(1010));
--- a/Tests/LibDispatch/TestLeftoverReplay.cpp
+++ b/Tests/LibDispatch/TestLeftoverReplay.cpp
@@ -20,8 +20,8 @@
 
 constexpr std::uint32_t replicaCount = 12;
 constexpr std::uint32_t slots = 8;
-/** Items that each replica still runs for nodes that are gone. */
-constexpr std::uint32_t leftover = 4;
+/** Items that each replica still runs for failed nodes. */
+constexpr std::uint32_t leftoverItems = 4;
 constexpr std::chrono::milliseconds streamTime{550};
 constexpr std::chrono::milliseconds itemTime{1500};
 constexpr std::chrono::milliseconds objective{250};
@@ -29,7 +29,7 @@
 constexpr std::uint64_t itemCount = 80;
 constexpr double perSecond = 60;
 
-/** Whether the dispatcher hears what the replicas state. */
+/** Whether the dispatcher receives the load that the replicas report. */
 enum class Reported {
     Yes,
     No,
@@ -41,7 +41,10 @@
     std::size_t onTime = 0;
 };
 
-/** The replicas in steps of a millisecond: they run so many requests as they have slots, and the others wait in order. */
+/**
+ * Simulates the replicas in steps of a millisecond: each runs as many requests as it has slots and queues the others in
+ * order of arrival.
+ */
 class Engines
 {
 public:
@@ -51,7 +54,7 @@
         std::uniform_int_distribution<int> remaining(800, 3000);
         for (std::uint32_t i = 0; i < replicaCount; ++i) {
             Engine &engine = this->engines[EndpointName("r" + std::to_string(i))];
-            for (std::uint32_t item = 0; item < leftover; ++item) {
+            for (std::uint32_t item = 0; item < leftoverItems; ++item) {
                 engine.running.emplace(this->clock.now() + std::chrono::milliseconds(remaining(random)), 0);
             }
         }
@@ -73,32 +76,32 @@
         });
     }
 
-    /** @return requests that are over now. */
+    /** @return requests that have finished by now. */
     std::vector<std::uint64_t> endDue()
     {
-        std::vector<std::uint64_t> over;
+        std::vector<std::uint64_t> finished;
         for (auto &[instance, engine] : this->engines) {
             while (!engine.running.empty() && engine.running.begin()->first <= this->clock.now()) {
-                over.push_back(engine.running.begin()->second);
+                finished.push_back(engine.running.begin()->second);
                 engine.running.erase(engine.running.begin());
             }
         }
-        return over;
+        return finished;
     }
 
-    /** @return requests that begin now, with where. */
-    std::vector<std::pair<std::uint64_t, EndpointName>> beginWaiting()
+    /** @return requests that start now, with their replicas. */
+    std::vector<std::pair<std::uint64_t, EndpointName>> startWaiting()
     {
-        std::vector<std::pair<std::uint64_t, EndpointName>> begun;
+        std::vector<std::pair<std::uint64_t, EndpointName>> started;
         for (auto &[instance, engine] : this->engines) {
             while (!engine.waiting.empty() && engine.running.size() < slots) {
                 const auto [number, runTime] = engine.waiting.front();
                 engine.waiting.pop_front();
                 engine.running.emplace(this->clock.now() + runTime, number);
-                begun.emplace_back(number, instance);
+                started.emplace_back(number, instance);
             }
         }
-        return begun;
+        return started;
     }
 
     ReportedLoad load(const EndpointName &instance) const
@@ -140,26 +143,26 @@
     dispatcher.setReplicas(equalReplicas(replicaCount, slots));
     if (reported == Reported::No) {
         for (const DispatchReplica &replica : equalReplicas(replicaCount, slots)) {
-            dispatcher.noteLoad(replica.instance, {});
+            dispatcher.recordLoad(replica.instance, {});
         }
     }
-    const auto ask = [&](std::uint64_t number, WorkClass work) {
+    const auto submit = [&](std::uint64_t number, WorkClass work) {
         PlacementRequest request;
         request.id = {SessionNumber(1), number};
         request.work = work;
         request.arrived = clock.now();
         request.due = clock.now() + (work == WorkClass::Online ? objective : std::chrono::milliseconds(4000));
         request.deadline = clock.now() + 5s;
-        dispatcher.ask(request);
+        dispatcher.submit(request);
     };
     const auto end = [&](std::uint64_t number) {
         placedAt.erase(number);
         dispatcher.end({SessionNumber(1), number}, PlacementVerdict::Finished);
     };
     for (std::uint64_t item = 1; item <= itemCount; ++item) {
-        ask(item, WorkClass::Batch);
+        submit(item, WorkClass::Batch);
     }
-    std::uint64_t last = itemCount;
+    std::uint64_t lastTicket = itemCount;
     std::minstd_rand random(11);
     std::uniform_real_distribution<double> chance(0, 1);
     for (std::chrono::milliseconds time{0}; time < length; time += 1ms) {
@@ -173,21 +176,21 @@
             engines.cancel(placedAt.at(number), number);
             end(number);
         }
-        for (const auto &[number, instance] : engines.beginWaiting()) {
+        for (const auto &[number, instance] : engines.startWaiting()) {
             const auto online = arrived.find(number);
             const bool isOnline = online != arrived.end();
             outcome.onTime += isOnline && clock.now() - online->second <= objective ? 1 : 0;
             const ReportedLoad load = engines.load(instance);
-            const bool isNews = !isOnline || load.waiting > 0 || load.running >= slots;
-            if (reported == Reported::Yes && isNews) {
-                dispatcher.noteLoad(instance, load);
+            const bool isReported = !isOnline || load.waiting > 0 || load.running >= slots;
+            if (reported == Reported::Yes && isReported) {
+                dispatcher.recordLoad(instance, load);
             }
         }
-        // What comes in the last moments can't be judged any more.
+        // Requests that arrive within the last moments can't be on time within the replay.
         if (time + objective < length && chance(random) < perSecond / 1000) {
             ++outcome.requests;
-            arrived[++last] = clock.now();
-            ask(last, WorkClass::Online);
+            arrived[++lastTicket] = clock.now();
+            submit(lastTicket, WorkClass::Online);
         }
         if (time % 20ms == 0ms) {
             dispatcher.tick();
@@ -198,14 +201,14 @@
 
 } // namespace
 
-// All nodes have died and started again. The replicas go on with the items that the dead had sent, and the new dispatcher knows
-// of none. It takes all slots for free and fills them with the items that wait: callers' first events wait behind them in the
-// replicas' queues. From the load that replicas state with their answers it learns what is taken.
-TEST_CASE("a new dispatcher learns from what replicas state that they are busy with requests of the dead")
+// All nodes have failed and restarted. The replicas continue with the items of the former nodes, of which the new
+// dispatcher knows nothing. It assumes that all slots are free and fills them with waiting items, so online requests
+// wait behind these in the replicas' queues. The load that replicas report with their answers shows the used slots.
+TEST_CASE("a new dispatcher learns from reported load which slots requests of failed nodes use")
 {
     const Outcome reported = replay(Reported::Yes);
     const Outcome unreported = replay(Reported::No);
-    MESSAGE("requests ", reported.requests, ", on time: told ", reported.onTime, ", unreported ", unreported.onTime);
+    MESSAGE("requests ", reported.requests, ", on time: reported ", reported.onTime, ", unreported ", unreported.onTime);
     CHECK(reported.onTime * 10 > reported.requests * 9);
     CHECK(unreported.onTime * 2 < unreported.requests);
 }
--- a/Tests/LibDispatch/TestLoadReplay.cpp
+++ b/Tests/LibDispatch/TestLoadReplay.cpp
@@ -23,22 +23,22 @@
 constexpr std::chrono::milliseconds objective{250};
 constexpr std::chrono::milliseconds itemTime{5000};
 constexpr std::chrono::milliseconds step{1};
-/** What a node does regularly. */
+/** Intervals of a node's periodic work. */
 constexpr std::chrono::milliseconds tickInterval{20};
 constexpr std::chrono::milliseconds reportInterval{200};
-constexpr std::chrono::milliseconds askInterval{200};
+constexpr std::chrono::milliseconds resubmitInterval{200};
 constexpr std::chrono::seconds length{33};
-/** Square bursts: 2.8 s of 6.6 s at 1.84 times the mean, the rest at 0.377 times. */
+/** Square bursts: 2.8 s of 6.6 s at 1.84 times the mean, the remainder at 0.377 times. */
 constexpr std::chrono::milliseconds period{6600};
 constexpr std::chrono::milliseconds burstStart{3800};
 constexpr double burstFactor = 1.84;
 constexpr double troughFactor = 0.377;
 
-/** What became of the requests and items of one replay. */
+/** How the requests and items of one replay were served. */
 struct Outcome
 {
     double onTime = 0;
-    /** Items completed, by the time that replicas spent on them. */
+    /** Completed items, computed from the time that replicas spent on them. */
     double items = 0;
 };
 
@@ -47,7 +47,7 @@
     return time % period >= burstStart ? burstFactor : troughFactor;
 }
 
-/** Arrivals in steps of a millisecond, the same for the same seed. */
+/** Arrivals in steps of a millisecond, reproducible by the seed. */
 class Arrivals
 {
 public:
@@ -66,14 +66,14 @@
     std::minstd_rand random;
 };
 
-/** Whether batch items that run give way. */
-enum class Yielding {
+/** Whether running batch items may be preempted. */
+enum class Preemption {
     Yes,
     No,
 };
 
-/** Replays bursts before one dispatcher, with batch items that always wait. */
-Outcome replayDispatcher(double perSecond, Yielding yielding)
+/** Replays bursts at one dispatcher, with batch items that always wait. */
+Outcome replayDispatcher(double perSecond, Preemption preemption)
 {
     ManualClock clock;
     std::map<std::uint64_t, SteadyTime> arrived;
@@ -82,7 +82,7 @@
     std::vector<std::uint64_t> stops;
     std::map<std::uint64_t, RunningPlacement> running;
     std::map<std::uint64_t, PlacementRequest> waiting;
-    std::size_t inTime = 0;
+    std::size_t onTimeCount = 0;
     std::chrono::nanoseconds itemWork{0};
     Dispatcher dispatcher(clock,
                           {.place =
@@ -91,7 +91,7 @@
                                    running[id.number] = {id.number, replica, !arrived.contains(id.number)};
                                    const auto online = arrived.find(id.number);
                                    if (online != arrived.end()) {
-                                       inTime += clock.now() - online->second <= objective ? 1 : 0;
+                                       onTimeCount += clock.now() - online->second <= objective ? 1 : 0;
                                        ends.emplace(clock.now() + streamTime, id.number);
                                    } else {
                                        itemStarts[id.number] = clock.now();
@@ -105,23 +105,23 @@
                            .refuse = [](TicketId, std::chrono::milliseconds) {}});
     dispatcher.setReplicas(equalReplicas(replicaCount, slots));
     for (const DispatchReplica &replica : equalReplicas(replicaCount, slots)) {
-        dispatcher.noteLoad(replica.instance, {});
+        dispatcher.recordLoad(replica.instance, {});
     }
-    std::uint64_t last = 0;
-    const auto ask = [&](WorkClass work) {
+    std::uint64_t lastTicket = 0;
+    const auto submit = [&](WorkClass work) {
         PlacementRequest request;
-        request.id = {SessionNumber(1), ++last};
+        request.id = {SessionNumber(1), ++lastTicket};
         request.work = work;
         request.arrived = clock.now();
-        // Items that may not be stopped are made so by having no time to spare.
-        const bool mayWait = work == WorkClass::Batch && yielding == Yielding::Yes;
+        // Items without slack are never stopped.
+        const bool mayWait = work == WorkClass::Batch && preemption == Preemption::Yes;
         request.due = clock.now() + (mayWait ? std::chrono::milliseconds(10000) : objective);
         request.deadline = clock.now() + std::chrono::hours(1);
         if (work == WorkClass::Online) {
-            arrived[last] = clock.now();
+            arrived[lastTicket] = clock.now();
         }
-        waiting[last] = request;
-        dispatcher.ask(request);
+        waiting[lastTicket] = request;
+        dispatcher.submit(request);
     };
     const auto endRun = [&](std::uint64_t number) {
         running.erase(number);
@@ -146,10 +146,10 @@
             dispatcher.end({SessionNumber(1), number}, PlacementVerdict::Finished);
         }
         if (arrivals.isDue(time)) {
-            ask(WorkClass::Online);
+            submit(WorkClass::Online);
         }
         while (dispatcher.load().batchWaiting < 5) {
-            ask(WorkClass::Batch);
+            submit(WorkClass::Batch);
         }
         if (time % tickInterval == std::chrono::milliseconds(0)) {
             dispatcher.tick();
@@ -160,25 +160,25 @@
             for (const auto &[number, placement] : running) {
                 report.push_back(placement);
             }
-            dispatcher.reconcile(SessionNumber(1), last, report);
+            dispatcher.reconcile(SessionNumber(1), lastTicket, report);
         }
-        // As nodes do: what waits is asked for again.
-        if (time % askInterval == std::chrono::milliseconds(0)) {
-            std::vector<PlacementRequest> asked;
-            asked.reserve(waiting.size());
+        // Like a node, submits the waiting requests again.
+        if (time % resubmitInterval == std::chrono::milliseconds(0)) {
+            std::vector<PlacementRequest> requests;
+            requests.reserve(waiting.size());
             for (const auto &[number, request] : waiting) {
-                asked.push_back(request);
+                requests.push_back(request);
             }
-            for (const PlacementRequest &request : asked) {
-                dispatcher.ask(request);
+            for (const PlacementRequest &request : requests) {
+                dispatcher.submit(request);
             }
         }
     }
-    return {static_cast<double>(inTime) / static_cast<double>(arrived.size()),
+    return {static_cast<double>(onTimeCount) / static_cast<double>(arrived.size()),
             std::chrono::duration<double>(itemWork) / std::chrono::duration<double>(itemTime)};
 }
 
-/** Replays the same bursts before nodes that each know only what they themselves send, without batch items. */
+/** Replays the same bursts with nodes that each know only the requests they send themselves, without batch items. */
 Outcome replayLocal(double perSecond)
 {
     ManualClock clock;
@@ -194,11 +194,11 @@
     };
     std::map<EndpointName, Engine> engines;
     std::multimap<SteadyTime, std::pair<EndpointName, std::size_t>> ends;
-    std::size_t inTime = 0;
-    std::size_t asked = 0;
-    const auto begin = [&](const EndpointName &instance, SteadyTime since, std::size_t node) {
+    std::size_t onTimeCount = 0;
+    std::size_t requests = 0;
+    const auto start = [&](const EndpointName &instance, SteadyTime since, std::size_t node) {
         ++engines[instance].running;
-        inTime += clock.now() - since <= objective ? 1 : 0;
+        onTimeCount += clock.now() - since <= objective ? 1 : 0;
         ends.emplace(clock.now() + streamTime, std::pair(instance, node));
     };
     Arrivals arrivals(perSecond, 7);
@@ -214,50 +214,56 @@
             if (!engine.waiting.empty()) {
                 const auto [since, waitingNode] = engine.waiting.front();
                 engine.waiting.pop_front();
-                begin(instance, since, waitingNode);
+                start(instance, since, waitingNode);
             }
         }
         if (!arrivals.isDue(time)) {
             continue;
         }
-        ++asked;
+        ++requests;
         const std::size_t node = random() % nodeCount;
-        const std::optional<EndpointName> chosen = nodes[node]->choose(FailureDomain("z"), {});
-        REQUIRE(chosen);
-        nodes[node]->begin(*chosen);
-        if (engines[*chosen].running < slots) {
-            begin(*chosen, clock.now(), node);
+        const std::optional<EndpointName> selected = nodes[node]->select(FailureDomain("z"), {});
+        REQUIRE(selected);
+        nodes[node]->begin(*selected);
+        if (engines[*selected].running < slots) {
+            start(*selected, clock.now(), node);
         } else {
-            engines[*chosen].waiting.emplace_back(clock.now(), node);
+            engines[*selected].waiting.emplace_back(clock.now(), node);
         }
     }
-    return {static_cast<double>(inTime) / static_cast<double>(asked), 0};
+    return {static_cast<double>(onTimeCount) / static_cast<double>(requests), 0};
 }
 
 } // namespace
 
-// Square bursts of 46 requests a second in the mean before 9 replicas with 8 slots each. Ten nodes that each see a tenth of the
-// load send some requests to full replicas while others have room; one queue does not.
-TEST_CASE("one queue serves more of a burst on time than nodes with counts of their own")
+// Square bursts with a mean of 46 requests per second, on 9 replicas with 8 slots each. Ten nodes that each see a tenth
+// of the load send some requests to full replicas while others have free slots; one queue does not.
+TEST_CASE("one queue serves more of a burst on time than nodes with their own counts")
 {
-    const Outcome dispatched = replayDispatcher(46, Yielding::Yes);
+    const Outcome dispatched = replayDispatcher(46, Preemption::Yes);
     const Outcome local = replayLocal(46);
     MESSAGE("on time: dispatcher ", dispatched.onTime, ", each node alone ", local.onTime);
     CHECK(dispatched.onTime > 0.99);
     CHECK(local.onTime < dispatched.onTime - 0.01);
 }
 
-// The same bursts while batch items fill every idle slot. If items kept their slots to the end, the first requests of each
-// burst would wait for seconds; they give way, and the work of the items is still most of what the idle slots can do.
-TEST_CASE("batch items that give way cost online requests nothing, and fill the troughs")
+// The same bursts while batch items use every idle slot. If items kept their slots to the end, the first requests of
+// each burst would wait for seconds. With preemption the items still use most of the idle slots.
+TEST_CASE("preemptible batch items do not delay online requests, and fill the troughs")
 {
-    const Outcome yielding = replayDispatcher(40, Yielding::Yes);
-    const Outcome keeping = replayDispatcher(40, Yielding::No);
-    MESSAGE(
-        "on time: yielding ", yielding.onTime, ", keeping ", keeping.onTime, "; items: ", yielding.items, ", ", keeping.items);
-    CHECK(yielding.onTime > 0.99);
-    CHECK(keeping.onTime < 0.95);
+    const Outcome withPreemption = replayDispatcher(40, Preemption::Yes);
+    const Outcome withoutPreemption = replayDispatcher(40, Preemption::No);
+    MESSAGE("on time: preemption ",
+            withPreemption.onTime,
+            ", no preemption ",
+            withoutPreemption.onTime,
+            "; items: ",
+            withPreemption.items,
+            ", ",
+            withoutPreemption.items);
+    CHECK(withPreemption.onTime > 0.99);
+    CHECK(withoutPreemption.onTime < 0.95);
     const double idle = (replicaCount * slots - 40 * std::chrono::duration<double>(streamTime).count())
         * std::chrono::duration<double>(length) / std::chrono::duration<double>(itemTime);
-    CHECK(yielding.items > 0.9 * idle);
+    CHECK(withPreemption.items > 0.9 * idle);
 }
--- a/Tests/LibDispatch/TestPlacementDeadlineReplay.cpp
+++ b/Tests/LibDispatch/TestPlacementDeadlineReplay.cpp
@@ -19,21 +19,24 @@
 constexpr std::uint32_t slots = 7;
 constexpr std::chrono::milliseconds streamTime{780};
 constexpr std::chrono::milliseconds objective{300};
-/** From the caller's first byte until its request has arrived, and on the way of an answer. */
-constexpr std::chrono::milliseconds wayIn{3};
-constexpr std::chrono::milliseconds wayOfPlace{2};
-constexpr std::chrono::milliseconds wayOut{1};
+/**
+ * One-way delays: from the caller's first byte to the arrival of its request, of the dispatcher's answer, and of the
+ * first event.
+ */
+constexpr std::chrono::milliseconds requestDelay{3};
+constexpr std::chrono::milliseconds placementDelay{2};
+constexpr std::chrono::milliseconds responseDelay{1};
 constexpr double meanFirst = 85;
 constexpr double spreadFirst = 8;
 constexpr std::chrono::milliseconds step{1};
 constexpr std::chrono::milliseconds tickInterval{20};
-constexpr std::chrono::milliseconds askInterval{200};
+constexpr std::chrono::milliseconds resubmitInterval{200};
 constexpr std::chrono::milliseconds period{6600};
 constexpr std::chrono::milliseconds burstStart{3800};
 constexpr std::chrono::seconds length{33};
-/** Load of a burst, as a share of what the slots can serve. */
+/** Load of a burst, as a share of the capacity. */
 constexpr double burstLoad = 1.35;
-/** Requests a second that the slots can serve. */
+/** Requests per second that the slots can serve. */
 constexpr double capacity = replicaCount * slots / 0.78;
 
 struct Outcome
@@ -42,11 +45,11 @@
     std::size_t onTime = 0;
 };
 
-/** Bursts over what the slots can serve, before replicas that take more or less long to the first event. */
-class BrinkReplay
+/** Replays bursts above the capacity on replicas whose time to the first event varies. */
+class PlacementDeadlineReplay
 {
 public:
-    explicit BrinkReplay(double burst)
+    explicit PlacementDeadlineReplay(double burst)
         : burst(burst)
         , dispatcher(this->clock,
                      {.place =
@@ -67,49 +70,49 @@
             this->endRuns();
             const double load = time % period >= burstStart ? this->burst : 0.4;
             if (chance(this->random) < load * capacity / 1000) {
-                this->ask();
+                this->submit();
             }
             if (time % tickInterval == 0ms) {
                 this->dispatcher.tick();
             }
-            if (time % askInterval == 0ms) {
-                this->askAgain();
+            if (time % resubmitInterval == 0ms) {
+                this->resubmit();
             }
         }
         return this->outcome;
     }
 
 private:
-    void ask()
+    void submit()
     {
         PlacementRequest request;
-        request.id = {SessionNumber(1), ++this->last};
+        request.id = {SessionNumber(1), ++this->lastTicket};
         request.arrived = this->clock.now();
-        request.due = this->estimate.placeBy(request.arrived, objective);
+        request.due = this->estimate.placementDeadline(request.arrived, objective);
         request.deadline = request.arrived + 5s;
         ++this->outcome.requests;
-        this->waiting[this->last] = request;
-        this->dispatcher.ask(request);
+        this->waiting[this->lastTicket] = request;
+        this->dispatcher.submit(request);
     }
 
-    void askAgain()
+    void resubmit()
     {
         const std::map<std::uint64_t, PlacementRequest> again = this->waiting;
         for (const auto &[number, request] : again) {
-            this->dispatcher.ask(request);
+            this->dispatcher.submit(request);
         }
     }
 
     void begin(std::uint64_t number)
     {
-        const auto asked = this->waiting.extract(number);
-        if (asked.empty()) {
+        const auto waited = this->waiting.extract(number);
+        if (waited.empty()) {
             return;
         }
         std::normal_distribution<double> first(meanFirst, spreadFirst);
         const std::chrono::milliseconds took(static_cast<int>(std::max(first(this->random), 62.0)));
-        this->estimate.note(took);
-        const auto seen = wayIn + (this->clock.now() - asked.mapped().arrived) + wayOfPlace + took + wayOut;
+        this->estimate.record(took);
+        const auto seen = requestDelay + (this->clock.now() - waited.mapped().arrived) + placementDelay + took + responseDelay;
         this->outcome.onTime += seen <= objective ? 1 : 0;
         this->ends.emplace(this->clock.now() + streamTime, number);
     }
@@ -128,7 +131,7 @@
     std::minstd_rand random{7};
     FirstEventEstimate estimate;
     Outcome outcome;
-    std::uint64_t last = 0;
+    std::uint64_t lastTicket = 0;
     std::map<std::uint64_t, PlacementRequest> waiting;
     std::multimap<SteadyTime, std::uint64_t> ends;
     Dispatcher dispatcher;
@@ -136,15 +139,15 @@
 
 } // namespace
 
-// A burst asks for a third more than the slots can serve, and the queue grows until those at its head can just be on time. All
-// that are placed then are placed at the last moment: if that is a little too late, so are most of them, and the slots that
-// could have served others in time are spent on them.
-TEST_CASE("who is placed at the last moment in a burst is on time at its caller")
+// A burst exceeds the capacity by a third, and the queue grows until the requests at its head can just be on time. All
+// requests placed then are placed at their placement deadline: if that is slightly too late, most of them are late, and
+// use slots that could have served others on time.
+TEST_CASE("a request placed at its placement deadline in a burst is on time at its caller")
 {
-    const Outcome calm = BrinkReplay(0.9).run();
+    const Outcome calm = PlacementDeadlineReplay(0.9).run();
     CHECK(calm.onTime > 0.995 * static_cast<double>(calm.requests));
-    const Outcome burst = BrinkReplay(burstLoad).run();
-    // What the slots can't serve is late, less the queue at the end of each burst; nothing else need be.
+    const Outcome burst = PlacementDeadlineReplay(burstLoad).run();
+    // Only the requests above the capacity should be late, less those that wait in the queue at the end of each burst.
     const double excess = (burstLoad - 1) * capacity * std::chrono::duration<double>(period - burstStart).count();
     const double queued = capacity * std::chrono::duration<double>(objective).count() / 2;
     const double servable = static_cast<double>(burst.requests) - (length / period) * (excess - queued);
--- a/Tests/LibDispatch/TestRefusalReplay.cpp
+++ b/Tests/LibDispatch/TestRefusalReplay.cpp
@@ -21,57 +21,60 @@
 constexpr std::chrono::seconds timeout{5};
 constexpr std::chrono::milliseconds step{1};
 constexpr std::chrono::milliseconds tickInterval{20};
-constexpr std::chrono::milliseconds askInterval{200};
+constexpr std::chrono::milliseconds resubmitInterval{200};
 constexpr std::chrono::seconds length{60};
-/** What the replicas can serve in a second. */
+/** Requests per second that the replicas can serve. */
 constexpr double capacity = replicaCount * slots / 0.77;
-/** What an answer is worth to a caller that gets it late, and to one that was told at once to come back and was on time then. */
-constexpr double lateWorth = 0.15;
-constexpr double returnedWorth = 0.575;
+/**
+ * Value of an answer that comes late, and of one that is on time after a prompt refusal and a retry; one on time at the
+ * first attempt counts 1.
+ */
+constexpr double lateValue = 0.15;
+constexpr double retriedOnTimeValue = 0.575;
 
-/** What became of the callers of one replay. */
+/** How the callers of one replay were served. */
 struct Outcome
 {
     int callers = 0;
     int onTime = 0;
-    int returnedOnTime = 0;
+    int retriedOnTime = 0;
     int late = 0;
-    int sentAway = 0;
-    /** Waited until their time was over. */
-    int held = 0;
+    int refused = 0;
+    /** Waited until their timeout without an answer. */
+    int timedOut = 0;
 
-    double worth() const
+    double value() const
     {
-        return (this->onTime + returnedWorth * this->returnedOnTime + lateWorth * this->late) / this->callers;
+        return (this->onTime + retriedOnTimeValue * this->retriedOnTime + lateValue * this->late) / this->callers;
     }
 };
 
-/** Whether the dispatcher may send requests away. */
-enum class Refusing {
+/** Whether the dispatcher may refuse requests. */
+enum class Refusal {
     Yes,
     No,
 };
 
-/** Online requests a second at a time, as a share of what can be served. */
+/** Online load at a time, as a share of the capacity. */
 using Load = std::function<double(std::chrono::milliseconds)>;
 
-/** Callers that come back once when they are told to. */
+/** Replays callers that retry once after a refusal. */
 class Replay
 {
 public:
-    Replay(Load load, Refusing refusing, std::size_t replicasAtBurst = replicaCount)
+    Replay(Load load, Refusal refusal, std::size_t reducedReplicas = replicaCount)
         : load(std::move(load))
-        , refusing(refusing)
-        , replicasAtBurst(replicasAtBurst)
+        , refusal(refusal)
+        , reducedReplicas(reducedReplicas)
         , dispatcher(this->clock,
                      {.place =
                           [this](TicketId id, const EndpointName &) {
-                              this->takePlace(id.number);
+                              this->handlePlaced(id.number);
                           },
                       .stop = [](TicketId) {},
                       .refuse =
                           [this](TicketId id, std::chrono::milliseconds retryAfter) {
-                              this->takeRefusal(id.number, retryAfter);
+                              this->handleRefusal(id.number, retryAfter);
                           }})
     {
     }
@@ -85,14 +88,14 @@
             this->endRuns();
             if (chance(this->random) < this->load(time) * capacity / 1000) {
                 ++this->outcome.callers;
-                this->ask({++this->lastContent, this->clock.now(), true, {}});
+                this->submit({++this->lastContent, this->clock.now(), true, {}});
             }
-            this->comeAgain();
+            this->retryDue();
             if (time % tickInterval == std::chrono::milliseconds(0)) {
                 this->dispatcher.tick();
             }
-            if (time % askInterval == std::chrono::milliseconds(0)) {
-                this->askAgain();
+            if (time % resubmitInterval == std::chrono::milliseconds(0)) {
+                this->resubmit();
             }
         }
         return this->outcome;
@@ -103,21 +106,21 @@
     {
         std::uint64_t content = 0;
         SteadyTime first{};
-        bool isFirstTry = true;
+        bool isFirstAttempt = true;
         PlacementRequest request;
     };
 
     void setReplicas(std::chrono::milliseconds time)
     {
-        const bool isFew = time >= length / 2 && time < length / 2 + std::chrono::seconds(5);
-        const std::size_t count = isFew ? this->replicasAtBurst : replicaCount;
-        if (std::exchange(this->present, count) == count) {
+        const bool isReduced = time >= length / 2 && time < length / 2 + std::chrono::seconds(5);
+        const std::size_t count = isReduced ? this->reducedReplicas : replicaCount;
+        if (std::exchange(this->currentReplicas, count) == count) {
             return;
         }
         this->dispatcher.setReplicas(equalReplicas(count, slots));
     }
 
-    void ask(Caller caller)
+    void submit(Caller caller)
     {
         const SteadyTime now = this->clock.now();
         PlacementRequest &request = caller.request;
@@ -126,28 +129,28 @@
         request.due = now + objective;
         request.deadline = caller.first + timeout;
         request.content = caller.content;
-        request.mayRefuse = this->refusing == Refusing::Yes;
+        request.mayRefuse = this->refusal == Refusal::Yes;
         this->waiting[request.id.number] = caller;
-        this->dispatcher.ask(PlacementRequest(request));
+        this->dispatcher.submit(PlacementRequest(request));
     }
 
-    void askAgain()
+    void resubmit()
     {
-        std::vector<PlacementRequest> asked;
-        for (auto waits = this->waiting.begin(); waits != this->waiting.end();) {
-            const bool isOver = waits->second.request.deadline < this->clock.now();
-            this->outcome.held += isOver ? 1 : 0;
+        std::vector<PlacementRequest> resubmitted;
+        for (auto waited = this->waiting.begin(); waited != this->waiting.end();) {
+            const bool isOver = waited->second.request.deadline < this->clock.now();
+            this->outcome.timedOut += isOver ? 1 : 0;
             if (!isOver) {
-                asked.push_back(waits->second.request);
+                resubmitted.push_back(waited->second.request);
             }
-            waits = isOver ? this->waiting.erase(waits) : std::next(waits);
+            waited = isOver ? this->waiting.erase(waited) : std::next(waited);
         }
-        for (const PlacementRequest &request : asked) {
-            this->dispatcher.ask(request);
+        for (const PlacementRequest &request : resubmitted) {
+            this->dispatcher.submit(request);
         }
     }
 
-    void takePlace(std::uint64_t ticket)
+    void handlePlaced(std::uint64_t ticket)
     {
         const auto found = this->waiting.find(ticket);
         if (found == this->waiting.end()) {
@@ -155,35 +158,35 @@
         }
         const Caller &caller = found->second;
         const bool isOnTime = this->clock.now() <= caller.request.due;
-        const bool wasEarly = caller.isFirstTry || this->wasSentAwayEarly[caller.content];
-        this->outcome.onTime += isOnTime && caller.isFirstTry ? 1 : 0;
-        this->outcome.returnedOnTime += isOnTime && !caller.isFirstTry && wasEarly ? 1 : 0;
-        this->outcome.late += !isOnTime || !wasEarly ? 1 : 0;
+        const bool mayCountOnTime = caller.isFirstAttempt || this->wasRefusedEarly[caller.content];
+        this->outcome.onTime += isOnTime && caller.isFirstAttempt ? 1 : 0;
+        this->outcome.retriedOnTime += isOnTime && !caller.isFirstAttempt && mayCountOnTime ? 1 : 0;
+        this->outcome.late += !isOnTime || !mayCountOnTime ? 1 : 0;
         this->ends.emplace(this->clock.now() + streamTime, ticket);
         this->waiting.erase(found);
     }
 
-    void takeRefusal(std::uint64_t ticket, std::chrono::milliseconds retryAfter)
+    void handleRefusal(std::uint64_t ticket, std::chrono::milliseconds retryAfter)
     {
         const auto found = this->waiting.find(ticket);
         REQUIRE(found != this->waiting.end());
         Caller caller = found->second;
         this->waiting.erase(found);
-        this->outcome.sentAway += 1;
-        if (caller.isFirstTry) {
-            this->wasSentAwayEarly[caller.content] = (this->clock.now() - caller.first) * 4 <= objective;
-            caller.isFirstTry = false;
-            const auto most = (caller.request.deadline - this->clock.now()) / 3;
-            this->returns.emplace(this->clock.now() + std::min<std::chrono::nanoseconds>(retryAfter, most), caller);
+        this->outcome.refused += 1;
+        if (caller.isFirstAttempt) {
+            this->wasRefusedEarly[caller.content] = (this->clock.now() - caller.first) * 4 <= objective;
+            caller.isFirstAttempt = false;
+            const auto maxRetryAfter = (caller.request.deadline - this->clock.now()) / 3;
+            this->retries.emplace(this->clock.now() + std::min<std::chrono::nanoseconds>(retryAfter, maxRetryAfter), caller);
         }
     }
 
-    void comeAgain()
+    void retryDue()
     {
-        while (!this->returns.empty() && this->returns.begin()->first <= this->clock.now()) {
-            const Caller caller = this->returns.begin()->second;
-            this->returns.erase(this->returns.begin());
-            this->ask(caller);
+        while (!this->retries.empty() && this->retries.begin()->first <= this->clock.now()) {
+            const Caller caller = this->retries.begin()->second;
+            this->retries.erase(this->retries.begin());
+            this->submit(caller);
         }
     }
 
@@ -196,22 +199,22 @@
     }
 
     Load load;
-    Refusing refusing;
-    std::size_t replicasAtBurst;
-    std::size_t present = 0;
+    Refusal refusal;
+    std::size_t reducedReplicas;
+    std::size_t currentReplicas = 0;
     ManualClock clock;
     std::minstd_rand random{7};
     std::uint64_t lastTicket = 0;
     std::uint64_t lastContent = 0;
     std::map<std::uint64_t, Caller> waiting;
-    std::multimap<SteadyTime, Caller> returns;
+    std::multimap<SteadyTime, Caller> retries;
     std::multimap<SteadyTime, std::uint64_t> ends;
-    std::map<std::uint64_t, bool> wasSentAwayEarly;
+    std::map<std::uint64_t, bool> wasRefusedEarly;
     Outcome outcome;
     Dispatcher dispatcher;
 };
 
-/** Bursts at a share of what can be served, and 0.35 of it between them. */
+/** Bursts at a share of the capacity, with a load of 0.35 between them. */
 constexpr std::chrono::milliseconds period{6600};
 constexpr std::chrono::milliseconds burstStart{3800};
 
@@ -229,17 +232,20 @@
     };
 }
 
-std::string tell(const Outcome &outcome)
+std::string describe(const Outcome &outcome)
 {
-    return "worth " + std::to_string(outcome.worth()) + ", on time " + std::to_string(outcome.onTime) + ", returned "
-        + std::to_string(outcome.returnedOnTime) + ", late " + std::to_string(outcome.late) + ", sent away "
-        + std::to_string(outcome.sentAway) + ", held " + std::to_string(outcome.held) + " of " + std::to_string(outcome.callers);
+    return "value " + std::to_string(outcome.value()) + ", on time " + std::to_string(outcome.onTime) + ", retried on time "
+        + std::to_string(outcome.retriedOnTime) + ", late " + std::to_string(outcome.late) + ", refused "
+        + std::to_string(outcome.refused) + ", timed out " + std::to_string(outcome.timedOut) + " of "
+        + std::to_string(outcome.callers);
 }
 
 } // namespace
 
-/** @return how many callers can be on time at most in bursts of a share of what can be served: the queue's length helps once a
- * burst. */
+/**
+ * @return the maximum number of callers that can be on time in bursts at a share of the capacity; the queue can absorb
+ * some requests once per burst.
+ */
 double servable(double share, int callers)
 {
     const double burstCount = static_cast<double>(length / period);
@@ -248,51 +254,51 @@
     return callers - burstCount * std::max(0.0, excess - queued);
 }
 
-// Bursts of 2.8 s at 1.1 to 1.5 times what the replicas can serve, with calm between them. Without refusals, who comes to a
-// full queue waits and is late, though there will be room in a second; told to come back then, it is served at once. Were it told
-// to come back into the same burst, it would take the place of another that can still be on time.
-TEST_CASE("in a burst, who can't be on time is told at once to come back to a place")
+// Bursts of 2.8 s at 1.1 to 1.5 times the capacity, with calm between them. Without refusals a caller that finds a full
+// queue waits and is late, though capacity is free a second later; refused with a delay, it is served at once on its
+// retry. A retry into the same burst would take the slot of a request that can still be on time.
+TEST_CASE("in a burst, a request that can't be on time is refused at once with a retry time")
 {
     for (const double share : {1.1, 1.2, 1.3, 1.5}) {
-        const Outcome queueing = Replay(bursts(share), Refusing::No).run();
-        const Outcome refusing = Replay(bursts(share), Refusing::Yes).run();
-        MESSAGE("burst of ", share, ": queueing ", tell(queueing), "; refusing ", tell(refusing));
-        CHECK(refusing.worth() > queueing.worth() - 0.001);
-        CHECK(refusing.onTime > 0.99 * queueing.onTime);
-        CHECK(refusing.late < 0.95 * queueing.late);
-        CHECK(refusing.onTime + refusing.returnedOnTime > 0.97 * servable(share, refusing.callers));
-        CHECK(refusing.held == 0);
+        const Outcome queueing = Replay(bursts(share), Refusal::No).run();
+        const Outcome refusal = Replay(bursts(share), Refusal::Yes).run();
+        MESSAGE("burst of ", share, ": queueing ", describe(queueing), "; refusing ", describe(refusal));
+        CHECK(refusal.value() > queueing.value() - 0.001);
+        CHECK(refusal.onTime > 0.99 * queueing.onTime);
+        CHECK(refusal.late < 0.95 * queueing.late);
+        CHECK(refusal.onTime + refusal.retriedOnTime > 0.97 * servable(share, refusal.callers));
+        CHECK(refusal.timedOut == 0);
     }
 }
 
-// A load that stays above what the replicas can serve. Nobody can be promised a place, as there will be none; who waits to the
-// end without one is told so while its caller can still do something else, and those who are served are as many as before.
-TEST_CASE("under a load that stays, nobody is held to the end, and no less is served")
+// A sustained load above the capacity. No retry can get reserved capacity. A request that would wait until its timeout
+// is refused while its caller has time left for something else, and as many requests are served as without refusals.
+TEST_CASE("under sustained overload, no request waits until its timeout, and no less is served")
 {
     for (const double share : {1.02, 1.07, 1.2, 1.5}) {
-        const Outcome queueing = Replay(steady(share), Refusing::No).run();
-        const Outcome refusing = Replay(steady(share), Refusing::Yes).run();
-        MESSAGE("steady ", share, ": queueing ", tell(queueing), "; refusing ", tell(refusing));
-        CHECK(queueing.held > 100);
-        CHECK(refusing.held <= 1);
-        CHECK(refusing.onTime >= queueing.onTime);
-        CHECK(refusing.onTime + refusing.late >= queueing.onTime + queueing.late);
-        CHECK(refusing.returnedOnTime == 0);
+        const Outcome queueing = Replay(steady(share), Refusal::No).run();
+        const Outcome refusal = Replay(steady(share), Refusal::Yes).run();
+        MESSAGE("steady ", share, ": queueing ", describe(queueing), "; refusing ", describe(refusal));
+        CHECK(queueing.timedOut > 100);
+        CHECK(refusal.timedOut <= 1);
+        CHECK(refusal.onTime >= queueing.onTime);
+        CHECK(refusal.onTime + refusal.late >= queueing.onTime + queueing.late);
+        CHECK(refusal.retriedOnTime == 0);
     }
 }
 
-TEST_CASE("nobody is sent away while there is room")
+TEST_CASE("no request is refused while there is capacity")
 {
-    CHECK(Replay(steady(0.9), Refusing::Yes).run().sentAway == 0);
+    CHECK(Replay(steady(0.9), Refusal::Yes).run().refused == 0);
 }
 
-// More than half of the replicas go for 5 s. What is served meanwhile must not suffer from refusals.
-TEST_CASE("while half of the replicas are gone, refusals cost nobody an answer")
+// More than half of the replicas are missing for 5 s. Refusals must not reduce what is served meanwhile.
+TEST_CASE("while half of the replicas are missing, refusals cost no answers")
 {
-    const Outcome queueing = Replay(steady(0.6), Refusing::No, 4).run();
-    const Outcome refusing = Replay(steady(0.6), Refusing::Yes, 4).run();
-    MESSAGE("half gone: queueing ", tell(queueing), "; refusing ", tell(refusing));
-    CHECK(refusing.onTime >= queueing.onTime);
-    CHECK(refusing.worth() > queueing.worth() - 0.005);
-    CHECK(refusing.held == 0);
+    const Outcome queueing = Replay(steady(0.6), Refusal::No, 4).run();
+    const Outcome refusal = Replay(steady(0.6), Refusal::Yes, 4).run();
+    MESSAGE("half missing: queueing ", describe(queueing), "; refusing ", describe(refusal));
+    CHECK(refusal.onTime >= queueing.onTime);
+    CHECK(refusal.value() > queueing.value() - 0.005);
+    CHECK(refusal.timedOut == 0);
 }
--- a/Tests/LibDispatch/TestReplicaIndex.cpp
+++ b/Tests/LibDispatch/TestReplicaIndex.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** Some replicas in three failure domains, what is done to them, and a look at all of them. */
+/** Replicas in three failure domains with their index, and a linear search to compare it with. */
 class Replicas
 {
 public:
@@ -31,7 +31,7 @@
         DispatchedReplica &replica = this->all[number];
         replica.number = number;
         replica.traits = {EndpointName("r" + std::to_string(number)), FailureDomain("z" + std::to_string(number % 3)), 4, false};
-        replica.mark = markOf(replica.traits.instance);
+        replica.nameHash = nameHashOf(replica.traits.instance);
         this->index.update(replica);
     }
 
@@ -44,14 +44,14 @@
         }
     }
 
-    /** One of the things that happen to a replica. */
-    void change(DispatchedReplica &replica, int what, int amount)
+    /** Applies one of the state changes of a replica. */
+    void change(DispatchedReplica &replica, int action, int amount)
     {
         const SteadyTime now = this->clock.now();
         const WorkClass work = amount % 2 == 0 ? WorkClass::Online : WorkClass::Batch;
-        switch (what) {
+        switch (action) {
         case 0:
-            replica.slots.take(work);
+            replica.slots.acquire(work);
             replica.lastFull = replica.hasFreeSlot(now) ? replica.lastFull : now;
             break;
         case 1:
@@ -60,10 +60,10 @@
             }
             break;
         case 2:
-            replica.slots.noteReported({static_cast<std::uint32_t>(amount), 0}, now);
+            replica.slots.recordReport({static_cast<std::uint32_t>(amount), 0}, now);
             break;
         case 3:
-            replica.gate.noteEnd(amount % 2 == 0 ? PlacementVerdict::Broken : PlacementVerdict::Rejected, now);
+            replica.breaker.recordEnd(amount % 2 == 0 ? PlacementVerdict::Broken : PlacementVerdict::Rejected, now);
             break;
         default:
             replica.traits.isDraining = !replica.traits.isDraining;
@@ -71,28 +71,28 @@
         this->index.update(replica);
     }
 
-    /** @return whether a replica may get the request now, by its own state alone. */
+    /** @return whether a replica may receive the request now, judged by its own state alone. */
     bool isPossible(const DispatchedReplica &replica, const PlacementRequest &request) const
     {
         const SteadyTime now = this->clock.now();
         const bool isAvoided = std::ranges::find(request.avoided, replica.traits.instance) != request.avoided.end();
-        return !isAvoided && replica.isOpen(now) && (request.work == WorkClass::Online || replica.mayTakeItem(now));
+        return !isAvoided && replica.isOpen(now) && (request.work == WorkClass::Online || replica.mayAcceptItem(now));
     }
 
-    /** @return whether the chosen replica is possible, and none that differs from it in load alone has less. */
-    bool isBest(const DispatchedReplica *chosen, const PlacementRequest &request) const
+    /** @return whether the selected replica is possible, and none that differs from it in load alone has less load. */
+    bool isBest(const DispatchedReplica *selected, const PlacementRequest &request) const
     {
         const auto isConnected = [&request](const DispatchedReplica &replica) {
-            return std::ranges::find(request.connected, replica.mark) != request.connected.end();
+            return std::ranges::find(request.connected, replica.nameHash) != request.connected.end();
         };
         return std::ranges::all_of(this->all, [&](const auto &entry) {
             const DispatchedReplica &other = entry.second;
             if (!this->isPossible(other, request)) {
-                return chosen != &other;
+                return selected != &other;
             }
-            const bool isAlike = chosen != nullptr && other.traits.failureDomain == chosen->traits.failureDomain
-                && isConnected(other) == isConnected(*chosen);
-            return chosen != nullptr && (!isAlike || other.load(this->clock.now()) >= chosen->load(this->clock.now()));
+            const bool isComparable = selected != nullptr && other.traits.failureDomain == selected->traits.failureDomain
+                && isConnected(other) == isConnected(*selected);
+            return selected != nullptr && (!isComparable || other.load(this->clock.now()) >= selected->load(this->clock.now()));
         });
     }
 
@@ -103,29 +103,29 @@
 
 } // namespace
 
-// Guards against a replica that stands in the order by what it was before: it would get what it can't take, or nothing more.
-TEST_CASE("what the index finds is what a look at all replicas finds, whatever happens to them")
+// Guards against an outdated position in the index: a full replica would receive requests, or a free one none.
+TEST_CASE("the index finds the same replica as a linear search after any changes")
 {
-    const bool holds = rc::check("the best is found", [] {
+    const bool holds = rc::check("the best replica is found", [] {
         const auto count = static_cast<std::size_t>(*rc::gen::inRange(1, 12));
         Replicas replicas(count);
         for (int step = 0; step < 60; ++step) {
             const auto number = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(count)));
-            const int what = *rc::gen::inRange(0, 8);
-            if (what == 7) {
+            const int action = *rc::gen::inRange(0, 8);
+            if (action == 7) {
                 replicas.clock.advance(std::chrono::milliseconds(*rc::gen::inRange(1, 900)));
-            } else if (what == 6) {
+            } else if (action == 6) {
                 replicas.remove(number);
             } else if (!replicas.all.contains(number)) {
                 replicas.put(number);
             } else {
-                replicas.change(replicas.all.at(number), what, *rc::gen::inRange(0, 6));
+                replicas.change(replicas.all.at(number), action, *rc::gen::inRange(0, 6));
             }
             PlacementRequest request;
             request.work = step % 2 == 0 ? WorkClass::Online : WorkClass::Batch;
             request.failureDomain = FailureDomain("z" + std::to_string(step % 3));
             request.avoided = {EndpointName("r" + std::to_string(step % 5))};
-            request.connected = {markOf(EndpointName("r" + std::to_string(step % 7)))};
+            request.connected = {nameHashOf(EndpointName("r" + std::to_string(step % 7)))};
             replicas.index.refresh();
             RC_ASSERT(replicas.isBest(replicas.index.best(request), request));
         }
@@ -133,11 +133,11 @@
     CHECK(holds);
 }
 
-TEST_CASE("a replica that is removed is found no more, by its load or by its connection")
+TEST_CASE("a removed replica is found neither by its load nor by its connection")
 {
     Replicas replicas(1);
     PlacementRequest request;
-    request.connected = {markOf(EndpointName("r0"))};
+    request.connected = {nameHashOf(EndpointName("r0"))};
     REQUIRE(replicas.index.best(request) == &replicas.all.at(0));
     replicas.remove(0);
     CHECK(replicas.index.best(request) == nullptr);
