--- a/Libraries/LibMembership/ClaimedDuty.cpp
+++ b/Libraries/LibMembership/CoordinatorElection.cpp
@@ -1,7 +1,7 @@
-#include <LibMembership/ClaimedDuty.h>
+#include <LibMembership/CoordinatorElection.h>
 
 #include <LibBase/Hash.h>
-#include <LibMembership/DutyHolder.h>
+#include <LibMembership/RoleAssignment.h>
 
 #include <algorithm>
 #include <tuple>
--- a/Libraries/LibMembership/EntryAnswers.cpp
+++ b/Libraries/LibMembership/EntrySelector.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/EntryAnswers.h>
+#include <LibMembership/EntrySelector.h>
 
 #include <LibBase/Hash.h>
 
--- a/Libraries/LibMembership/ContactSample.cpp
+++ b/Libraries/LibMembership/ReachabilityEstimator.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/ContactSample.h>
+#include <LibMembership/ReachabilityEstimator.h>
 
 #include <algorithm>
 #include <utility>
--- a/Libraries/LibMembership/RelayRole.cpp
+++ b/Libraries/LibMembership/RelayRole.cpp
@@ -1,6 +1,6 @@
 #include <LibMembership/RelayRole.h>
 
-#include <LibMembership/RelayChoice.h>
+#include <LibMembership/RelayAssignment.h>
 
 #include <utility>
 
--- a/Libraries/LibMembership/RelayPicker.cpp
+++ b/Libraries/LibMembership/RelaySelector.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/RelayPicker.h>
+#include <LibMembership/RelaySelector.h>
 
 #include <LibBase/Hash.h>
 
--- a/Libraries/LibMembership/DutyHolder.cpp
+++ b/Libraries/LibMembership/RoleAssignment.cpp
@@ -1,7 +1,7 @@
-#include <LibMembership/DutyHolder.h>
+#include <LibMembership/RoleAssignment.h>
 
 #include <LibBase/Hash.h>
-#include <LibMembership/RelayChoice.h>
+#include <LibMembership/RelayAssignment.h>
 
 #include <algorithm>
 #include <map>
--- a/Libraries/LibMembership/StoreReach.cpp
+++ b/Libraries/LibMembership/StoreReachability.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/StoreReach.h>
+#include <LibMembership/StoreReachability.h>
 
 #include <algorithm>
 #include <utility>
--- a/Libraries/LibMembership/ViewSettling.cpp
+++ b/Libraries/LibMembership/ViewStability.cpp
@@ -1,6 +1,6 @@
-#include <LibMembership/ViewSettling.h>
+#include <LibMembership/ViewStability.h>
 
-#include <LibMembership/DutyHolder.h>
+#include <LibMembership/RoleAssignment.h>
 
 #include <utility>
 
--- a/Services/Entry/EntriesApi.cpp
+++ b/Services/Entry/EntriesApi.cpp
@@ -1,6 +1,6 @@
 #include <Services/Entry/EntriesApi.h>
 
-#include <LibMembership/EntryAnswers.h>
+#include <LibMembership/EntrySelector.h>
 #include <Services/Entry/ApiErrors.h>
 
 #include <nlohmann/json.hpp>
--- a/Services/Gateway/DutyKeeper.h
+++ b/Services/Gateway/DutyKeeper.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibBase/Clock.h>
-#include <LibMembership/ClaimedDuty.h>
+#include <LibMembership/CoordinatorElection.h>
 #include <LibWire/DatagramSocket.h>
 #include <Services/Gateway/PeerNetwork.h>
 
--- a/Services/Gateway/Gateway.h
+++ b/Services/Gateway/Gateway.h
@@ -4,8 +4,8 @@
 #include <LibBase/TrafficMeter.h>
 #include <LibGateway/CrashHistory.h>
 #include <LibGateway/PromptPartBlocklist.h>
-#include <LibMembership/RelayPicker.h>
 #include <LibMembership/RelayRole.h>
+#include <LibMembership/RelaySelector.h>
 #include <LibProxy/CallerServer.h>
 #include <LibProxy/OutboundPool.h>
 #include <LibSettings/SettingsHandle.h>
--- a/Services/Gateway/JobRunners.h
+++ b/Services/Gateway/JobRunners.h
@@ -2,7 +2,7 @@
 
 #include <LibGateway/JobCheckSchedule.h>
 #include <LibGateway/ServingConfiguration.h>
-#include <LibMembership/ViewSettling.h>
+#include <LibMembership/ViewStability.h>
 #include <LibSettings/Generated/Settings.h>
 #include <Services/Gateway/JobRun.h>
 #include <Services/Gateway/PeerNetwork.h>
--- a/Services/Gateway/PeerNetwork.h
+++ b/Services/Gateway/PeerNetwork.h
@@ -2,9 +2,9 @@
 
 #include <LibBase/Clock.h>
 #include <LibBase/TrafficMeter.h>
-#include <LibMembership/DutyHolder.h>
 #include <LibMembership/Membership.h>
-#include <LibMembership/StoreReach.h>
+#include <LibMembership/RoleAssignment.h>
+#include <LibMembership/StoreReachability.h>
 #include <LibPlatform/RowStore.h>
 #include <LibSettings/Generated/Settings.h>
 #include <LibTask/EventLoop.h>
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibBase/Clock.h>
-#include <LibMembership/ContactSample.h>
+#include <LibMembership/ReachabilityEstimator.h>
 #include <LibMembership/RecentMembers.h>
 #include <LibWire/DatagramSocket.h>
 #include <LibWorkspace/QuotaAsker.h>
--- a/Services/Gateway/RelayedFeed.h
+++ b/Services/Gateway/RelayedFeed.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibBase/Scheduler.h>
-#include <LibMembership/RelayPicker.h>
+#include <LibMembership/RelaySelector.h>
 #include <LibPlatform/RowStore.h>
 #include <Services/Gateway/PeerNetwork.h>
 #include <Services/Gateway/TableRelay.h>
--- a/Services/Gateway/ReplicaFollower.h
+++ b/Services/Gateway/ReplicaFollower.h
@@ -3,7 +3,7 @@
 #include <LibGateway/RecentReplicas.h>
 #include <LibGateway/ReplicaList.h>
 #include <LibGateway/ReplicaRing.h>
-#include <LibMembership/RelayPicker.h>
+#include <LibMembership/RelaySelector.h>
 #include <LibTask/EventLoop.h>
 #include <Services/Gateway/PeerNetwork.h>
 #include <Services/Gateway/TableFollower.h>
--- a/Tests/Fakes/DutyNetwork.h
+++ b/Tests/Fakes/DutyNetwork.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <LibMembership/ClaimedDuty.h>
-#include <LibMembership/StoreReach.h>
+#include <LibMembership/CoordinatorElection.h>
+#include <LibMembership/StoreReachability.h>
 #include <Tests/Fakes/GossipNetwork.h>
 
 #include <chrono>
--- a/Tests/LibMembership/TestClaimedDuty.cpp
+++ b/Tests/LibMembership/TestCoordinatorElection.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/ClaimedDuty.h>
+#include <LibMembership/CoordinatorElection.h>
 #include <Tests/Fakes/DutyNetwork.h>
 
 #include <doctest/doctest.h>
--- a/Tests/LibMembership/TestContactSample.cpp
+++ b/Tests/LibMembership/TestReachabilityEstimator.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/ContactSample.h>
+#include <LibMembership/ReachabilityEstimator.h>
 #include <LibMembership/RecentMembers.h>
 
 #include <doctest/doctest.h>
--- a/Tests/LibMembership/TestRelayChoice.cpp
+++ b/Tests/LibMembership/TestRelayAssignment.cpp
@@ -1,8 +1,8 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/DutyHolder.h>
-#include <LibMembership/RelayChoice.h>
-#include <LibMembership/RelayPicker.h>
+#include <LibMembership/RelayAssignment.h>
 #include <LibMembership/RelayRole.h>
+#include <LibMembership/RelaySelector.h>
+#include <LibMembership/RoleAssignment.h>
 
 #include <doctest/doctest.h>
 
--- a/Tests/LibMembership/TestStoreReach.cpp
+++ b/Tests/LibMembership/TestStoreReachability.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/StoreReach.h>
+#include <LibMembership/StoreReachability.h>
 
 #include <doctest/doctest.h>
 
--- a/Tests/LibMembership/TestViewSettling.cpp
+++ b/Tests/LibMembership/TestViewStability.cpp
@@ -1,6 +1,6 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/DutyHolder.h>
-#include <LibMembership/ViewSettling.h>
+#include <LibMembership/RoleAssignment.h>
+#include <LibMembership/ViewStability.h>
 #include <Tests/Fakes/GossipNetwork.h>
 
 #include <doctest/doctest.h>
