--- a/Benchmarks/Measure/Feeds.cpp
+++ b/Benchmarks/Measure/Feeds.cpp
@@ -3,7 +3,7 @@
 // time.
 #include <LibGateway/ReplicaList.h>
 #include <LibGateway/ReplicaRing.h>
-#include <LibMembership/RelayChoice.h>
+#include <LibMembership/RelayAssignment.h>
 #include <LibMembership/RelayRole.h>
 #include <LibWire/Codec.h>
 #include <Tests/Fakes/GossipNetwork.h>
--- a/Libraries/LibMembership/ClaimedDuty.cpp
+++ b/Libraries/LibMembership/CoordinatorElection.cpp
@@ -1,7 +1,7 @@
-#include <LibMembership/ClaimedDuty.h>
+#include <LibMembership/CoordinatorElection.h>
 
 #include <LibBase/Hash.h>
-#include <LibMembership/DutyHolder.h>
+#include <LibMembership/RoleAssignment.h>
 
 #include <algorithm>
 #include <tuple>
@@ -59,7 +59,7 @@
 
 } // namespace
 
-ClaimedDuty::ClaimedDuty(const Clock &clock, std::string duty)
+CoordinatorElection::CoordinatorElection(const Clock &clock, std::string duty)
     : clock(clock)
     , duty(std::move(duty))
     , key(stableHash(this->duty))
@@ -68,7 +68,7 @@
 {
 }
 
-void ClaimedDuty::setView(SessionNumber self, const MemberViewPointer &members, const MemberViewPointer &settled)
+void CoordinatorElection::setView(SessionNumber self, const MemberViewPointer &members, const MemberViewPointer &settled)
 {
     this->self = self;
     if (!this->metOthers && members->members().size() > 1) {
@@ -84,16 +84,16 @@
     this->choose();
 }
 
-bool ClaimedDuty::hasLostMany() const
+bool CoordinatorElection::hasLostMany() const
 {
     const std::size_t lost = this->mostMembers - std::min(this->mostMembers, this->members->members().size());
     const bool isRecent = this->clock.now() - this->mostSeen <= recentTime;
     return this->members->isMinority() || (isRecent && lost > 1 && lost * lostPart > this->mostMembers);
 }
 
-ClaimedDuty::ReceiveOutcome ClaimedDuty::receive(const DutyClaim &claim)
+CoordinatorElection::ReceiveOutcome CoordinatorElection::receive(const DutyClaim &claim)
 {
-    if (!this->current && claim == this->question()) {
+    if (!this->current && claim == this->claimQuery()) {
         return ReceiveOutcome::Known;
     }
     if (this->current && rankOf(claim) == rankOf(*this->current)) {
@@ -107,41 +107,41 @@
     this->receivedAt = this->clock.now();
     this->seenHolder.reset();
     this->holderMissed.reset();
-    this->noteHolderAlive();
+    this->recordCoordinatorAlive();
     this->choose();
-    return ReceiveOutcome::News;
+    return ReceiveOutcome::Accepted;
 }
 
-const Member *ClaimedDuty::holder() const
+const Member *CoordinatorElection::coordinator() const
 {
     return this->chosen;
 }
 
-const std::optional<DutyClaim> &ClaimedDuty::claim() const
+const std::optional<DutyClaim> &CoordinatorElection::claim() const
 {
     return this->current;
 }
 
-bool ClaimedDuty::isAsking() const
+bool CoordinatorElection::isQuerying() const
 {
     return !this->current && this->metOthers;
 }
 
-DutyClaim ClaimedDuty::question() const
+DutyClaim CoordinatorElection::claimQuery() const
 {
     return {this->duty, 0, SessionNumber()};
 }
 
-const Member *ClaimedDuty::successor() const
+const Member *CoordinatorElection::successor() const
 {
     std::set<SessionNumber> except = this->unableMembers();
     if (this->chosen != nullptr) {
         except.insert(this->chosen->session);
     }
-    return dutyHolder(*this->members, this->key, DutyFor::Relays, except);
+    return coordinatorFor(*this->members, this->key, RoleCandidates::Relays, except);
 }
 
-void ClaimedDuty::receiveSuspicion(const DutySuspicion &suspicion)
+void CoordinatorElection::receiveSuspicion(const DutySuspicion &suspicion)
 {
     if (!this->current || this->current->holder != suspicion.holder || suspicion.holder == this->self) {
         return;
@@ -156,14 +156,14 @@
     }
 }
 
-bool ClaimedDuty::hasEnoughAccusers() const
+bool CoordinatorElection::hasEnoughAccusers() const
 {
     // In a fleet of a few, all but this node and the holder.
     const std::size_t others = std::max<std::size_t>(this->members->members().size(), 3) - 2;
     return this->accusers.size() >= std::min(enoughAccusers, others);
 }
 
-void ClaimedDuty::noteHolderAlive()
+void CoordinatorElection::recordCoordinatorAlive()
 {
     this->accusers.clear();
     this->suspected.reset();
@@ -172,17 +172,17 @@
     }
 }
 
-const Member *ClaimedDuty::suspectedHolder() const
+const Member *CoordinatorElection::suspectedCoordinator() const
 {
     return this->suspected && !this->isSilent() ? this->chosen : nullptr;
 }
 
-bool ClaimedDuty::isSilent() const
+bool CoordinatorElection::isSilent() const
 {
     return this->suspected && this->clock.now() - *this->suspected >= silenceTimeout;
 }
 
-std::optional<DutyClaim> ClaimedDuty::makeClaim()
+std::optional<DutyClaim> CoordinatorElection::makeClaim()
 {
     if (this->suspected || this->holderMissed) {
         this->choose();
@@ -205,17 +205,17 @@
     return this->current;
 }
 
-bool ClaimedDuty::isNew() const
+bool CoordinatorElection::isNew() const
 {
     return !this->current && (!this->metOthers || this->clock.now() - *this->metOthers < askTimeout);
 }
 
-bool ClaimedDuty::isHolderUnknown() const
+bool CoordinatorElection::isHolderUnknown() const
 {
     return this->current && !this->seenHolder && this->clock.now() - this->receivedAt < unknownTimeout;
 }
 
-bool ClaimedDuty::mayKeep(const Member &claimed) const
+bool CoordinatorElection::mayKeep(const Member &claimed) const
 {
     // Nodes hear at different moments that the holder takes callers, or has lost the store. It knows first, and names its
     // successor to all when it can't go on. Were the others to judge as well, each claim would be answered by those of whom it is
@@ -223,7 +223,7 @@
     return claimed.session == this->self ? mayKeepDuty(*this->settled, claimed) : !claimed.isLeaving;
 }
 
-const Member *ClaimedDuty::findClaimed()
+const Member *CoordinatorElection::findClaimed()
 {
     if (!this->current) {
         return nullptr;
@@ -245,7 +245,7 @@
     return &*this->seenHolder;
 }
 
-void ClaimedDuty::choose()
+void CoordinatorElection::choose()
 {
     const Member *const claimed = this->findClaimed();
     if (claimed != nullptr && this->mayKeep(*claimed) && !this->isSilent()) {
@@ -257,11 +257,11 @@
     if (this->isSilent() && this->current) {
         except.insert(this->current->holder);
     }
-    this->chosen = dutyHolder(*this->members, this->key, DutyFor::Relays, except);
+    this->chosen = coordinatorFor(*this->members, this->key, RoleCandidates::Relays, except);
 }
 
 // Of two that can't go on, each may hold the other for able until it hears of it: they would name each other in turn.
-void ClaimedDuty::noteGivenUp(const DutyClaim &claim)
+void CoordinatorElection::noteGivenUp(const DutyClaim &claim)
 {
     const bool isNamedByHolder = this->current && claim.holder == this->self && this->current->holder != this->self;
     if (isNamedByHolder) {
@@ -269,7 +269,7 @@
     }
 }
 
-std::set<SessionNumber> ClaimedDuty::unableMembers() const
+std::set<SessionNumber> CoordinatorElection::unableMembers() const
 {
     std::set<SessionNumber> unable;
     for (const auto &[session, when] : this->givenUp) {
--- a/Libraries/LibMembership/ClaimedDuty.h
+++ b/Libraries/LibMembership/CoordinatorElection.h
@@ -25,13 +25,13 @@
  * NOTE: Claims are hints between nodes, as membership is: two nodes may hold a duty at once until they hear of each other, and
  * nothing that must hold depends on there being one.
  */
-class ClaimedDuty
+class CoordinatorElection
 {
 public:
     /** What a claim of another node changes. */
     enum class ReceiveOutcome {
         /** It counts from now on. */
-        News,
+        Accepted,
         /** It is the one that is known. */
         Known,
         /** A higher one is known; who told it should hear of that. */
@@ -39,7 +39,7 @@
     };
 
     /** @param duty its name, the same on all nodes */
-    ClaimedDuty(const Clock &clock, std::string duty);
+    CoordinatorElection(const Clock &clock, std::string duty);
 
     /**
      * Take the members as they are seen now.
@@ -53,16 +53,16 @@
     ReceiveOutcome receive(const DutyClaim &claim);
 
     /** @return who has the duty, or null if nobody can have it; valid until the next call that changes something. */
-    const Member *holder() const;
+    const Member *coordinator() const;
 
     /** @return the claim that counts, if any was made. */
     const std::optional<DutyClaim> &claim() const;
 
     /** @return whether this node knows no claim, and has to ask other nodes for one. */
-    bool isAsking() const;
+    bool isQuerying() const;
 
     /** @return the question for the claim that others know: an empty claim, which is outdated for whoever knows one. */
-    DutyClaim question() const;
+    DutyClaim claimQuery() const;
 
     /** @return the member that would have the duty if its holder were gone, or null if there is none. */
     const Member *successor() const;
@@ -71,10 +71,10 @@
     void receiveSuspicion(const DutySuspicion &suspicion);
 
     /** The holder gave a sign of life. */
-    void noteHolderAlive();
+    void recordCoordinatorAlive();
 
     /** @return the holder, if it is suspected by several nodes and this one has to look whether it lives; else null. */
-    const Member *suspectedHolder() const;
+    const Member *suspectedCoordinator() const;
 
     /** @return a claim that this node makes now, to be told to all others; nothing if it has none to make. */
     std::optional<DutyClaim> makeClaim();
--- a/Libraries/LibMembership/EntryAnswers.cpp
+++ b/Libraries/LibMembership/EntrySelector.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/EntryAnswers.h>
+#include <LibMembership/EntrySelector.h>
 
 #include <LibBase/Hash.h>
 
@@ -76,11 +76,11 @@
 
 } // namespace
 
-EntryAnswers::EntryAnswers(std::chrono::milliseconds rampUp) : rampUp(rampUp)
+EntrySelector::EntrySelector(std::chrono::milliseconds rampUp) : rampUp(rampUp)
 {
 }
 
-double EntryAnswers::weightOf(const Member &member, WallTime now) const
+double EntrySelector::weightOf(const Member &member, WallTime now) const
 {
     // NOTE: Clocks of the VMs differ a little; that moves the ramp by as much and does no harm.
     const std::chrono::duration<double> age = now - member.started;
@@ -90,7 +90,7 @@
     return (leastShare + (1 - leastShare) * grown) * spare;
 }
 
-std::vector<EntryAddress> EntryAnswers::choose(const MemberView &view, const EntryQuery &query, WallTime now) const
+std::vector<EntryAddress> EntrySelector::select(const MemberView &view, const EntryQuery &query, WallTime now) const
 {
     const std::uint64_t key = stableHash(query.caller);
     std::vector<Candidate> candidates;
--- a/Libraries/LibMembership/EntryAnswers.h
+++ b/Libraries/LibMembership/EntrySelector.h
@@ -41,18 +41,18 @@
  * loses a domain still has an address that answers. Callers are spread by weighted rendezvous hashing, so that a node that
  * comes or goes moves only its own callers, and a new one gets its share little by little.
  */
-class EntryAnswers
+class EntrySelector
 {
 public:
     /** @param rampUp how long after its start a node has its full share; a few times the answers' time to live */
-    explicit EntryAnswers(std::chrono::milliseconds rampUp);
+    explicit EntrySelector(std::chrono::milliseconds rampUp);
 
     /**
      * @param view the members
      * @param now by the wall clock, since a member's start is told by it
      * @return addresses in the order to be tried; empty only if there is no member at all
      */
-    std::vector<EntryAddress> choose(const MemberView &view, const EntryQuery &query, WallTime now) const;
+    std::vector<EntryAddress> select(const MemberView &view, const EntryQuery &query, WallTime now) const;
 
 private:
     double weightOf(const Member &member, WallTime now) const;
--- a/Libraries/LibMembership/MemberView.cpp
+++ b/Libraries/LibMembership/MemberView.cpp
@@ -72,14 +72,14 @@
     return &this->list[*best];
 }
 
-std::shared_ptr<const MemberView> MemberView::withJournals(std::size_t most) const
+std::shared_ptr<const MemberView> MemberView::withJournalLimit(std::size_t most) const
 {
     auto view = std::make_shared<MemberView>(*this);
     view->journalHolders = chooseJournalHolders(this->list, most);
     return view;
 }
 
-std::size_t MemberView::journals() const
+std::size_t MemberView::journalCount() const
 {
     if (!this->journalHolders.empty()) {
         return this->journalHolders.size();
@@ -89,7 +89,7 @@
     }));
 }
 
-const Member *MemberView::holderOf(const EndpointName &replica) const
+const Member *MemberView::laneHolderOf(const EndpointName &replica) const
 {
     return this->ownerOf(stableHash(replica.value(), laneSeed));
 }
--- a/Libraries/LibMembership/MemberView.h
+++ b/Libraries/LibMembership/MemberView.h
@@ -50,16 +50,16 @@
      * @return the same view, in which only some members own shards if there are more than that: each holds a journal, and
      * the platform takes only so many writes. The others send their claims and results there.
      */
-    std::shared_ptr<const MemberView> withJournals(std::size_t most) const;
+    std::shared_ptr<const MemberView> withJournalLimit(std::size_t most) const;
 
     /** @return how many members own shards. */
-    std::size_t journals() const;
+    std::size_t journalCount() const;
 
     /** @return who should own a shard. */
     const Member *ownerOf(ShardNumber shard) const;
 
     /** @return who should hold the lane of a replica. */
-    const Member *holderOf(const EndpointName &replica) const;
+    const Member *laneHolderOf(const EndpointName &replica) const;
 
 private:
     std::vector<Member> list;
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -651,7 +651,7 @@
     }
 }
 
-void Membership::tellLeaving(const std::vector<VmName> &vms)
+void Membership::reportLeaving(const std::vector<VmName> &vms)
 {
     this->takeLeaving(vms);
 }
@@ -918,7 +918,7 @@
     return this->hasReceived;
 }
 
-std::optional<SteadyTime> Membership::goneSince(SessionNumber session) const
+std::optional<SteadyTime> Membership::departedSince(SessionNumber session) const
 {
     const MemberTable::Entry *const entry = this->table.find(session);
     return entry != nullptr && isGone(entry->member) ? std::optional(entry->since) : std::nullopt;
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -112,7 +112,7 @@
     void renew(SessionNumber next);
 
     /** Tell the others of VMs that the platform is about to take away. */
-    void tellLeaving(const std::vector<VmName> &vms);
+    void reportLeaving(const std::vector<VmName> &vms);
 
     MemberViewPointer view() const;
 
@@ -123,7 +123,7 @@
     bool hasHeardOthers() const;
 
     /** @return whether a session is held dead or left, and since when. */
-    std::optional<SteadyTime> goneSince(SessionNumber session) const;
+    std::optional<SteadyTime> departedSince(SessionNumber session) const;
 
 private:
     /** A probe that waits for its answer. */
--- a/Libraries/LibMembership/ContactSample.cpp
+++ b/Libraries/LibMembership/ReachabilityEstimator.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/ContactSample.h>
+#include <LibMembership/ReachabilityEstimator.h>
 
 #include <algorithm>
 #include <utility>
@@ -20,17 +20,17 @@
 
 } // namespace
 
-ContactSample::ContactSample(const Clock &clock, std::uint64_t seed, std::function<void(const Address &)> probe)
+ReachabilityEstimator::ReachabilityEstimator(const Clock &clock, std::uint64_t seed, std::function<void(const Address &)> probe)
     : clock(clock), random(static_cast<std::minstd_rand::result_type>(seed)), probe(std::move(probe))
 {
 }
 
-void ContactSample::setOthers(std::vector<Address> others)
+void ReachabilityEstimator::setOthers(std::vector<Address> others)
 {
     this->others = std::move(others);
 }
 
-void ContactSample::receive(const Address &from)
+void ReachabilityEstimator::receive(const Address &from)
 {
     const auto [first, last] = this->pending.equal_range(from);
     for (auto probed = first; probed != last; ++probed) {
@@ -39,7 +39,7 @@
     this->pending.erase(first, last);
 }
 
-void ContactSample::tick(Pace pace)
+void ReachabilityEstimator::tick(Pace pace)
 {
     this->expire();
     const SteadyTime now = this->clock.now();
@@ -48,12 +48,12 @@
     }
     this->nextProbes = now + probeInterval;
     const bool isKnown = this->judged.size() >= fewestJudged;
-    this->sendProbes(isKnown && pace == Pace::Calm ? calmProbes : fastProbes);
+    this->sendProbes(isKnown && pace == Pace::Normal ? calmProbes : fastProbes);
 }
 
 // An answer comes at once, silence shows only after its time: were answers counted at once, a node that has just lost many others
 // would seem to be in contact with all.
-void ContactSample::expire()
+void ReachabilityEstimator::expire()
 {
     const SteadyTime due = this->clock.now() - answerTimeout;
     for (auto answer = this->answered.begin(); answer != this->answered.end();) {
@@ -75,7 +75,7 @@
     }
 }
 
-void ContactSample::sendProbes(std::size_t count)
+void ReachabilityEstimator::sendProbes(std::size_t count)
 {
     std::vector<Address> chosen;
     std::ranges::sample(this->others,
@@ -89,7 +89,7 @@
     }
 }
 
-std::optional<double> ContactSample::share() const
+std::optional<double> ReachabilityEstimator::share() const
 {
     if (this->others.empty()) {
         return 1;
--- a/Libraries/LibMembership/ContactSample.h
+++ b/Libraries/LibMembership/ReachabilityEstimator.h
@@ -20,18 +20,18 @@
  * with the fleet. Of two halves of a fleet that are cut off from each other, each finds its own share within half a second, long
  * before the members of the other one are held dead.
  */
-class ContactSample
+class ReachabilityEstimator
 {
 public:
     /** How often probes are sent. */
     enum class Pace {
-        Calm,
+        Normal,
         /** Something depends on the share now. */
         Fast,
     };
 
     /** @param probe sends a datagram that its receiver answers */
-    ContactSample(const Clock &clock, std::uint64_t seed, std::function<void(const Address &)> probe);
+    ReachabilityEstimator(const Clock &clock, std::uint64_t seed, std::function<void(const Address &)> probe);
 
     /** Take the other nodes of the fleet; those that were lost of late count among them. */
     void setOthers(std::vector<Address> others);
--- a/Libraries/LibMembership/RelayChoice.cpp
+++ b/Libraries/LibMembership/RelayAssignment.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/RelayChoice.h>
+#include <LibMembership/RelayAssignment.h>
 
 #include <LibBase/Hash.h>
 
--- a/Libraries/LibMembership/RelayRole.cpp
+++ b/Libraries/LibMembership/RelayRole.cpp
@@ -1,6 +1,6 @@
 #include <LibMembership/RelayRole.h>
 
-#include <LibMembership/RelayChoice.h>
+#include <LibMembership/RelayAssignment.h>
 
 #include <utility>
 
@@ -29,7 +29,7 @@
     }
 }
 
-void RelayRole::noteAlone()
+void RelayRole::recordRelaysUnresponsive()
 {
     this->alone = this->clock.now();
 }
--- a/Libraries/LibMembership/RelayRole.h
+++ b/Libraries/LibMembership/RelayRole.h
@@ -24,7 +24,7 @@
         /** They may ask it. */
         Serving,
         /** It has a duty for which it needs what a relay knows. */
-        OnDuty,
+        Coordinating,
     };
 
     explicit RelayRole(const Clock &clock);
@@ -33,7 +33,7 @@
     void update(const MemberView &view, SessionNumber self);
 
     /** No relay that this node knows answers it: it has to follow the tables itself. */
-    void noteAlone();
+    void recordRelaysUnresponsive();
 
     /** @return whether the node is a relay now, seeing what others have of it. */
     bool isRelay(Use use);
--- a/Libraries/LibMembership/RelayPicker.cpp
+++ b/Libraries/LibMembership/RelaySelector.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/RelayPicker.h>
+#include <LibMembership/RelaySelector.h>
 
 #include <LibBase/Hash.h>
 
@@ -16,11 +16,11 @@
 
 } // namespace
 
-RelayPicker::RelayPicker(const Clock &clock) : clock(clock)
+RelaySelector::RelaySelector(const Clock &clock) : clock(clock)
 {
 }
 
-void RelayPicker::update(const MemberViewPointer &view, SessionNumber self)
+void RelaySelector::update(const MemberViewPointer &view, SessionNumber self)
 {
     this->view = view;
     this->self = self;
@@ -30,13 +30,13 @@
     this->pickedAt.reset();
 }
 
-bool RelayPicker::isRecent(const Times &times, SessionNumber relay) const
+bool RelaySelector::isRecent(const Times &times, SessionNumber relay) const
 {
     const auto found = times.find(relay);
     return found != times.end() && this->clock.now() - found->second < passedByFor;
 }
 
-void RelayPicker::note(Times &times, SessionNumber relay)
+void RelaySelector::note(Times &times, SessionNumber relay)
 {
     const SteadyTime now = this->clock.now();
     times.insert_or_assign(relay, now);
@@ -46,24 +46,24 @@
     this->pickedAt.reset();
 }
 
-void RelayPicker::noteSilent(SessionNumber relay)
+void RelaySelector::recordUnresponsive(SessionNumber relay)
 {
     this->note(this->silent, relay);
 }
 
-void RelayPicker::noteBehind(SessionNumber relay)
+void RelaySelector::recordOutdated(SessionNumber relay)
 {
     this->note(this->behind, relay);
 }
 
-bool RelayPicker::isForsaken()
+bool RelaySelector::hasNoResponsiveRelay()
 {
-    return this->pick() == nullptr && std::ranges::any_of(this->silent, [this](const auto &entry) {
+    return this->select() == nullptr && std::ranges::any_of(this->silent, [this](const auto &entry) {
                return this->isRecent(this->silent, entry.first);
            });
 }
 
-const Member *RelayPicker::pick()
+const Member *RelaySelector::select()
 {
     const SteadyTime now = this->clock.now();
     if (this->pickedAt && now - *this->pickedAt < passedByFor) {
--- a/Libraries/LibMembership/RelayPicker.h
+++ b/Libraries/LibMembership/RelaySelector.h
@@ -13,26 +13,26 @@
  * Which relay a node asks: of those that answer, one that reaches the store, of its own failure domain if there is one. The nodes
  * of a domain spread over its relays.
  */
-class RelayPicker
+class RelaySelector
 {
 public:
-    explicit RelayPicker(const Clock &clock);
+    explicit RelaySelector(const Clock &clock);
 
     /** Take the members as they are seen now. */
     void update(const MemberViewPointer &view, SessionNumber self);
 
     /** @return the relay to ask, or null if none is known that may answer; valid until the next update. */
-    const Member *pick();
+    const Member *select();
 
     /** @return whether there are relays, and none of them answers this node: it is most likely cut off from them. */
-    bool isForsaken();
+    bool hasNoResponsiveRelay();
 
     /** A relay did not answer: others are asked for a while. */
-    void noteSilent(SessionNumber relay);
+    void recordUnresponsive(SessionNumber relay);
 
     /** A relay answered that it does not know what was asked, as it has lost the store or is none any more: others go before it.
      */
-    void noteBehind(SessionNumber relay);
+    void recordOutdated(SessionNumber relay);
 
 private:
     using Times = std::map<SessionNumber, SteadyTime>;
--- a/Libraries/LibMembership/DutyHolder.cpp
+++ b/Libraries/LibMembership/RoleAssignment.cpp
@@ -1,7 +1,7 @@
-#include <LibMembership/DutyHolder.h>
+#include <LibMembership/RoleAssignment.h>
 
 #include <LibBase/Hash.h>
-#include <LibMembership/RelayChoice.h>
+#include <LibMembership/RelayAssignment.h>
 
 #include <algorithm>
 #include <map>
@@ -23,7 +23,7 @@
     return largest;
 }
 
-bool isLargeEnough(const Member &member, std::uint32_t largest)
+bool hasEnoughProcessor(const Member &member, std::uint32_t largest)
 {
     return member.processorShare * 2 >= largest;
 }
@@ -57,26 +57,26 @@
     return member.isReady && !member.isLeaving;
 }
 
-bool isLargeEnough(const MemberView &view, const Member &member)
+bool hasEnoughProcessor(const MemberView &view, const Member &member)
 {
-    return isLargeEnough(member, largestShare(view));
+    return hasEnoughProcessor(member, largestShare(view));
 }
 
 bool mayKeepDuty(const MemberView &view, const Member &member)
 {
     const bool isEligible = member.isRelay || !isForRelaysOnly(view);
-    return isEligible && takesDuties(member) && !member.hasLostStore && isLargeEnough(view, member);
+    return isEligible && takesDuties(member) && !member.hasLostStore && hasEnoughProcessor(view, member);
 }
 
-const Member *dutyHolder(const MemberView &view, std::uint64_t key, DutyFor who, const std::set<SessionNumber> &except)
+const Member *coordinatorFor(const MemberView &view, std::uint64_t key, RoleCandidates who, const std::set<SessionNumber> &except)
 {
     const std::uint32_t largest = largestShare(view);
-    const bool isForRelays = who == DutyFor::Relays && isForRelaysOnly(view);
+    const bool isForRelays = who == RoleCandidates::Relays && isForRelaysOnly(view);
     const Member *holder = nullptr;
     std::pair<bool, std::uint64_t> best;
     for (const Member &member : view.members()) {
         const bool isEligible = member.isRelay || !isForRelays;
-        if (!isEligible || !takesDuties(member) || !isLargeEnough(member, largest) || except.contains(member.session)) {
+        if (!isEligible || !takesDuties(member) || !hasEnoughProcessor(member, largest) || except.contains(member.session)) {
             continue;
         }
         const std::pair weight(!member.hasLostStore, rendezvousWeight(key, member.session.value()));
@@ -88,9 +88,9 @@
     return holder;
 }
 
-bool hasDuty(const MemberView &view, SessionNumber session, std::uint64_t key, DutyFor who)
+bool hasRole(const MemberView &view, SessionNumber session, std::uint64_t key, RoleCandidates who)
 {
-    const Member *const holder = dutyHolder(view, key, who);
+    const Member *const holder = coordinatorFor(view, key, who);
     return holder != nullptr && holder->session == session;
 }
 
--- a/Libraries/LibMembership/DutyHolder.h
+++ b/Libraries/LibMembership/RoleAssignment.h
@@ -9,7 +9,7 @@
 {
 
 /** Which members may have a duty. */
-enum class DutyFor : std::uint8_t {
+enum class RoleCandidates : std::uint8_t {
     /** All with a large enough processor. */
     Any,
     /** Of these the relays, which know all replicas. Where each member follows the tables itself, as any. */
@@ -20,7 +20,7 @@
 bool takesDuties(const Member &member);
 
 /** @return whether a member that takes callers has at least half of the largest processor of such members. */
-bool isLargeEnough(const MemberView &view, const Member &member);
+bool hasEnoughProcessor(const MemberView &view, const Member &member);
 
 /**
  * @return whether a member may keep a duty that only relays have. One that has lost the store knows neither new replicas nor
@@ -36,9 +36,9 @@
  * @param except members that can't have it, whatever the view says
  */
 const Member *
-dutyHolder(const MemberView &view, std::uint64_t key, DutyFor who = DutyFor::Any, const std::set<SessionNumber> &except = {});
+coordinatorFor(const MemberView &view, std::uint64_t key, RoleCandidates who = RoleCandidates::Any, const std::set<SessionNumber> &except = {});
 
 /** @return whether a member is the one that should have a duty. */
-bool hasDuty(const MemberView &view, SessionNumber session, std::uint64_t key, DutyFor who = DutyFor::Any);
+bool hasRole(const MemberView &view, SessionNumber session, std::uint64_t key, RoleCandidates who = RoleCandidates::Any);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/StoreReach.cpp
+++ b/Libraries/LibMembership/StoreReachability.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/StoreReach.h>
+#include <LibMembership/StoreReachability.h>
 
 #include <algorithm>
 #include <utility>
@@ -17,11 +17,11 @@
 
 } // namespace
 
-StoreReach::StoreReach(const Clock &clock) : clock(clock)
+StoreReachability::StoreReachability(const Clock &clock) : clock(clock)
 {
 }
 
-void StoreReach::update(const MemberViewPointer &view)
+void StoreReachability::update(const MemberViewPointer &view)
 {
     const SteadyTime now = this->clock.now();
     this->view = view;
@@ -47,7 +47,7 @@
     this->last.reset();
 }
 
-bool StoreReach::isCutOff(const Member &member, SteadyTime now) const
+bool StoreReachability::isCutOff(const Member &member, SteadyTime now) const
 {
     const std::chrono::milliseconds settling = noticeTime + this->view->spreadTime();
     const auto since = this->lostSince.find(member.session);
@@ -55,7 +55,7 @@
         && now - *this->commonSince >= settling;
 }
 
-MemberViewPointer StoreReach::settled()
+MemberViewPointer StoreReachability::stableView()
 {
     if (this->lostSince.empty()) {
         return this->view;
--- a/Libraries/LibMembership/StoreReach.h
+++ b/Libraries/LibMembership/StoreReachability.h
@@ -18,10 +18,10 @@
  * eyes: several dispatchers would fill the same replicas, and requests wait in the replicas' queues. So a loss counts only
  * once it has stood for longer than such a disorder lasts, and most members had the store all the while.
  */
-class StoreReach
+class StoreReachability
 {
 public:
-    explicit StoreReach(const Clock &clock);
+    explicit StoreReachability(const Clock &clock);
 
     /** Take the members as they are seen now. */
     void update(const MemberViewPointer &view);
@@ -30,7 +30,7 @@
      * @return the members, with the loss of the store told only of those that can't have duties for it; the same pointer as
      * before if nothing has changed
      */
-    MemberViewPointer settled();
+    MemberViewPointer stableView();
 
 private:
     bool isCutOff(const Member &member, SteadyTime now) const;
--- a/Libraries/LibMembership/ViewSettling.cpp
+++ b/Libraries/LibMembership/ViewStability.cpp
@@ -1,6 +1,6 @@
-#include <LibMembership/ViewSettling.h>
+#include <LibMembership/ViewStability.h>
 
-#include <LibMembership/DutyHolder.h>
+#include <LibMembership/RoleAssignment.h>
 
 #include <utility>
 
@@ -17,11 +17,11 @@
 
 } // namespace
 
-ViewSettling::ViewSettling(const Clock &clock) : clock(clock), changed(clock.now()), unsettled(clock.now())
+ViewStability::ViewStability(const Clock &clock) : clock(clock), changed(clock.now()), unsettled(clock.now())
 {
 }
 
-void ViewSettling::update(const MemberView &view)
+void ViewStability::update(const MemberView &view)
 {
     std::set<SessionNumber> present;
     for (const Member &member : view.members()) {
@@ -38,7 +38,7 @@
     this->sessions = std::move(present);
 }
 
-bool ViewSettling::isSettled() const
+bool ViewStability::isStable() const
 {
     const SteadyTime now = this->clock.now();
     return now - this->changed >= quietTime || now - this->unsettled >= longestWait;
--- a/Libraries/LibMembership/ViewSettling.h
+++ b/Libraries/LibMembership/ViewStability.h
@@ -14,16 +14,16 @@
  * Whether the members that take duties have stood still for long enough to share work out among them by their view. While a fleet
  * starts, or many nodes die at once, each node sees other members for a moment, and several would take the same work for theirs.
  */
-class ViewSettling
+class ViewStability
 {
 public:
-    explicit ViewSettling(const Clock &clock);
+    explicit ViewStability(const Clock &clock);
 
     /** Take the members as they are seen now. */
     void update(const MemberView &view);
 
     /** @return whether they have stood still, or have moved for so long that waiting is no use. */
-    bool isSettled() const;
+    bool isStable() const;
 
 private:
     const Clock &clock;
--- a/Services/Control/ControlTask.cpp
+++ b/Services/Control/ControlTask.cpp
@@ -347,7 +347,7 @@
         }
     }
     if (this->membership) {
-        this->membership->tellLeaving(leaving);
+        this->membership->reportLeaving(leaving);
     }
 }
 
--- a/Services/Entry/EntriesApi.cpp
+++ b/Services/Entry/EntriesApi.cpp
@@ -1,6 +1,6 @@
 #include <Services/Entry/EntriesApi.h>
 
-#include <LibMembership/EntryAnswers.h>
+#include <LibMembership/EntrySelector.h>
 #include <Services/Entry/ApiErrors.h>
 
 #include <nlohmann/json.hpp>
@@ -41,9 +41,9 @@
         .near = FailureDomain(queryValue(request.query, "failure_domain").value_or(settings.node.failureDomain)),
         .count = countOf(request, static_cast<std::size_t>(settings.entry.entryCount)),
     };
-    const EntryAnswers answers(settings.entry.entryTtl * rampUpAnswers);
+    const EntrySelector answers(settings.entry.entryTtl * rampUpAnswers);
     nlohmann::json addresses = nlohmann::json::array();
-    for (const EntryAddress &entry : answers.choose(view, query, this->context.clock.wallNow())) {
+    for (const EntryAddress &entry : answers.select(view, query, this->context.clock.wallNow())) {
         addresses.push_back({{"address", entry.address.toString()}, {"failure_domain", entry.failureDomain.value()}});
     }
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(settings.entry.entryTtl).count();
--- a/Services/Entry/FleetWatch.cpp
+++ b/Services/Entry/FleetWatch.cpp
@@ -83,7 +83,7 @@
 
 bool FleetWatch::isPolledHere(const Replica &replica) const
 {
-    const Member *const holder = this->view->holderOf(replica.name);
+    const Member *const holder = this->view->laneHolderOf(replica.name);
     return holder != nullptr && holder->session == this->self;
 }
 
@@ -230,7 +230,7 @@
         = ReportSubscriptions::interval(wanted.size(), static_cast<std::size_t>(fleet.loadBytesPerSecond), fleet.loadPoll);
     std::map<Address, LoadInterest> byHolder;
     for (const Replica *const replica : wanted) {
-        const Member *const holder = this->view->holderOf(replica->name);
+        const Member *const holder = this->view->laneHolderOf(replica->name);
         if (holder == nullptr || holder->session == this->self) {
             continue;
         }
@@ -353,7 +353,7 @@
     // The node that polls the endpoint tells all; any other tells only that node. So each node hears of it at a cost
     // that grows with the number of nodes, and not with its square.
     const EndpointLeaving message{this->self, {report}};
-    const Member *const holder = this->view->holderOf(report.endpoint);
+    const Member *const holder = this->view->laneHolderOf(report.endpoint);
     if (holder != nullptr && holder->session != this->self) {
         this->datagrams.send(holder->fleet, message);
     } else {
--- a/Services/Entry/LoadNotices.cpp
+++ b/Services/Entry/LoadNotices.cpp
@@ -48,7 +48,7 @@
 
 void LoadNotices::send(const EndpointName &name, std::uint32_t inFlight)
 {
-    if (const Member *const holder = this->view->holderOf(name)) {
+    if (const Member *const holder = this->view->laneHolderOf(name)) {
         this->socket.send(holder->lane, ReplicaLoad{this->self, ++this->sequence, name, inFlight});
     }
 }
--- a/Services/Gateway/DutyKeeper.cpp
+++ b/Services/Gateway/DutyKeeper.cpp
@@ -34,9 +34,9 @@
     if (this->duties.contains(duty)) {
         return;
     }
-    Followed followed{std::make_unique<ClaimedDuty>(this->clock, duty), {}, std::move(moved)};
+    Followed followed{std::make_unique<CoordinatorElection>(this->clock, duty), {}, std::move(moved)};
     followed.duty->setView(this->peers.self(), this->peers.view(), this->view);
-    followed.holder = sessionOf(followed.duty->holder());
+    followed.holder = sessionOf(followed.duty->coordinator());
     this->duties.emplace(duty, std::move(followed));
 }
 
@@ -49,7 +49,7 @@
 const Member *DutyKeeper::holder(const std::string &duty) const
 {
     const Followed *const followed = this->find(duty);
-    return followed != nullptr ? followed->duty->holder() : nullptr;
+    return followed != nullptr ? followed->duty->coordinator() : nullptr;
 }
 
 const Member *DutyKeeper::otherHolder(const std::string &duty) const
@@ -108,7 +108,7 @@
 void DutyKeeper::probe(const Address &node, const std::string &duty)
 {
     if (const Followed *const followed = this->find(duty)) {
-        this->peers.datagrams().send(node, followed->duty->question());
+        this->peers.datagrams().send(node, followed->duty->claimQuery());
     }
 }
 
@@ -132,7 +132,7 @@
 
 void DutyKeeper::takeHolder(Followed &followed, bool isGivenUp)
 {
-    const SessionNumber current = sessionOf(followed.duty->holder());
+    const SessionNumber current = sessionOf(followed.duty->coordinator());
     const SessionNumber former = std::exchange(followed.holder, current);
     if (former != current) {
         followed.moved({former, isGivenUp});
@@ -159,21 +159,21 @@
     this->takeHolder(followed, claim->holder != this->peers.self());
 }
 
-void DutyKeeper::askForClaim(const ClaimedDuty &duty)
+void DutyKeeper::askForClaim(const CoordinatorElection &duty)
 {
     const auto isOther = [this](const Member &member) {
         return member.session != this->peers.self();
     };
     for (std::size_t asked = 0; asked < questionsAtOnce; ++asked) {
         if (const Member *const member = randomMember(*this->view, this->random, isOther)) {
-            this->peers.datagrams().send(member->gossip, duty.question());
+            this->peers.datagrams().send(member->gossip, duty.claimQuery());
         }
     }
 }
 
-void DutyKeeper::tellNewcomers(const ClaimedDuty &duty, const MemberView &before)
+void DutyKeeper::tellNewcomers(const CoordinatorElection &duty, const MemberView &before)
 {
-    const Member *const holder = duty.holder();
+    const Member *const holder = duty.coordinator();
     const bool isOurs = holder != nullptr && holder->session == this->peers.self();
     if (!isOurs || !duty.claim()) {
         return;
@@ -211,20 +211,20 @@
         return;
     }
     Followed &followed = found->second;
-    const Member *const holder = followed.duty->holder();
+    const Member *const holder = followed.duty->coordinator();
     // A question from its address is none of its own: it has started anew, and knows nothing of what it held.
     const bool isFromHolder = holder != nullptr && holder->gossip == from && claim.term > 0;
     if (isFromHolder) {
-        followed.duty->noteHolderAlive();
+        followed.duty->recordCoordinatorAlive();
     }
     switch (followed.duty->receive(claim)) {
-    case ClaimedDuty::ReceiveOutcome::News:
+    case CoordinatorElection::ReceiveOutcome::Accepted:
         this->takeHolder(followed);
         return;
-    case ClaimedDuty::ReceiveOutcome::Outdated:
+    case CoordinatorElection::ReceiveOutcome::Outdated:
         this->tellClaim(from, claim.duty);
         return;
-    case ClaimedDuty::ReceiveOutcome::Known:
+    case CoordinatorElection::ReceiveOutcome::Known:
         return;
     }
 }
@@ -237,11 +237,11 @@
         this->nextQuestion = now + questionInterval;
     }
     for (auto &[name, followed] : this->duties) {
-        if (isQuestionDue && followed.duty->isAsking()) {
+        if (isQuestionDue && followed.duty->isQuerying()) {
             this->askForClaim(*followed.duty);
         }
-        if (const Member *const suspected = followed.duty->suspectedHolder()) {
-            this->peers.datagrams().send(suspected->gossip, followed.duty->question());
+        if (const Member *const suspected = followed.duty->suspectedCoordinator()) {
+            this->peers.datagrams().send(suspected->gossip, followed.duty->claimQuery());
         }
         this->claim(name, followed);
     }
--- a/Services/Gateway/DutyKeeper.h
+++ b/Services/Gateway/DutyKeeper.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibBase/Clock.h>
-#include <LibMembership/ClaimedDuty.h>
+#include <LibMembership/CoordinatorElection.h>
 #include <LibWire/DatagramSocket.h>
 #include <Services/Gateway/PeerNetwork.h>
 
@@ -79,7 +79,7 @@
 private:
     struct Followed
     {
-        std::unique_ptr<ClaimedDuty> duty;
+        std::unique_ptr<CoordinatorElection> duty;
         /** Who had it when it was last looked. */
         SessionNumber holder;
         Moved moved;
@@ -88,8 +88,8 @@
     const Followed *find(const std::string &duty) const;
     void takeHolder(Followed &followed, bool isGivenUp = false);
     void claim(const std::string &name, Followed &followed);
-    void askForClaim(const ClaimedDuty &duty);
-    void tellNewcomers(const ClaimedDuty &duty, const MemberView &before);
+    void askForClaim(const CoordinatorElection &duty);
+    void tellNewcomers(const CoordinatorElection &duty, const MemberView &before);
     void receive(const Address &from, const DutyClaim &claim);
 
     const Clock &clock;
--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -197,7 +197,7 @@
               settings->gateway.jobsKept,
               {.isOurDuty =
                    [this] {
-                       return hasDuty(*this->peers.dutyView(), this->peers.self(), stableHash(JobRows::jobTable));
+                       return hasRole(*this->peers.dutyView(), this->peers.self(), stableHash(JobRows::jobTable));
                    },
                .isOpen =
                    [this](const JobId &job) {
@@ -334,16 +334,16 @@
 {
     const SteadyTime now = this->clock.now();
     // Whoever hears others is not cut off: lost relays are replaced, and all nodes at once would read all tables.
-    if (!this->relays.isForsaken() || this->peers.isInTouch()) {
+    if (!this->relays.hasNoResponsiveRelay() || this->peers.isInTouch()) {
         this->forsakenSince.reset();
     } else if (now - this->forsakenSince.value_or(now) >= forsakenTime) {
-        this->relayRole.noteAlone();
+        this->relayRole.recordRelaysUnresponsive();
     } else {
         this->forsakenSince = this->forsakenSince.value_or(now);
     }
     RelayRole::Use use = RelayRole::Use::None;
     if (this->isRelay) {
-        use = this->duties.isAnyClaimedHere() ? RelayRole::Use::OnDuty : RelayRole::Use::Serving;
+        use = this->duties.isAnyClaimedHere() ? RelayRole::Use::Coordinating : RelayRole::Use::Serving;
     }
     const bool isActive = this->relayRole.isRelay(use);
     this->listed.setRelay(isActive);
@@ -357,7 +357,7 @@
 
 void Gateway::takeSilentRelay(SessionNumber relay)
 {
-    this->relays.noteSilent(relay);
+    this->relays.recordUnresponsive(relay);
     // What was asked of it before waits in vain.
     this->configuration.hurry();
     this->runners.hurry();
--- a/Services/Gateway/Gateway.h
+++ b/Services/Gateway/Gateway.h
@@ -4,7 +4,7 @@
 #include <LibBase/TrafficMeter.h>
 #include <LibGateway/CrashMemory.h>
 #include <LibGateway/PromptPartGuard.h>
-#include <LibMembership/RelayPicker.h>
+#include <LibMembership/RelaySelector.h>
 #include <LibMembership/RelayRole.h>
 #include <LibProxy/CallerServer.h>
 #include <LibProxy/OutboundPool.h>
@@ -155,7 +155,7 @@
     PlacementClient placements;
     QuotaService quotas;
     RelayRole relayRole;
-    RelayPicker relays;
+    RelaySelector relays;
     ReplicaFollower listed;
     TableRelay tableRelay;
     RelayedFeed feed;
--- a/Services/Gateway/JobRunners.cpp
+++ b/Services/Gateway/JobRunners.cpp
@@ -82,7 +82,7 @@
 void JobRunners::considerFollowing()
 {
     const Member *const own = this->view->find(this->peers.self());
-    const bool mayTakeOver = own == nullptr || !own->isReady || isLargeEnough(*this->view, *own);
+    const bool mayTakeOver = own == nullptr || !own->isReady || hasEnoughProcessor(*this->view, *own);
     const SteadyTime now = this->context.clock.now();
     // A row that names this node may still be on its way when its last run has ended, and then nobody else runs that job.
     const bool isBusy = !this->runs.empty() || now - this->lastBusy < followedAfterRuns;
@@ -170,7 +170,7 @@
     if (const Member *const runner = this->presentRunner(open)) {
         return runner->session == this->peers.self();
     }
-    return hasDuty(*this->view, this->peers.self(), stableHash(job.value()));
+    return hasRole(*this->view, this->peers.self(), stableHash(job.value()));
 }
 
 void JobRunners::decide(const JobId &job)
@@ -179,7 +179,7 @@
     const bool isOurs = !this->isStopped && row != this->open.end() && this->isOurs(job, row->second);
     const auto run = this->runs.find(job);
     const bool isRunning = run != this->runs.end();
-    if (isOurs && !isRunning && !this->settling.isSettled()) {
+    if (isOurs && !isRunning && !this->settling.isStable()) {
         this->decideSettled();
     } else if (isOurs && !isRunning) {
         this->startRun(job, JobRun::Origin::TakenOver);
@@ -372,7 +372,7 @@
         this->decide(job);
         return;
     }
-    if (!hasDuty(*this->view, this->peers.self(), stableHash(job.value()))) {
+    if (!hasRole(*this->view, this->peers.self(), stableHash(job.value()))) {
         return;
     }
     this->reportReminder(job, runner->session);
--- a/Services/Gateway/JobRunners.h
+++ b/Services/Gateway/JobRunners.h
@@ -2,7 +2,7 @@
 
 #include <LibGateway/JobLooks.h>
 #include <LibGateway/ServingConfiguration.h>
-#include <LibMembership/ViewSettling.h>
+#include <LibMembership/ViewStability.h>
 #include <LibSettings/Generated/Settings.h>
 #include <Services/Gateway/JobRun.h>
 #include <Services/Gateway/PeerNetwork.h>
@@ -104,7 +104,7 @@
     TimerId settleTimer = 0;
     TimerId considerTimer = 0;
     TimerId lookTimer = 0;
-    ViewSettling settling;
+    ViewStability settling;
     /** When this node last ran a job, as far as was looked. */
     SteadyTime lastBusy;
 };
--- a/Services/Gateway/PeerNetwork.cpp
+++ b/Services/Gateway/PeerNetwork.cpp
@@ -187,13 +187,13 @@
 void PeerNetwork::takeView(const MemberViewPointer &view)
 {
     this->reach.update(view);
-    this->duties = this->reach.settled();
+    this->duties = this->reach.stableView();
     this->hooks.onView(this->duties);
 }
 
 void PeerNetwork::watchReach()
 {
-    const MemberViewPointer settled = this->reach.settled();
+    const MemberViewPointer settled = this->reach.stableView();
     if (std::exchange(this->duties, settled) != settled) {
         this->hooks.onView(settled);
     }
@@ -409,11 +409,11 @@
 {
     // One node cleans: the one that would also have any other duty of this name.
     const MemberView &view = *this->duties;
-    if (hasDuty(view, this->session, stableHash(nodeTable), DutyFor::Relays) && !view.isMinority()) {
+    if (hasRole(view, this->session, stableHash(nodeTable), RoleCandidates::Relays) && !view.isMinority()) {
         RowTransaction removal;
         std::vector<Address> strangers;
         for (const auto &[key, record] : this->known) {
-            const bool isGone = this->membership->goneSince(record.session).has_value();
+            const bool isGone = this->membership->departedSince(record.session).has_value();
             if (record.session != this->session && view.find(record.session) == nullptr) {
                 strangers.push_back(record.gossip);
                 if (isGone) {
--- a/Services/Gateway/PeerNetwork.h
+++ b/Services/Gateway/PeerNetwork.h
@@ -2,9 +2,9 @@
 
 #include <LibBase/Clock.h>
 #include <LibBase/TrafficMeter.h>
-#include <LibMembership/DutyHolder.h>
+#include <LibMembership/RoleAssignment.h>
 #include <LibMembership/Membership.h>
-#include <LibMembership/StoreReach.h>
+#include <LibMembership/StoreReachability.h>
 #include <LibPlatform/RowStore.h>
 #include <LibSettings/Generated/Settings.h>
 #include <LibTask/EventLoop.h>
@@ -124,7 +124,7 @@
     PeerServer peerServer;
     PeerClient peerClient;
     std::optional<Membership> membership;
-    StoreReach reach;
+    StoreReachability reach;
     MemberViewPointer duties;
     TimerId reachTimer = 0;
     std::map<std::string, NodeRecord> known;
--- a/Services/Gateway/QuotaService.cpp
+++ b/Services/Gateway/QuotaService.cpp
@@ -319,7 +319,7 @@
         this->contact.setOthers(this->recent.others());
     }
     const bool isPressed = now - this->refused < pressedTime;
-    this->contact.tick(isPressed ? ContactSample::Pace::Fast : ContactSample::Pace::Calm);
+    this->contact.tick(isPressed ? ReachabilityEstimator::Pace::Fast : ReachabilityEstimator::Pace::Normal);
     const std::optional<double> measured = this->contact.share();
     if (!measured || measured == this->share) {
         return;
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibBase/Clock.h>
-#include <LibMembership/ContactSample.h>
+#include <LibMembership/ReachabilityEstimator.h>
 #include <LibMembership/RecentMembers.h>
 #include <LibWire/DatagramSocket.h>
 #include <LibWorkspace/QuotaAsker.h>
@@ -102,7 +102,7 @@
     std::array<Part, quotaParts> parts;
     QuotaAsker asker;
     RecentMembers recent;
-    ContactSample contact;
+    ReachabilityEstimator contact;
     /** When the sample is next told who the others are. */
     SteadyTime nextOthers{};
     /** When a request was last refused by a counter of this node. */
--- a/Services/Gateway/RelayedFeed.cpp
+++ b/Services/Gateway/RelayedFeed.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-RelayedFeed::RelayedFeed(Scheduler &scheduler, RowFeed &store, PeerNetwork &peers, TableRelay &own, RelayPicker &relays)
+RelayedFeed::RelayedFeed(Scheduler &scheduler, RowFeed &store, PeerNetwork &peers, TableRelay &own, RelaySelector &relays)
     : scheduler(scheduler), store(store), peers(peers), own(own), relays(relays)
 {
 }
@@ -32,7 +32,7 @@
         this->failures = 0;
         return nullptr;
     }
-    return this->relays.pick();
+    return this->relays.select();
 }
 
 bool RelayedFeed::judge(SessionNumber relay, const CallResult<FeedAnswer> &result)
@@ -43,9 +43,9 @@
     }
     ++this->failures;
     if (result.response) {
-        this->relays.noteBehind(relay);
+        this->relays.recordOutdated(relay);
     } else {
-        this->relays.noteSilent(relay);
+        this->relays.recordUnresponsive(relay);
     }
     return false;
 }
--- a/Services/Gateway/RelayedFeed.h
+++ b/Services/Gateway/RelayedFeed.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibBase/Scheduler.h>
-#include <LibMembership/RelayPicker.h>
+#include <LibMembership/RelaySelector.h>
 #include <LibPlatform/RowStore.h>
 #include <Services/Gateway/PeerNetwork.h>
 #include <Services/Gateway/TableRelay.h>
@@ -24,7 +24,7 @@
      * @param own what this node follows while it is a relay
      * @param relays whom to ask while it is none
      */
-    RelayedFeed(Scheduler &scheduler, RowFeed &store, PeerNetwork &peers, TableRelay &own, RelayPicker &relays);
+    RelayedFeed(Scheduler &scheduler, RowFeed &store, PeerNetwork &peers, TableRelay &own, RelaySelector &relays);
     ~RelayedFeed() override;
     RelayedFeed(const RelayedFeed &) = delete;
     RelayedFeed &operator=(const RelayedFeed &) = delete;
@@ -44,7 +44,7 @@
     RowFeed &store;
     PeerNetwork &peers;
     TableRelay &own;
-    RelayPicker &relays;
+    RelaySelector &relays;
     /** Calls to relays that told nothing, one after the other. */
     std::size_t failures = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/Services/Gateway/ReplicaFollower.cpp
+++ b/Services/Gateway/ReplicaFollower.cpp
@@ -64,7 +64,7 @@
                                  const Clock &clock,
                                  RowStore &store,
                                  PeerNetwork &peers,
-                                 RelayPicker &relays,
+                                 RelaySelector &relays,
                                  const Options &options,
                                  Format format,
                                  Hooks hooks)
@@ -386,7 +386,7 @@
 
 void ReplicaFollower::askPeer()
 {
-    const Member *const relay = this->relays.pick();
+    const Member *const relay = this->relays.select();
     if (relay != nullptr && (!relay->hasLostStore || !this->isWhole())) {
         this->ask(*relay, 0);
     }
@@ -406,7 +406,7 @@
 
 const Member *ReplicaFollower::peerToAsk()
 {
-    if (const Member *const relay = this->relays.pick()) {
+    if (const Member *const relay = this->relays.select()) {
         return relay;
     }
     if (this->known) {
--- a/Services/Gateway/ReplicaFollower.h
+++ b/Services/Gateway/ReplicaFollower.h
@@ -3,7 +3,7 @@
 #include <LibGateway/RecentReplicas.h>
 #include <LibGateway/ReplicaList.h>
 #include <LibGateway/ReplicaRing.h>
-#include <LibMembership/RelayPicker.h>
+#include <LibMembership/RelaySelector.h>
 #include <LibTask/EventLoop.h>
 #include <Services/Gateway/PeerNetwork.h>
 #include <Services/Gateway/TableFollower.h>
@@ -60,7 +60,7 @@
                     const Clock &clock,
                     RowStore &store,
                     PeerNetwork &peers,
-                    RelayPicker &relays,
+                    RelaySelector &relays,
                     const Options &options,
                     Format format,
                     Hooks hooks);
@@ -127,7 +127,7 @@
     const Clock &clock;
     RowStore &store;
     PeerNetwork &peers;
-    RelayPicker &relays;
+    RelaySelector &relays;
     Options options;
     std::minstd_rand random;
     Format format;
--- a/Services/Lane/LaneService.cpp
+++ b/Services/Lane/LaneService.cpp
@@ -275,7 +275,7 @@
 {
     for (const EndpointSettings &endpoint : this->settings->endpoints) {
         const EndpointName name(endpoint.name);
-        const Member *const holder = this->owners.view().holderOf(name);
+        const Member *const holder = this->owners.view().laneHolderOf(name);
         const bool isOurs = holder != nullptr && holder->session == this->self && !endpoint.model.empty() && !this->draining;
         const auto held = this->lanes.find(name);
         if (isOurs && held == this->lanes.end()) {
--- a/Services/Owner/OwnerService.cpp
+++ b/Services/Owner/OwnerService.cpp
@@ -114,7 +114,7 @@
     this->batch.setView(view);
     this->keeper.setView(view);
     const auto budget = static_cast<double>(this->settings->platform.writesPerSecond);
-    this->journal.setWritesPerSecond(journalWritesPerSecond(budget, view->journals()));
+    this->journal.setWritesPerSecond(journalWritesPerSecond(budget, view->journalCount()));
 }
 
 void OwnerService::stop(std::function<void()> stopped)
--- a/Tests/Fakes/DutyNetwork.cpp
+++ b/Tests/Fakes/DutyNetwork.cpp
@@ -56,8 +56,8 @@
     this->gossip.add(number, contacts, session);
     this->numbers[session] = number;
     Node node;
-    node.reach = std::make_unique<StoreReach>(this->gossip.clock);
-    node.duty = std::make_unique<ClaimedDuty>(this->gossip.clock, dutyName);
+    node.reach = std::make_unique<StoreReachability>(this->gossip.clock);
+    node.duty = std::make_unique<CoordinatorElection>(this->gossip.clock, dutyName);
     node.nextAsk = this->gossip.clock.now() + askInterval * static_cast<int>(number % 7) / 7;
     this->nodes[number] = std::move(node);
 }
@@ -91,19 +91,19 @@
     }
     if (isChanged || now >= node.nextLook) {
         node.nextLook = now + reachLook;
-        node.duty->setView(this->gossip.sessionOf(number), view, node.reach->settled());
+        node.duty->setView(this->gossip.sessionOf(number), view, node.reach->stableView());
     }
     if (isChanged && before) {
         this->tellNewcomers(number, node, *before);
     }
-    if (node.duty->isAsking() && now >= node.nextQuestion) {
+    if (node.duty->isQuerying() && now >= node.nextQuestion) {
         node.nextQuestion = now + questionInterval;
         this->question(number, node);
     }
-    const Member *const suspected = node.duty->suspectedHolder();
+    const Member *const suspected = node.duty->suspectedCoordinator();
     const std::optional<Number> asked = suspected != nullptr ? this->numberOf(suspected->session) : std::nullopt;
     if (asked) {
-        this->tell(number, *asked, node.duty->question());
+        this->tell(number, *asked, node.duty->claimQuery());
     }
     if (const std::optional<DutyClaim> claim = node.duty->makeClaim()) {
         this->tellAll(number, *claim);
@@ -116,7 +116,7 @@
 
 void DutyNetwork::askHolder(Number number, Node &node)
 {
-    const Member *const holder = node.duty->holder();
+    const Member *const holder = node.duty->coordinator();
     const std::optional<Number> asked = holder != nullptr ? this->numberOf(holder->session) : std::nullopt;
     const bool isCut = asked && this->gossip.isCut && this->gossip.isCut(number, *asked);
     if (holder != nullptr && (!asked || this->paused.contains(*asked) || isCut)) {
@@ -127,7 +127,7 @@
         return;
     }
     const Node &other = this->nodes.at(*asked);
-    const bool isPassedOn = other.duty->holder() != nullptr && other.duty->holder()->session != holder->session;
+    const bool isPassedOn = other.duty->coordinator() != nullptr && other.duty->coordinator()->session != holder->session;
     if (isPassedOn && other.duty->claim()) {
         this->tell(*asked, number, *other.duty->claim());
     }
@@ -154,13 +154,13 @@
     const std::vector<Member> &members = node.view->members();
     std::uniform_int_distribution<std::size_t> choice(0, members.size() - 1);
     for (std::size_t asked = 0; asked < questionsAtOnce; ++asked) {
-        this->tell(number, GossipNetwork::numberOf(members[choice(this->random)].gossip), node.duty->question());
+        this->tell(number, GossipNetwork::numberOf(members[choice(this->random)].gossip), node.duty->claimQuery());
     }
 }
 
 void DutyNetwork::tellNewcomers(Number number, Node &node, const MemberView &before)
 {
-    const Member *const holder = node.duty->holder();
+    const Member *const holder = node.duty->coordinator();
     if (!node.duty->claim() || holder == nullptr || holder->session != this->gossip.sessionOf(number)) {
         return;
     }
@@ -189,11 +189,11 @@
         if (found == this->nodes.end() || this->paused.contains(to)) {
             return;
         }
-        ClaimedDuty &duty = *found->second.duty;
-        if (duty.holder() != nullptr && this->numberOf(duty.holder()->session) == from) {
-            duty.noteHolderAlive();
+        CoordinatorElection &duty = *found->second.duty;
+        if (duty.coordinator() != nullptr && this->numberOf(duty.coordinator()->session) == from) {
+            duty.recordCoordinatorAlive();
         }
-        if (duty.receive(claim) == ClaimedDuty::ReceiveOutcome::Outdated) {
+        if (duty.receive(claim) == CoordinatorElection::ReceiveOutcome::Outdated) {
             this->tell(to, from, *duty.claim());
         }
     });
@@ -282,7 +282,7 @@
     std::map<std::optional<SessionNumber>, std::size_t> votes;
     for (const auto &[number, node] : this->nodes) {
         if (!this->paused.contains(number)) {
-            const Member *const holder = node.duty->holder();
+            const Member *const holder = node.duty->coordinator();
             said[number] = holder != nullptr ? std::optional(holder->session) : std::nullopt;
             ++votes[said[number]];
         }
--- a/Tests/Fakes/DutyNetwork.h
+++ b/Tests/Fakes/DutyNetwork.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <LibMembership/ClaimedDuty.h>
-#include <LibMembership/StoreReach.h>
+#include <LibMembership/CoordinatorElection.h>
+#include <LibMembership/StoreReachability.h>
 #include <Tests/Fakes/GossipNetwork.h>
 
 #include <chrono>
@@ -64,8 +64,8 @@
 private:
     struct Node
     {
-        std::unique_ptr<StoreReach> reach;
-        std::unique_ptr<ClaimedDuty> duty;
+        std::unique_ptr<StoreReachability> reach;
+        std::unique_ptr<CoordinatorElection> duty;
         MemberViewPointer view;
         SteadyTime nextAsk{};
         SteadyTime nextLook{};
--- a/Tests/LibMembership/TestClaimedDuty.cpp
+++ b/Tests/LibMembership/TestCoordinatorElection.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/ClaimedDuty.h>
+#include <LibMembership/CoordinatorElection.h>
 #include <Tests/Fakes/DutyNetwork.h>
 
 #include <doctest/doctest.h>
@@ -69,10 +69,10 @@
     return std::make_shared<const MemberView>(std::move(members), isMinority);
 }
 
-SessionNumber holderOf(const ClaimedDuty &duty)
+SessionNumber holderOf(const CoordinatorElection &duty)
 {
-    REQUIRE(duty.holder() != nullptr);
-    return duty.holder()->session;
+    REQUIRE(duty.coordinator() != nullptr);
+    return duty.coordinator()->session;
 }
 
 /** A duty that the second of six members has, as one of them sees it. */
@@ -99,7 +99,7 @@
     }
 
     ManualClock clock;
-    ClaimedDuty duty{clock, "llm"};
+    CoordinatorElection duty{clock, "llm"};
     MemberViewPointer view = viewOf({memberOf(1), memberOf(2), memberOf(3), memberOf(4), memberOf(5), memberOf(6)});
     SessionNumber successor;
 };
@@ -229,12 +229,12 @@
 {
     ManualClock clock;
     std::vector<Member> members{memberOf(1), memberOf(2)};
-    ClaimedDuty duty(clock, "llm");
+    CoordinatorElection duty(clock, "llm");
     duty.setView(SessionNumber(1), viewOf(members), viewOf(members));
     duty.receive({"llm", 1, SessionNumber(1)});
     for (Number number = 3; number < 40; ++number) {
         members.push_back(memberOf(number));
-        ClaimedDuty newcomer(clock, "llm");
+        CoordinatorElection newcomer(clock, "llm");
         newcomer.receive(*duty.claim());
         for (auto [node, session] : {std::pair(&duty, Number(1)), std::pair(&newcomer, number)}) {
             node->setView(SessionNumber(session), viewOf(members), viewOf(members));
@@ -254,8 +254,8 @@
         members.at(leaving - 1).isLeaving = true;
         return viewOf(members);
     };
-    ClaimedDuty first(clock, "llm");
-    ClaimedDuty second(clock, "llm");
+    CoordinatorElection first(clock, "llm");
+    CoordinatorElection second(clock, "llm");
     const MemberViewPointer calm = viewOf({memberOf(1), memberOf(2)});
     first.setView(SessionNumber(1), calm, calm);
     second.setView(SessionNumber(2), calm, calm);
@@ -276,15 +276,15 @@
 TEST_CASE("of two claims the higher term counts, then the higher session, and who tells an old one is to hear the new one")
 {
     ManualClock clock;
-    ClaimedDuty duty(clock, "llm");
+    CoordinatorElection duty(clock, "llm");
     const MemberViewPointer view = viewOf({memberOf(1), memberOf(2), memberOf(3)});
     duty.setView(SessionNumber(1), view, view);
-    CHECK(duty.receive({"llm", 2, SessionNumber(2)}) == ClaimedDuty::ReceiveOutcome::News);
-    CHECK(duty.receive({"llm", 1, SessionNumber(3)}) == ClaimedDuty::ReceiveOutcome::Outdated);
-    CHECK(duty.receive({"llm", 2, SessionNumber(1)}) == ClaimedDuty::ReceiveOutcome::Outdated);
-    CHECK(duty.receive({"llm", 2, SessionNumber(2)}) == ClaimedDuty::ReceiveOutcome::Known);
+    CHECK(duty.receive({"llm", 2, SessionNumber(2)}) == CoordinatorElection::ReceiveOutcome::Accepted);
+    CHECK(duty.receive({"llm", 1, SessionNumber(3)}) == CoordinatorElection::ReceiveOutcome::Outdated);
+    CHECK(duty.receive({"llm", 2, SessionNumber(1)}) == CoordinatorElection::ReceiveOutcome::Outdated);
+    CHECK(duty.receive({"llm", 2, SessionNumber(2)}) == CoordinatorElection::ReceiveOutcome::Known);
     CHECK(holderOf(duty) == SessionNumber(2));
-    CHECK(duty.receive({"llm", 2, SessionNumber(3)}) == ClaimedDuty::ReceiveOutcome::News);
+    CHECK(duty.receive({"llm", 2, SessionNumber(3)}) == CoordinatorElection::ReceiveOutcome::Accepted);
     CHECK(holderOf(duty) == SessionNumber(3));
 }
 
@@ -293,22 +293,22 @@
 TEST_CASE("a node that has just started asks who has the duty before it claims it")
 {
     ManualClock clock;
-    ClaimedDuty duty(clock, "llm");
+    CoordinatorElection duty(clock, "llm");
     const MemberViewPointer own = viewOf({memberOf(1)});
     duty.setView(SessionNumber(1), own, own);
-    CHECK(!duty.isAsking());
+    CHECK(!duty.isQuerying());
     CHECK(!duty.makeClaim());
     Member small = memberOf(2);
     small.processorShare = 1;
     const MemberViewPointer both = viewOf({memberOf(1), small});
     duty.setView(SessionNumber(1), both, both);
-    CHECK(duty.isAsking());
+    CHECK(duty.isQuerying());
     CHECK(!duty.makeClaim());
-    CHECK(duty.receive(duty.question()) == ClaimedDuty::ReceiveOutcome::Known);
+    CHECK(duty.receive(duty.claimQuery()) == CoordinatorElection::ReceiveOutcome::Known);
     clock.advance(10s);
     CHECK(duty.makeClaim() == DutyClaim{"llm", 1, SessionNumber(1)});
-    CHECK(!duty.isAsking());
-    CHECK(duty.receive(duty.question()) == ClaimedDuty::ReceiveOutcome::Outdated);
+    CHECK(!duty.isQuerying());
+    CHECK(duty.receive(duty.claimQuery()) == CoordinatorElection::ReceiveOutcome::Outdated);
 }
 
 // A node that is cut off sees all others dead. A claim of its own, with a higher term, would take the duty from its holder when
@@ -316,7 +316,7 @@
 TEST_CASE("a node that has lost sight of most others claims nothing")
 {
     ManualClock clock;
-    ClaimedDuty duty(clock, "llm");
+    CoordinatorElection duty(clock, "llm");
     const MemberViewPointer all = viewOf({memberOf(1), memberOf(2), memberOf(3)});
     duty.setView(SessionNumber(1), all, all);
     duty.receive({"llm", 1, SessionNumber(2)});
@@ -333,7 +333,7 @@
 TEST_CASE("a holder that is missed but answers keeps its duty")
 {
     ManualClock clock;
-    ClaimedDuty duty(clock, "llm");
+    CoordinatorElection duty(clock, "llm");
     std::vector<Member> members{memberOf(1), memberOf(2), memberOf(3)};
     duty.setView(SessionNumber(1), viewOf(members), viewOf(members));
     duty.receive({"llm", 1, SessionNumber(2)});
@@ -343,8 +343,8 @@
         clock.advance(200ms);
         CHECK(!duty.makeClaim());
         CHECK(holderOf(duty) == SessionNumber(2));
-        CHECK(duty.suspectedHolder() != nullptr);
-        duty.noteHolderAlive();
+        CHECK(duty.suspectedCoordinator() != nullptr);
+        duty.recordCoordinatorAlive();
     }
 }
 
@@ -353,19 +353,19 @@
 TEST_CASE("a holder that several nodes and the successor get no answer of loses its duty")
 {
     HeldBySecond held;
-    ClaimedDuty &duty = held.duty;
+    CoordinatorElection &duty = held.duty;
     held.seeAs(held.successor);
     for (int times = 0; times < 5; ++times) {
         held.suspectFrom(3, 4);
     }
-    CHECK(duty.suspectedHolder() == nullptr);
+    CHECK(duty.suspectedCoordinator() == nullptr);
     duty.receiveSuspicion({"llm", SessionNumber(6), SessionNumber(5)});
-    CHECK(duty.suspectedHolder() == nullptr);
+    CHECK(duty.suspectedCoordinator() == nullptr);
     held.suspectFrom(5, 5);
-    REQUIRE(duty.suspectedHolder() != nullptr);
-    CHECK(duty.suspectedHolder()->session == SessionNumber(2));
+    REQUIRE(duty.suspectedCoordinator() != nullptr);
+    CHECK(duty.suspectedCoordinator()->session == SessionNumber(2));
     CHECK(!duty.makeClaim());
-    duty.noteHolderAlive();
+    duty.recordCoordinatorAlive();
     held.clock.advance(300ms);
     CHECK(!duty.makeClaim());
     held.suspectFrom(3, 5);
@@ -379,22 +379,22 @@
 TEST_CASE("once the holder's silence is settled, nobody is asked in its place")
 {
     HeldBySecond held;
-    ClaimedDuty &duty = held.duty;
+    CoordinatorElection &duty = held.duty;
     // Another node than the one that will claim the duty: it takes the successor for the holder until it hears the claim.
     held.seeAs(held.successor == SessionNumber(6) ? SessionNumber(1) : SessionNumber(6));
     held.suspectFrom(3, 5);
-    CHECK(duty.suspectedHolder()->session == SessionNumber(2));
+    CHECK(duty.suspectedCoordinator()->session == SessionNumber(2));
     held.clock.advance(300ms);
     CHECK(!duty.makeClaim());
     CHECK(holderOf(duty) == held.successor);
-    CHECK(duty.suspectedHolder() == nullptr);
+    CHECK(duty.suspectedCoordinator() == nullptr);
 }
 
 // A node that has just started is told who dispatches before gossip tells it of that member.
 TEST_CASE("a node that has never seen the holder waits before it claims the duty")
 {
     ManualClock clock;
-    ClaimedDuty duty(clock, "llm");
+    CoordinatorElection duty(clock, "llm");
     const MemberViewPointer own = viewOf({memberOf(1)});
     duty.setView(SessionNumber(1), own, own);
     duty.receive({"llm", 5, SessionNumber(2)});
@@ -410,7 +410,7 @@
 TEST_CASE("a successor that has lost sight of many claims the duty if several others miss the holder")
 {
     ManualClock clock;
-    ClaimedDuty duty(clock, "llm");
+    CoordinatorElection duty(clock, "llm");
     std::vector<Member> members;
     for (Number number = 1; number <= 10; ++number) {
         members.push_back(memberOf(number));
@@ -450,7 +450,7 @@
 TEST_CASE("a holder that leaves names its successor")
 {
     ManualClock clock;
-    ClaimedDuty duty(clock, "llm");
+    CoordinatorElection duty(clock, "llm");
     std::vector<Member> members{memberOf(1), memberOf(2)};
     duty.setView(SessionNumber(1), viewOf(members), viewOf(members));
     duty.receive({"llm", 1, SessionNumber(1)});
--- a/Tests/LibMembership/TestEntryAnswers.cpp
+++ b/Tests/LibMembership/TestEntrySelector.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/EntryAnswers.h>
+#include <LibMembership/EntrySelector.h>
 #include <LibMembership/EntryPressure.h>
 
 #include <doctest/doctest.h>
@@ -33,7 +33,7 @@
 
 std::vector<EntryAddress> ask(const std::vector<Member> &members, const std::string &caller, std::size_t count)
 {
-    return EntryAnswers(rampUp).choose(MemberView(members), {caller, FailureDomain("domain-0"), count}, now);
+    return EntrySelector(rampUp).select(MemberView(members), {caller, FailureDomain("domain-0"), count}, now);
 }
 
 /** How many of 3000 callers are told to use each node first. */
--- a/Tests/LibMembership/TestJournalHolders.cpp
+++ b/Tests/LibMembership/TestJournalHolders.cpp
@@ -69,8 +69,8 @@
     std::vector<Member> members = fleet(60, 3);
     members[0].state = MemberState::Leaving;
     const MemberView all(members);
-    const MemberViewPointer view = all.withJournals(6);
-    CHECK(view->journals() == 6);
+    const MemberViewPointer view = all.withJournalLimit(6);
+    CHECK(view->journalCount() == 6);
     std::set<SessionNumber> owners;
     for (std::uint32_t shard = 0; shard < 1000; ++shard) {
         owners.insert(view->ownerOf(ShardNumber(shard))->session);
--- a/Tests/LibMembership/TestContactSample.cpp
+++ b/Tests/LibMembership/TestReachabilityEstimator.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/ContactSample.h>
+#include <LibMembership/ReachabilityEstimator.h>
 #include <LibMembership/RecentMembers.h>
 
 #include <doctest/doctest.h>
@@ -40,7 +40,7 @@
         this->sample.setOthers(addresses);
     }
 
-    void pass(std::chrono::milliseconds length, ContactSample::Pace pace = ContactSample::Pace::Fast)
+    void pass(std::chrono::milliseconds length, ReachabilityEstimator::Pace pace = ReachabilityEstimator::Pace::Fast)
     {
         for (std::chrono::milliseconds passed(0); passed < length; passed += tickInterval) {
             this->sample.tick(pace);
@@ -52,7 +52,7 @@
     /** Nodes with lower numbers answer. */
     std::size_t reached = 0;
     std::size_t probes = 0;
-    ContactSample sample;
+    ReachabilityEstimator sample;
 };
 
 Member memberOf(std::uint64_t session, const std::string &vm)
@@ -106,7 +106,7 @@
     for (Bench *bench : {&small, &large}) {
         bench->pass(std::chrono::seconds(1));
         bench->probes = 0;
-        bench->pass(std::chrono::seconds(1), ContactSample::Pace::Calm);
+        bench->pass(std::chrono::seconds(1), ReachabilityEstimator::Pace::Normal);
     }
     CHECK(small.probes == large.probes);
 }
--- a/Tests/LibMembership/TestRelayChoice.cpp
+++ b/Tests/LibMembership/TestRelayAssignment.cpp
@@ -1,7 +1,7 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/DutyHolder.h>
-#include <LibMembership/RelayChoice.h>
-#include <LibMembership/RelayPicker.h>
+#include <LibMembership/RoleAssignment.h>
+#include <LibMembership/RelayAssignment.h>
+#include <LibMembership/RelaySelector.h>
 #include <LibMembership/RelayRole.h>
 
 #include <doctest/doctest.h>
@@ -119,7 +119,7 @@
     clock.advance(20s);
     CHECK(role.isRelay(RelayRole::Use::Serving));
     clock.advance(20s);
-    CHECK(role.isRelay(RelayRole::Use::OnDuty));
+    CHECK(role.isRelay(RelayRole::Use::Coordinating));
     CHECK_FALSE(role.isRelay(RelayRole::Use::Serving));
     role.update(view, self);
     clock.advance(500ms);
@@ -133,7 +133,7 @@
     ManualClock clock;
     RelayRole role(clock);
     CHECK_FALSE(role.isRelay(RelayRole::Use::None));
-    role.noteAlone();
+    role.recordRelaysUnresponsive();
     CHECK(role.isRelay(RelayRole::Use::None));
 }
 
@@ -148,19 +148,19 @@
     const auto view = std::make_shared<const MemberView>(members);
     std::map<SessionNumber, std::size_t> asked;
     for (const Member &member : members) {
-        RelayPicker picker(clock);
+        RelaySelector picker(clock);
         picker.update(view, member.session);
-        const Member *const first = picker.pick();
+        const Member *const first = picker.select();
         REQUIRE(first != nullptr);
         if (!member.isRelay) {
             CHECK(first->failureDomain == member.failureDomain);
             ++asked[first->session];
         }
-        picker.noteSilent(first->session);
-        const Member *const second = picker.pick();
+        picker.recordUnresponsive(first->session);
+        const Member *const second = picker.select();
         REQUIRE(second != nullptr);
         CHECK(second->session != first->session);
-        CHECK_FALSE(picker.isForsaken());
+        CHECK_FALSE(picker.hasNoResponsiveRelay());
     }
     CHECK(asked.size() == relays.size());
     for (const auto &[relay, count] : asked) {
@@ -170,9 +170,9 @@
     for (Member &member : members) {
         member.hasLostStore = member.isRelay && member.failureDomain == members.front().failureDomain;
     }
-    RelayPicker picker(clock);
+    RelaySelector picker(clock);
     picker.update(std::make_shared<const MemberView>(members), members.front().session);
-    CHECK_FALSE(picker.pick()->hasLostStore);
+    CHECK_FALSE(picker.select()->hasLostStore);
 }
 
 // While the store is away, all relays are behind. Were each node to follow the tables itself then, all would read all of them
@@ -183,18 +183,18 @@
     std::vector<Member> members = membersOf(3);
     members[1].isRelay = true;
     members[2].isRelay = true;
-    RelayPicker picker(clock);
+    RelaySelector picker(clock);
     picker.update(std::make_shared<const MemberView>(members), members.front().session);
-    const SessionNumber first = picker.pick()->session;
-    picker.noteBehind(first);
-    const SessionNumber second = picker.pick()->session;
+    const SessionNumber first = picker.select()->session;
+    picker.recordOutdated(first);
+    const SessionNumber second = picker.select()->session;
     CHECK(second != first);
-    picker.noteBehind(second);
-    REQUIRE(picker.pick() != nullptr);
-    CHECK_FALSE(picker.isForsaken());
-    picker.noteSilent(first);
-    REQUIRE(picker.pick() != nullptr);
-    CHECK(picker.pick()->session == second);
+    picker.recordOutdated(second);
+    REQUIRE(picker.select() != nullptr);
+    CHECK_FALSE(picker.hasNoResponsiveRelay());
+    picker.recordUnresponsive(first);
+    REQUIRE(picker.select() != nullptr);
+    CHECK(picker.select()->session == second);
 }
 
 TEST_CASE("a node whose relays are all silent is forsaken, and tries them again later")
@@ -202,32 +202,32 @@
     ManualClock clock;
     std::vector<Member> members = membersOf(3);
     members[1].isRelay = true;
-    RelayPicker picker(clock);
+    RelaySelector picker(clock);
     picker.update(std::make_shared<const MemberView>(members), members.front().session);
-    CHECK_FALSE(picker.isForsaken());
-    picker.noteSilent(members[1].session);
-    CHECK(picker.pick() == nullptr);
-    CHECK(picker.isForsaken());
+    CHECK_FALSE(picker.hasNoResponsiveRelay());
+    picker.recordUnresponsive(members[1].session);
+    CHECK(picker.select() == nullptr);
+    CHECK(picker.hasNoResponsiveRelay());
     clock.advance(6s);
-    REQUIRE(picker.pick() != nullptr);
-    CHECK(picker.pick()->session == members[1].session);
-    CHECK_FALSE(picker.isForsaken());
+    REQUIRE(picker.select() != nullptr);
+    CHECK(picker.select()->session == members[1].session);
+    CHECK_FALSE(picker.hasNoResponsiveRelay());
 }
 
 // A dispatcher that knows a part of the replicas would fill these and leave the others idle.
 TEST_CASE("where a failure domain needs relays, only they dispatch, and before there is one nobody does")
 {
     std::vector<Member> members = membersOf(300);
-    CHECK(dutyHolder(MemberView(members), 1, DutyFor::Relays) == nullptr);
-    CHECK(dutyHolder(MemberView(members), 1) != nullptr);
+    CHECK(coordinatorFor(MemberView(members), 1, RoleCandidates::Relays) == nullptr);
+    CHECK(coordinatorFor(MemberView(members), 1) != nullptr);
     members[9].isRelay = true;
     members[9].processorShare = largeShare;
     const MemberView view(members);
     for (std::uint64_t key = 0; key < 20; ++key) {
-        REQUIRE(dutyHolder(view, key, DutyFor::Relays) != nullptr);
-        CHECK(dutyHolder(view, key, DutyFor::Relays)->session == members[9].session);
+        REQUIRE(coordinatorFor(view, key, RoleCandidates::Relays) != nullptr);
+        CHECK(coordinatorFor(view, key, RoleCandidates::Relays)->session == members[9].session);
     }
     CHECK(mayKeepDuty(view, members[9]));
     CHECK_FALSE(mayKeepDuty(view, members[19]));
-    CHECK(dutyHolder(MemberView(membersOf(10)), 1, DutyFor::Relays) != nullptr);
+    CHECK(coordinatorFor(MemberView(membersOf(10)), 1, RoleCandidates::Relays) != nullptr);
 }
--- a/Tests/LibMembership/TestRelayStart.cpp
+++ b/Tests/LibMembership/TestRelayStart.cpp
@@ -1,4 +1,4 @@
-#include <LibMembership/RelayChoice.h>
+#include <LibMembership/RelayAssignment.h>
 #include <LibMembership/RelayRole.h>
 #include <Tests/Fakes/GossipNetwork.h>
 
--- a/Tests/LibMembership/TestStoreReach.cpp
+++ b/Tests/LibMembership/TestStoreReachability.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/StoreReach.h>
+#include <LibMembership/StoreReachability.h>
 
 #include <doctest/doctest.h>
 
@@ -31,9 +31,9 @@
     return std::make_shared<const MemberView>(members, false, spread);
 }
 
-std::size_t cutOff(StoreReach &reach)
+std::size_t cutOff(StoreReachability &reach)
 {
-    const MemberViewPointer settled = reach.settled();
+    const MemberViewPointer settled = reach.stableView();
     return static_cast<std::size_t>(std::ranges::count(settled->members(), true, &Member::hasLostStore));
 }
 
@@ -45,7 +45,7 @@
 {
     constexpr std::size_t count = 86;
     ManualClock clock;
-    StoreReach reach(clock);
+    StoreReachability reach(clock);
     std::minstd_rand random(7);
     std::vector<std::size_t> order(count);
     std::iota(order.begin(), order.end(), 1);
@@ -68,7 +68,7 @@
 TEST_CASE("a member that alone is without the store is cut off after a while, and no longer than that")
 {
     ManualClock clock;
-    StoreReach reach(clock);
+    StoreReachability reach(clock);
     reach.update(viewOf(10, {}));
     CHECK(cutOff(reach) == 0);
     clock.advance(10s);
@@ -77,7 +77,7 @@
     CHECK(cutOff(reach) == 0);
     clock.advance(1ms);
     CHECK(cutOff(reach) == 1);
-    CHECK(reach.settled() == reach.settled());
+    CHECK(reach.stableView() == reach.stableView());
     reach.update(viewOf(10, {}));
     CHECK(cutOff(reach) == 0);
 }
@@ -85,7 +85,7 @@
 TEST_CASE("members that lost the store together with most others keep their duties until most have it again")
 {
     ManualClock clock;
-    StoreReach reach(clock);
+    StoreReachability reach(clock);
     reach.update(viewOf(10, {1, 2, 3, 4, 5, 6}));
     clock.advance(60s);
     CHECK(cutOff(reach) == 0);
--- a/Tests/LibMembership/TestViewSettling.cpp
+++ b/Tests/LibMembership/TestViewStability.cpp
@@ -1,6 +1,6 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/DutyHolder.h>
-#include <LibMembership/ViewSettling.h>
+#include <LibMembership/RoleAssignment.h>
+#include <LibMembership/ViewStability.h>
 #include <Tests/Fakes/GossipNetwork.h>
 
 #include <doctest/doctest.h>
@@ -46,12 +46,12 @@
     Membership::Options options;
     options.sessionOrder = Membership::SessionOrder::Random;
     GossipNetwork network(options);
-    std::map<Number, std::unique_ptr<ViewSettling>> settling;
+    std::map<Number, std::unique_ptr<ViewStability>> settling;
     for (Number number = 1; number <= nodeCount; ++number) {
         network.add(number, {1, 2, 3}).update([](Member &own) {
             own.isReady = true;
         });
-        settling[number] = std::make_unique<ViewSettling>(network.clock);
+        settling[number] = std::make_unique<ViewStability>(network.clock);
     }
     std::map<std::uint64_t, std::set<Number>> starters;
     for (std::chrono::milliseconds passed(0); passed < 3s; passed += 10ms) {
@@ -60,8 +60,8 @@
             const MemberViewPointer view = network.member(number).view();
             settling[number]->update(*view);
             for (std::uint64_t job = 0; job < jobCount; ++job) {
-                const bool mayStart = !waits || settling[number]->isSettled();
-                if (mayStart && hasDuty(*view, network.sessionOf(number), job * 7919)) {
+                const bool mayStart = !waits || settling[number]->isStable();
+                if (mayStart && hasRole(*view, network.sessionOf(number), job * 7919)) {
                     starters[job].insert(number);
                 }
             }
@@ -80,21 +80,21 @@
 TEST_CASE("members that stand still are settled, and those that never do are not waited for")
 {
     ManualClock clock;
-    ViewSettling settling(clock);
-    CHECK_FALSE(settling.isSettled());
+    ViewStability settling(clock);
+    CHECK_FALSE(settling.isStable());
     settling.update(viewOf({1, 2}));
     clock.advance(150ms);
     settling.update(viewOf({1, 2}));
-    CHECK_FALSE(settling.isSettled());
+    CHECK_FALSE(settling.isStable());
     clock.advance(60ms);
-    CHECK(settling.isSettled());
+    CHECK(settling.isStable());
     for (Number number = 3; number < 15; ++number) {
         settling.update(viewOf({1, number}));
-        CHECK_FALSE(settling.isSettled());
+        CHECK_FALSE(settling.isStable());
         clock.advance(90ms);
     }
     settling.update(viewOf({1, 20}));
-    CHECK(settling.isSettled());
+    CHECK(settling.isStable());
 }
 
 // Guards against jobs that several nodes run at once after a loss of all nodes, each because it does not know the others yet.
--- a/Tests/LibWorkspace/QuotaFleet.h
+++ b/Tests/LibWorkspace/QuotaFleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibBase/Clock.h>
-#include <LibMembership/ContactSample.h>
+#include <LibMembership/ReachabilityEstimator.h>
 #include <LibWorkspace/QuotaAsker.h>
 #include <LibWorkspace/QuotaCounter.h>
 
@@ -168,7 +168,7 @@
             .suspectHolder = [](std::size_t) {},
         };
         started.asker = std::make_unique<QuotaAsker>(this->time, this->bounds, std::move(hooks));
-        started.contact = std::make_unique<ContactSample>(this->time, node + 1, [this, node](const Address &other) {
+        started.contact = std::make_unique<ReachabilityEstimator>(this->time, node + 1, [this, node](const Address &other) {
             this->probe(node, other.port);
         });
         std::vector<Address> others;
@@ -243,7 +243,7 @@
         std::size_t holder = 0;
         std::unique_ptr<QuotaAsker> asker;
         std::unique_ptr<QuotaCounter> counter;
-        std::unique_ptr<ContactSample> contact;
+        std::unique_ptr<ReachabilityEstimator> contact;
         std::map<std::pair<std::size_t, std::uint64_t>, QuotaDecision> answered;
     };
 
@@ -291,7 +291,7 @@
     void measureContact(Node &node)
     {
         const bool isPressed = this->time.now() - node.refused < std::chrono::seconds(2);
-        node.contact->tick(isPressed ? ContactSample::Pace::Fast : ContactSample::Pace::Calm);
+        node.contact->tick(isPressed ? ReachabilityEstimator::Pace::Fast : ReachabilityEstimator::Pace::Normal);
         if (const std::optional<double> share = node.contact->share()) {
             node.counter->setShare(*share);
         }
--- a/Tests/ServiceGateway/TestDutyHolder.cpp
+++ b/Tests/ServiceGateway/TestDutyHolder.cpp
@@ -28,7 +28,7 @@
 SessionNumber holderOf(const std::vector<Member> &members, std::uint64_t duty)
 {
     const MemberView view(members);
-    const Member *const holder = dutyHolder(view, duty);
+    const Member *const holder = coordinatorFor(view, duty);
     REQUIRE(holder != nullptr);
     return holder->session;
 }
@@ -72,5 +72,5 @@
     for (std::uint64_t duty = 0; duty < duties; ++duty) {
         CHECK(holderOf(members, duty) == members[3].session);
     }
-    CHECK(dutyHolder(MemberView({}), 1) == nullptr);
+    CHECK(coordinatorFor(MemberView({}), 1) == nullptr);
 }
