--- a/Libraries/LibMembership/CoordinatorElection.cpp
+++ b/Libraries/LibMembership/CoordinatorElection.cpp
@@ -14,43 +14,43 @@
 {
 
 /**
- * A node that has just started hears of the holder's claim before it hears of the holder. Were it to take the holder for dead, it
- * would claim what somebody has. In this time, several rounds of gossip, it meets all members.
+ * A node that has just started receives the claim before gossip delivers the coordinator itself. Treating the coordinator as
+ * dead would make it claim a role that is held. Within this time, several gossip rounds, it learns of all members.
  */
-constexpr std::chrono::milliseconds unknownTimeout{3000};
+constexpr std::chrono::milliseconds unknownCoordinatorTimeout{3000};
 /**
- * A node that has just started asks others who has the duty. Only if nobody tells in this time, a dozen round trips between VMs
- * that have little processor, was it not claimed since all nodes started.
+ * A node that has just started queries others for the claim. If no claim arrives within this time, a dozen round trips between
+ * VMs with a small processor, the role has not been claimed since all nodes started.
  */
-constexpr std::chrono::milliseconds askTimeout{500};
+constexpr std::chrono::milliseconds claimQueryTimeout{500};
 
 /**
- * A node that was cut off for some seconds, and is back, still takes many members for dead that it has just suspected, the holder
- * maybe among them. Who has lost sight of more than this part (one in so many) of the members lately claims nothing: it would
- * take the duty from a holder that all others see. In a fleet of some hundred, so many die at once only with the whole fleet.
+ * A node that lost more than 1/8 of the members recently makes no claim. After being cut off for some seconds it still regards
+ * many members as dead, possibly the coordinator, and would take the role from a coordinator that all others can reach. In a
+ * fleet of a few hundred nodes, that many die at once only with the whole fleet.
  */
-constexpr std::size_t lostPart = 8;
-/** In this time the members that were lost by mistake are most likely heard again. */
-constexpr std::chrono::milliseconds recentTime{5000};
-
-/** One node that gets no answer may itself be the one that is cut off; so many others at once are not. */
-constexpr std::size_t enoughAccusers = 3;
-/** A suspicion is as old as this at most: a node asks its dispatcher several times in this time. */
-constexpr std::chrono::milliseconds suspicionRetained{1000};
+constexpr std::size_t lostMembersDivisor = 8;
+/** Within this time, members that were declared dead by mistake are most likely back in the view. */
+constexpr std::chrono::milliseconds recentMembersWindow{5000};
+
+/** A single node without an answer may itself be cut off; it is unlikely that this many are at once. */
+constexpr std::size_t minSuspectingMembers = 3;
+/** How long a suspicion counts. A node sends its dispatcher several requests within this time. */
+constexpr std::chrono::milliseconds suspicionRetention{1000};
 /**
- * A holder that gives no sign of life for so long is silent. Longer than a VM whose share of the processor is used up stands
- * still, and several times as long as a datagram travels; a tenth of what the membership needs to be sure.
+ * How long a suspected coordinator has to respond. Longer than the pause of a VM that has used up its processor share and
+ * several times the latency of a datagram; a tenth of the time in which the membership declares a member dead.
  */
-constexpr std::chrono::milliseconds silenceTimeout{250};
+constexpr std::chrono::milliseconds unresponsiveTimeout{250};
 
 /**
- * A holder that is not among the members any more keeps the duty for so long unless it is silent: a node that was cut off and is
- * back tells others of deaths that were none, and each who hears of one would turn to somebody else until it is refuted.
+ * How long a coordinator that is missing from the view keeps the role, provided that it responds. A node that was cut off
+ * reports false deaths when it is back, and each receiver would switch to another coordinator until they are refuted.
  */
-constexpr std::chrono::milliseconds missingKept{3000};
+constexpr std::chrono::milliseconds missingCoordinatorTimeout{3000};
 
-/** Several rounds of gossip: by then all have heard why a member gave the duty up. */
-constexpr std::chrono::milliseconds givenUpRetained{3000};
+/** Several gossip rounds, after which all members know why a member gave up the role. */
+constexpr std::chrono::milliseconds resignationRetention{3000};
 
 auto rankOf(const DutyClaim &claim)
 {
@@ -59,36 +59,36 @@
 
 } // namespace
 
-CoordinatorElection::CoordinatorElection(const Clock &clock, std::string duty)
+CoordinatorElection::CoordinatorElection(const Clock &clock, std::string role)
     : clock(clock)
-    , duty(std::move(duty))
-    , key(stableHash(this->duty))
+    , role(std::move(role))
+    , key(stableHash(this->role))
     , members(std::make_shared<const MemberView>(std::vector<Member>()))
-    , settled(this->members)
+    , stableMembers(this->members)
 {
 }
 
-void CoordinatorElection::setView(SessionNumber self, const MemberViewPointer &members, const MemberViewPointer &settled)
+void CoordinatorElection::setView(SessionNumber self, const MemberViewPointer &members, const MemberViewPointer &stableMembers)
 {
     this->self = self;
-    if (!this->metOthers && members->members().size() > 1) {
-        this->metOthers = this->clock.now();
+    if (!this->othersSeenAt && members->members().size() > 1) {
+        this->othersSeenAt = this->clock.now();
     }
     const SteadyTime now = this->clock.now();
-    if (members->members().size() >= this->mostMembers || now - this->mostSeen > recentTime) {
-        this->mostMembers = members->members().size();
-        this->mostSeen = now;
+    if (members->members().size() >= this->maxMembers || now - this->maxMembersAt > recentMembersWindow) {
+        this->maxMembers = members->members().size();
+        this->maxMembersAt = now;
     }
     this->members = members;
-    this->settled = settled;
-    this->choose();
+    this->stableMembers = stableMembers;
+    this->selectCoordinator();
 }
 
-bool CoordinatorElection::hasLostMany() const
+bool CoordinatorElection::hasLostManyMembers() const
 {
-    const std::size_t lost = this->mostMembers - std::min(this->mostMembers, this->members->members().size());
-    const bool isRecent = this->clock.now() - this->mostSeen <= recentTime;
-    return this->members->isMinority() || (isRecent && lost > 1 && lost * lostPart > this->mostMembers);
+    const std::size_t lost = this->maxMembers - std::min(this->maxMembers, this->members->members().size());
+    const bool isRecent = this->clock.now() - this->maxMembersAt <= recentMembersWindow;
+    return this->members->isMinority() || (isRecent && lost > 1 && lost * lostMembersDivisor > this->maxMembers);
 }
 
 CoordinatorElection::ReceiveOutcome CoordinatorElection::receive(const DutyClaim &claim)
@@ -102,19 +102,19 @@
     if (this->current && rankOf(claim) < rankOf(*this->current)) {
         return ReceiveOutcome::Outdated;
     }
-    this->noteGivenUp(claim);
+    this->recordResignation(claim);
     this->current = claim;
     this->receivedAt = this->clock.now();
-    this->seenHolder.reset();
-    this->holderMissed.reset();
+    this->lastSeenCoordinator.reset();
+    this->coordinatorMissingSince.reset();
     this->recordCoordinatorAlive();
-    this->choose();
+    this->selectCoordinator();
     return ReceiveOutcome::Accepted;
 }
 
 const Member *CoordinatorElection::coordinator() const
 {
-    return this->chosen;
+    return this->selected;
 }
 
 const std::optional<DutyClaim> &CoordinatorElection::claim() const
@@ -124,19 +124,19 @@
 
 bool CoordinatorElection::isQuerying() const
 {
-    return !this->current && this->metOthers;
+    return !this->current && this->othersSeenAt;
 }
 
 DutyClaim CoordinatorElection::claimQuery() const
 {
-    return {this->duty, 0, SessionNumber()};
+    return {this->role, 0, SessionNumber()};
 }
 
 const Member *CoordinatorElection::successor() const
 {
-    std::set<SessionNumber> except = this->unableMembers();
-    if (this->chosen != nullptr) {
-        except.insert(this->chosen->session);
+    std::set<SessionNumber> except = this->recentlyResigned();
+    if (this->selected != nullptr) {
+        except.insert(this->selected->session);
     }
     return coordinatorFor(*this->members, this->key, RoleCandidates::Relays, except);
 }
@@ -147,137 +147,138 @@
         return;
     }
     const SteadyTime now = this->clock.now();
-    this->accusers.insert_or_assign(suspicion.from, now);
-    std::erase_if(this->accusers, [now](const auto &accuser) {
-        return now - accuser.second > suspicionRetained;
+    this->suspectingMembers.insert_or_assign(suspicion.from, now);
+    std::erase_if(this->suspectingMembers, [now](const auto &entry) {
+        return now - entry.second > suspicionRetention;
     });
-    if (this->hasEnoughAccusers()) {
-        this->suspected = this->suspected.value_or(now);
+    if (this->hasEnoughSuspectingMembers()) {
+        this->suspectedSince = this->suspectedSince.value_or(now);
     }
 }
 
-bool CoordinatorElection::hasEnoughAccusers() const
+bool CoordinatorElection::hasEnoughSuspectingMembers() const
 {
-    // In a fleet of a few, all but this node and the holder.
+    // In a small fleet, all members except this node and the coordinator.
     const std::size_t others = std::max<std::size_t>(this->members->members().size(), 3) - 2;
-    return this->accusers.size() >= std::min(enoughAccusers, others);
+    return this->suspectingMembers.size() >= std::min(minSuspectingMembers, others);
 }
 
 void CoordinatorElection::recordCoordinatorAlive()
 {
-    this->accusers.clear();
-    this->suspected.reset();
-    if (this->holderMissed) {
-        this->holderMissed = this->clock.now();
+    this->suspectingMembers.clear();
+    this->suspectedSince.reset();
+    if (this->coordinatorMissingSince) {
+        this->coordinatorMissingSince = this->clock.now();
     }
 }
 
 const Member *CoordinatorElection::suspectedCoordinator() const
 {
-    return this->suspected && !this->isSilent() ? this->chosen : nullptr;
+    return this->suspectedSince && !this->isUnresponsive() ? this->selected : nullptr;
 }
 
-bool CoordinatorElection::isSilent() const
+bool CoordinatorElection::isUnresponsive() const
 {
-    return this->suspected && this->clock.now() - *this->suspected >= silenceTimeout;
+    return this->suspectedSince && this->clock.now() - *this->suspectedSince >= unresponsiveTimeout;
 }
 
 std::optional<DutyClaim> CoordinatorElection::makeClaim()
 {
-    if (this->suspected || this->holderMissed) {
-        this->choose();
+    if (this->suspectedSince || this->coordinatorMissingSince) {
+        this->selectCoordinator();
     }
-    if (this->chosen == nullptr) {
+    if (this->selected == nullptr) {
         return std::nullopt;
     }
-    const SessionNumber next = this->chosen->session;
+    const SessionNumber next = this->selected->session;
     const bool isClaimed = this->current && this->current->holder == next;
-    const bool isOurs = next == this->self;
-    const bool isGivenUp = this->current && this->current->holder == this->self;
-    // Who is told by several others that they miss the holder as well is not the one that is cut off.
-    const bool isConfirmed = this->isSilent() && this->hasEnoughAccusers();
-    const bool isSure = isConfirmed || (!this->hasLostMany() && !this->isNew() && !this->isHolderUnknown());
-    if (isClaimed || !(isGivenUp || (isOurs && isSure))) {
+    const bool isLocal = next == this->self;
+    const bool isOwnClaim = this->current && this->current->holder == this->self;
+    // A node that receives suspicions from several others is not cut off itself.
+    const bool isConfirmed = this->isUnresponsive() && this->hasEnoughSuspectingMembers();
+    const bool isSure = isConfirmed || (!this->hasLostManyMembers() && !this->isAwaitingClaim() && !this->isCoordinatorUnknown());
+    if (isClaimed || !(isOwnClaim || (isLocal && isSure))) {
         return std::nullopt;
     }
     const std::uint64_t term = this->current ? this->current->term + 1 : 1;
-    this->receive(DutyClaim{this->duty, term, next});
+    this->receive(DutyClaim{this->role, term, next});
     return this->current;
 }
 
-bool CoordinatorElection::isNew() const
+bool CoordinatorElection::isAwaitingClaim() const
 {
-    return !this->current && (!this->metOthers || this->clock.now() - *this->metOthers < askTimeout);
+    return !this->current && (!this->othersSeenAt || this->clock.now() - *this->othersSeenAt < claimQueryTimeout);
 }
 
-bool CoordinatorElection::isHolderUnknown() const
+bool CoordinatorElection::isCoordinatorUnknown() const
 {
-    return this->current && !this->seenHolder && this->clock.now() - this->receivedAt < unknownTimeout;
+    return this->current && !this->lastSeenCoordinator && this->clock.now() - this->receivedAt < unknownCoordinatorTimeout;
 }
 
 bool CoordinatorElection::mayKeep(const Member &claimed) const
 {
-    // Nodes hear at different moments that the holder takes callers, or has lost the store. It knows first, and names its
-    // successor to all when it can't go on. Were the others to judge as well, each claim would be answered by those of whom it is
-    // news.
-    return claimed.session == this->self ? mayKeepDuty(*this->settled, claimed) : !claimed.isLeaving;
+    // Only the coordinator itself decides whether it is still ready and has the store: it knows first, and names its successor
+    // to all when it has to stop. Other nodes learn of it at different times; if they decided as well, those with an older view
+    // would contest each claim.
+    return claimed.session == this->self ? mayKeepRole(*this->stableMembers, claimed) : !claimed.isLeaving;
 }
 
-const Member *CoordinatorElection::findClaimed()
+const Member *CoordinatorElection::findClaimedCoordinator()
 {
     if (!this->current) {
         return nullptr;
     }
-    if (const Member *const claimed = this->settled->find(this->current->holder)) {
-        this->seenHolder = *claimed;
-        this->holderMissed.reset();
+    if (const Member *const claimed = this->stableMembers->find(this->current->holder)) {
+        this->lastSeenCoordinator = *claimed;
+        this->coordinatorMissingSince.reset();
         return claimed;
     }
-    if (!this->seenHolder) {
+    if (!this->lastSeenCoordinator) {
         return nullptr;
     }
     const SteadyTime now = this->clock.now();
-    this->holderMissed = this->holderMissed.value_or(now);
-    if (now - *this->holderMissed > missingKept) {
+    this->coordinatorMissingSince = this->coordinatorMissingSince.value_or(now);
+    if (now - *this->coordinatorMissingSince > missingCoordinatorTimeout) {
         return nullptr;
     }
-    this->suspected = this->suspected.value_or(now);
-    return &*this->seenHolder;
+    this->suspectedSince = this->suspectedSince.value_or(now);
+    return &*this->lastSeenCoordinator;
 }
 
-void CoordinatorElection::choose()
+void CoordinatorElection::selectCoordinator()
 {
-    const Member *const claimed = this->findClaimed();
-    if (claimed != nullptr && this->mayKeep(*claimed) && !this->isSilent()) {
-        this->chosen = claimed;
+    const Member *const claimed = this->findClaimedCoordinator();
+    if (claimed != nullptr && this->mayKeep(*claimed) && !this->isUnresponsive()) {
+        this->selected = claimed;
         return;
     }
-    // A successor must reach the store now; whether it lost it for long does not matter yet.
-    std::set<SessionNumber> except = this->unableMembers();
-    if (this->isSilent() && this->current) {
+    // A successor must reach the store now, however short its loss has been.
+    std::set<SessionNumber> except = this->recentlyResigned();
+    if (this->isUnresponsive() && this->current) {
         except.insert(this->current->holder);
     }
-    this->chosen = coordinatorFor(*this->members, this->key, RoleCandidates::Relays, except);
+    this->selected = coordinatorFor(*this->members, this->key, RoleCandidates::Relays, except);
 }
 
-// Of two that can't go on, each may hold the other for able until it hears of it: they would name each other in turn.
-void CoordinatorElection::noteGivenUp(const DutyClaim &claim)
+// If two members become ineligible at once, each may regard the other as eligible until the view shows otherwise. Without this
+// record they would name each other in turn.
+void CoordinatorElection::recordResignation(const DutyClaim &claim)
 {
-    const bool isNamedByHolder = this->current && claim.holder == this->self && this->current->holder != this->self;
-    if (isNamedByHolder) {
-        this->givenUp.insert_or_assign(this->current->holder, this->clock.now());
+    const bool isNamedByCoordinator = this->current && claim.holder == this->self && this->current->holder != this->self;
+    if (isNamedByCoordinator) {
+        this->resignedMembers.insert_or_assign(this->current->holder, this->clock.now());
     }
 }
 
-std::set<SessionNumber> CoordinatorElection::unableMembers() const
+std::set<SessionNumber> CoordinatorElection::recentlyResigned() const
 {
-    std::set<SessionNumber> unable;
-    for (const auto &[session, when] : this->givenUp) {
-        if (this->clock.now() - when < givenUpRetained) {
-            unable.insert(session);
+    std::set<SessionNumber> sessions;
+    for (const auto &[session, resignedAt] : this->resignedMembers) {
+        if (this->clock.now() - resignedAt < resignationRetention) {
+            sessions.insert(session);
         }
     }
-    return unable;
+    return sessions;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/CoordinatorElection.h
+++ b/Libraries/LibMembership/CoordinatorElection.h
@@ -14,107 +14,108 @@
 {
 
 /**
- * Which member has a duty, such as dispatching for a service, in the eyes of one node.
+ * Determines which member is the coordinator of a role, such as dispatching for a service, from the view of one node.
  *
- * Were it only hashed from the members, it would move whenever a member comes, or loses the store and regains it, and the nodes,
- * which hear of that at different moments, would name several at once for seconds. So a holder keeps its duty as long as it
- * can, and says so: a claim with a term, told to all at once. When the holder leaves or loses the store it names its successor
- * itself, and only it judges that; when it dies, the member that the hash names claims the duty. Several nodes that get no
- * answer of the holder are enough for that, long before the membership is sure of its death.
+ * A coordinator keeps its role as long as it can and announces it to all members with a claim that carries a term. If it leaves
+ * or loses the store, it alone decides that and names its successor. If it dies, the member that rendezvous hashing prefers
+ * claims the role. Suspicions of several nodes suffice for that, long before the membership declares the coordinator dead.
  *
- * NOTE: Claims are hints between nodes, as membership is: two nodes may hold a duty at once until they hear of each other, and
- * nothing that must hold depends on there being one.
+ * Hashing alone would move the role whenever a member joins, loses the store or regains it. Nodes learn of such changes at
+ * different times and would name several coordinators for seconds.
+ *
+ * NOTE: Claims are hints, as membership is. Two nodes may hold a role until each receives the other's claim, so correctness
+ * must not depend on there being only one coordinator.
  */
 class CoordinatorElection
 {
 public:
-    /** What a claim of another node changes. */
+    /** The effect of a claim received from another node. */
     enum class ReceiveOutcome {
-        /** It counts from now on. */
+        /** The claim is the current one from now on. */
         Accepted,
-        /** It is the one that is known. */
+        /** The claim is already the current one. */
         Known,
-        /** A higher one is known; who told it should hear of that. */
+        /** A higher claim is known and should be sent to the sender. */
         Outdated,
     };
 
-    /** @param duty its name, the same on all nodes */
-    CoordinatorElection(const Clock &clock, std::string duty);
+    /** @param role name of the role, the same on all nodes */
+    CoordinatorElection(const Clock &clock, std::string role);
 
     /**
-     * Take the members as they are seen now.
+     * Applies a new view of the members.
      * @param self the session of this node
-     * @param members with the loss of the store as each member told it
-     * @param settled with the loss of the store where it takes duties away, see StoreReach
+     * @param members the members with the loss of the store as each member reported it
+     * @param stableMembers the members with only those losses of the store that disqualify from roles, see StoreReachability
      */
-    void setView(SessionNumber self, const MemberViewPointer &members, const MemberViewPointer &settled);
+    void setView(SessionNumber self, const MemberViewPointer &members, const MemberViewPointer &stableMembers);
 
-    /** Another node tells who has the duty. */
+    /** Handles a claim from another node. */
     ReceiveOutcome receive(const DutyClaim &claim);
 
-    /** @return who has the duty, or null if nobody can have it; valid until the next call that changes something. */
+    /** @return the coordinator, or null if no member is eligible; valid until the next call of a non-const function. */
     const Member *coordinator() const;
 
-    /** @return the claim that counts, if any was made. */
+    /** @return the current claim, if any is known. */
     const std::optional<DutyClaim> &claim() const;
 
-    /** @return whether this node knows no claim, and has to ask other nodes for one. */
+    /** @return whether this node knows other members but no claim, and has to query them for one. */
     bool isQuerying() const;
 
-    /** @return the question for the claim that others know: an empty claim, which is outdated for whoever knows one. */
+    /** @return a query for the claim that other nodes know: an empty claim, which is outdated for any node that knows one. */
     DutyClaim claimQuery() const;
 
-    /** @return the member that would have the duty if its holder were gone, or null if there is none. */
+    /** @return the member that would become the coordinator if the current one departed, or null if there is none. */
     const Member *successor() const;
 
-    /** A node got no answer of the holder. */
+    /** Records that a node received no answer from the coordinator. */
     void receiveSuspicion(const DutySuspicion &suspicion);
 
-    /** The holder gave a sign of life. */
+    /** Records that the coordinator has responded, and clears the suspicions against it. */
     void recordCoordinatorAlive();
 
-    /** @return the holder, if it is suspected by several nodes and this one has to look whether it lives; else null. */
+    /** @return the coordinator if enough nodes suspect it and this node has to probe it; otherwise null. */
     const Member *suspectedCoordinator() const;
 
-    /** @return a claim that this node makes now, to be told to all others; nothing if it has none to make. */
+    /** @return a claim that this node makes now and that has to be sent to all other members; nothing if it makes none. */
     std::optional<DutyClaim> makeClaim();
 
 private:
-    void choose();
-    void noteGivenUp(const DutyClaim &claim);
-    std::set<SessionNumber> unableMembers() const;
-    const Member *findClaimed();
+    void selectCoordinator();
+    void recordResignation(const DutyClaim &claim);
+    std::set<SessionNumber> recentlyResigned() const;
+    const Member *findClaimedCoordinator();
     bool mayKeep(const Member &claimed) const;
-    bool isNew() const;
-    bool isSilent() const;
-    bool isHolderUnknown() const;
-    bool hasLostMany() const;
-    bool hasEnoughAccusers() const;
+    bool isAwaitingClaim() const;
+    bool isUnresponsive() const;
+    bool isCoordinatorUnknown() const;
+    bool hasLostManyMembers() const;
+    bool hasEnoughSuspectingMembers() const;
 
     const Clock &clock;
-    std::string duty;
+    std::string role;
     std::uint64_t key;
     SessionNumber self;
     MemberViewPointer members;
-    MemberViewPointer settled;
+    MemberViewPointer stableMembers;
     std::optional<DutyClaim> current;
     SteadyTime receivedAt{};
-    /** When this node first saw another member. */
-    std::optional<SteadyTime> metOthers;
-    /** The holder that the claim names, as it was last among the members. */
-    std::optional<Member> seenHolder;
-    /** Since when it is not among them any more, or when it last gave a sign of life after that. */
-    std::optional<SteadyTime> holderMissed;
-    const Member *chosen = nullptr;
-    /** Who gave the duty up lately, and when: they know that they can't have it before the others hear why. */
-    std::map<SessionNumber, SteadyTime> givenUp;
-    /** Who got no answer of the holder, and when. */
-    std::map<SessionNumber, SteadyTime> accusers;
-    /** Since when the holder is suspected by enough of them. */
-    std::optional<SteadyTime> suspected;
-    /** The most members that were seen lately, and when. */
-    std::size_t mostMembers = 0;
-    SteadyTime mostSeen{};
+    /** When this node first had another member in its view. */
+    std::optional<SteadyTime> othersSeenAt;
+    /** The coordinator that the claim names, as of the last view that contained it. */
+    std::optional<Member> lastSeenCoordinator;
+    /** Since when the view does not contain it, or when it last responded after that. */
+    std::optional<SteadyTime> coordinatorMissingSince;
+    const Member *selected = nullptr;
+    /** Members that gave up the role recently, and when. They know that they are not eligible before the view shows it. */
+    std::map<SessionNumber, SteadyTime> resignedMembers;
+    /** Members that received no answer from the coordinator, and when. */
+    std::map<SessionNumber, SteadyTime> suspectingMembers;
+    /** Since when enough members suspect the coordinator. */
+    std::optional<SteadyTime> suspectedSince;
+    /** The largest recent number of members, and when it was observed. */
+    std::size_t maxMembers = 0;
+    SteadyTime maxMembersAt{};
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/EntryPressure.h
+++ b/Libraries/LibMembership/EntryPressure.h
@@ -7,21 +7,21 @@
 {
 
 /**
- * Tells from the delay of messages to the entry task whether it keeps up. A task whose messages wait cannot take more
- * callers, whatever its requests are doing. Slow to change, since each change moves callers.
+ * Detects overload of the entry task from the queueing delay of its messages. A task whose messages wait cannot accept more
+ * callers, whatever the state of its requests. The pressure changes slowly, because each change moves callers.
  */
 class EntryPressure
 {
 public:
     /**
-     * @param delay from posting a message to its being run
-     * @return the pressure from now on, in percent; 100 is overloaded
+     * @param delay time from posting a message until it runs
+     * @return the new pressure in percent; 100 is overloaded
      */
     std::uint32_t observe(std::chrono::nanoseconds delay);
 
 private:
-    std::uint32_t slowInARow = 0;
-    std::uint32_t quickInARow = 0;
+    std::uint32_t consecutiveSlow = 0;
+    std::uint32_t consecutiveFast = 0;
     std::uint32_t pressure = 0;
 };
 
--- a/Libraries/LibMembership/EntrySelector.cpp
+++ b/Libraries/LibMembership/EntrySelector.cpp
@@ -13,19 +13,19 @@
 {
 
 constexpr std::uint32_t overloaded = 100;
-constexpr double leastShare = 0.2;
-/** With fewer good nodes than this, worse ones fill up: one address alone leaves a caller without a second try. */
-constexpr std::size_t fewest = 2;
+constexpr double minWeightShare = 0.2;
+/** With fewer fit nodes than this, less fit ones are added: a caller with a single address has no second try. */
+constexpr std::size_t minCandidates = 2;
 
-/** How fit a node is to be named; the first that has nodes is used. */
+/** How suitable a node is for an answer, best first. */
 enum class Fitness : std::uint8_t {
     Good,
     Overloaded,
-    Doubtful,
+    Uncertain,
     LastResort,
 };
 
-/** A node and how high it stands for one caller. */
+/** A node and its rank for one caller. */
 struct Candidate
 {
     const Member *member = nullptr;
@@ -40,16 +40,16 @@
         return Fitness::LastResort;
     }
     if (member.state != MemberState::Alive) {
-        return Fitness::Doubtful;
+        return Fitness::Uncertain;
     }
     return member.pressure >= overloaded ? Fitness::Overloaded : Fitness::Good;
 }
 
-/** A number above 0 and up to 1 from a hash. */
-double shareOf(std::uint64_t hash)
+/** Maps a hash to the interval (0, 1]. */
+double toUnitInterval(std::uint64_t hash)
 {
-    constexpr int kept = 53;
-    return (static_cast<double>(hash >> (64 - kept)) + 1) / static_cast<double>(std::uint64_t(1) << kept);
+    constexpr int mantissaBits = 53;
+    return (static_cast<double>(hash >> (64 - mantissaBits)) + 1) / static_cast<double>(std::uint64_t(1) << mantissaBits);
 }
 
 std::size_t countOf(const std::vector<Candidate> &candidates, Fitness worst)
@@ -59,11 +59,11 @@
     }));
 }
 
-/** Leaves the good ones, and of the worse only what is needed to have a few. */
-void keepFit(std::vector<Candidate> &candidates, std::size_t wanted)
+/** Removes the less fit candidates, except the classes that are needed to have a few addresses. */
+void removeUnfit(std::vector<Candidate> &candidates, std::size_t wanted)
 {
     Fitness worst = Fitness::Good;
-    while (worst < Fitness::Doubtful && countOf(candidates, worst) < std::min(wanted, fewest)) {
+    while (worst < Fitness::Uncertain && countOf(candidates, worst) < std::min(wanted, minCandidates)) {
         worst = static_cast<Fitness>(static_cast<std::uint8_t>(worst) + 1);
     }
     if (countOf(candidates, worst) == 0) {
@@ -82,12 +82,12 @@
 
 double EntrySelector::weightOf(const Member &member, WallTime now) const
 {
-    // NOTE: Clocks of the VMs differ a little; that moves the ramp by as much and does no harm.
+    // NOTE: The clocks of the VMs differ slightly, which shifts the ramp by the same amount and is harmless.
     const std::chrono::duration<double> age = now - member.started;
     const std::chrono::duration<double> ramp = this->rampUp;
-    const double grown = ramp.count() > 0 ? std::clamp(age / ramp, 0.0, 1.0) : 1;
-    const double spare = 1 - std::min(member.pressure, overloaded) / (2.0 * overloaded);
-    return (leastShare + (1 - leastShare) * grown) * spare;
+    const double rampFactor = ramp.count() > 0 ? std::clamp(age / ramp, 0.0, 1.0) : 1;
+    const double spareCapacity = 1 - std::min(member.pressure, overloaded) / (2.0 * overloaded);
+    return (minWeightShare + (1 - minWeightShare) * rampFactor) * spareCapacity;
 }
 
 std::vector<EntryAddress> EntrySelector::select(const MemberView &view, const EntryQuery &query, WallTime now) const
@@ -95,11 +95,11 @@
     const std::uint64_t key = stableHash(query.caller);
     std::vector<Candidate> candidates;
     for (const Member &member : view.members()) {
-        const double share = shareOf(rendezvousWeight(key, member.session.value()));
+        const double share = toUnitInterval(rendezvousWeight(key, member.session.value()));
         const double score = this->weightOf(member, now) / -std::log(share);
         candidates.push_back({&member, fitnessOf(member), member.failureDomain == query.near, score});
     }
-    keepFit(candidates, query.count);
+    removeUnfit(candidates, query.count);
     std::ranges::sort(candidates, [](const Candidate &left, const Candidate &right) {
         if (left.fitness != right.fitness) {
             return left.fitness < right.fitness;
@@ -109,13 +109,13 @@
     const std::size_t count = std::min(candidates.size(), std::max<std::size_t>(query.count, 1));
     if (count > 1) {
         const FailureDomain &first = candidates.front().member->failureDomain;
-        const auto isElsewhere = [&first](const Candidate &candidate) {
+        const auto isInOtherDomain = [&first](const Candidate &candidate) {
             return candidate.member->failureDomain != first;
         };
         const auto last = candidates.begin() + static_cast<std::ptrdiff_t>(count - 1);
-        const auto elsewhere = std::ranges::find_if(candidates, isElsewhere);
-        if (elsewhere != candidates.end() && elsewhere > last) {
-            std::iter_swap(last, elsewhere);
+        const auto otherDomain = std::ranges::find_if(candidates, isInOtherDomain);
+        if (otherDomain != candidates.end() && otherDomain > last) {
+            std::iter_swap(last, otherDomain);
         }
     }
     std::vector<EntryAddress> addresses;
--- a/Libraries/LibMembership/EntrySelector.h
+++ b/Libraries/LibMembership/EntrySelector.h
@@ -13,18 +13,18 @@
 namespace Dogwoodkeel
 {
 
-/** What a caller asks when it wants to know which addresses to use. */
+/** A caller's query for the entry addresses it should use. */
 struct EntryQuery
 {
-    /** Names the caller; the same caller gets the same nodes as long as they are there. */
+    /** Identifies the caller. The same caller gets the same nodes as long as they are members. */
     std::string caller;
     /** The failure domain the caller is in or near. */
     FailureDomain near;
-    /** How many addresses it wants. */
+    /** The number of addresses requested. */
     std::size_t count = 3;
 };
 
-/** One address for a caller. */
+/** The address of one entry node, and where it is. */
 struct EntryAddress
 {
     Address address;
@@ -34,23 +34,24 @@
 };
 
 /**
- * Chooses the nodes that a caller is told to use, in order.
+ * Selects the nodes that a caller should use, in order of preference.
  *
- * A caller keeps the answer for its time to live, in which nodes go and come. So nodes that are leaving, not ready or
- * overloaded are left out, and the addresses are never all in one failure domain if another has a node: a caller that
- * loses a domain still has an address that answers. Callers are spread by weighted rendezvous hashing, so that a node that
- * comes or goes moves only its own callers, and a new one gets its share little by little.
+ * A caller keeps the answer for its time to live, during which nodes join and leave. Nodes that are leaving, not ready or
+ * overloaded are therefore omitted while enough others are available. The addresses are not all in one failure domain if
+ * another domain has a usable node, so a caller that loses a domain still has an address that answers. Callers are spread by
+ * weighted rendezvous hashing: a node that joins or leaves moves only its own callers, and the share of a new node grows
+ * gradually.
  */
 class EntrySelector
 {
 public:
-    /** @param rampUp how long after its start a node has its full share; a few times the answers' time to live */
+    /** @param rampUp time after its start until a node gets its full share; a few times the answers' time to live */
     explicit EntrySelector(std::chrono::milliseconds rampUp);
 
     /**
      * @param view the members
-     * @param now by the wall clock, since a member's start is told by it
-     * @return addresses in the order to be tried; empty only if there is no member at all
+     * @param now wall clock time, because members report their start in it
+     * @return addresses in the order to be tried; empty only if there is no member
      */
     std::vector<EntryAddress> select(const MemberView &view, const EntryQuery &query, WallTime now) const;
 
--- a/Libraries/LibMembership/JournalHolders.cpp
+++ b/Libraries/LibMembership/JournalHolders.cpp
@@ -6,34 +6,34 @@
 namespace Dogwoodkeel
 {
 
-std::vector<std::size_t> chooseJournalHolders(const std::vector<Member> &members, std::size_t most)
+std::vector<std::size_t> selectJournalHolders(const std::vector<Member> &members, std::size_t maxHolders)
 {
     std::map<FailureDomain, std::vector<std::size_t>> domains;
     std::size_t candidates = 0;
-    for (std::size_t place = 0; place < members.size(); ++place) {
-        if (members[place].state != MemberState::Leaving) {
-            domains[members[place].failureDomain].push_back(place);
+    for (std::size_t index = 0; index < members.size(); ++index) {
+        if (members[index].state != MemberState::Leaving) {
+            domains[members[index].failureDomain].push_back(index);
             ++candidates;
         }
     }
-    if (candidates <= most) {
+    if (candidates <= maxHolders) {
         return {};
     }
-    for (auto &[domain, places] : domains) {
-        std::ranges::sort(places, {}, [&members](std::size_t place) {
-            return members[place].session;
+    for (auto &[domain, indexes] : domains) {
+        std::ranges::sort(indexes, {}, [&members](std::size_t index) {
+            return members[index].session;
         });
     }
-    std::vector<std::size_t> chosen;
-    for (std::size_t rank = 0; chosen.size() < most; ++rank) {
-        for (const auto &[domain, places] : domains) {
-            if (rank < places.size() && chosen.size() < most) {
-                chosen.push_back(places[rank]);
+    std::vector<std::size_t> selected;
+    for (std::size_t rank = 0; selected.size() < maxHolders; ++rank) {
+        for (const auto &[domain, indexes] : domains) {
+            if (rank < indexes.size() && selected.size() < maxHolders) {
+                selected.push_back(indexes[rank]);
             }
         }
     }
-    std::ranges::sort(chosen);
-    return chosen;
+    std::ranges::sort(selected);
+    return selected;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/JournalHolders.h
+++ b/Libraries/LibMembership/JournalHolders.h
@@ -9,15 +9,15 @@
 {
 
 /**
- * Chooses the members that hold a journal and own shards, when not all may.
+ * Selects the members that hold a journal and own shards, if not all may.
  *
- * They are spread over the failure domains, and within a domain the members that have been there longest are taken: one
- * that joins, or comes and goes, takes nobody's place, and one that is lost is followed by a single other. All nodes
- * with the same members choose the same.
- * @param members in any order
- * @param most how many may hold a journal
- * @return their places in the list, in its order; empty if all that are not leaving may
+ * The journals are spread over the failure domains. Within a domain the members with the oldest sessions are selected, so a
+ * member that joins replaces none, and one that is lost is replaced by a single other. All nodes with the same members select
+ * the same.
+ * @param members the members in any order
+ * @param maxHolders how many may hold a journal
+ * @return their indexes in the list, in ascending order; empty if all members that are not leaving may hold one
  */
-std::vector<std::size_t> chooseJournalHolders(const std::vector<Member> &members, std::size_t most);
+std::vector<std::size_t> selectJournalHolders(const std::vector<Member> &members, std::size_t maxHolders);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/LocalHealth.cpp
+++ b/Libraries/LibMembership/LocalHealth.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::int64_t worstScore = 7;
+constexpr std::int64_t maxScore = 7;
 
 } // namespace
 
@@ -19,7 +19,7 @@
 
 void LocalHealth::failed()
 {
-    this->score = std::min(this->score + 1, worstScore);
+    this->score = std::min(this->score + 1, maxScore);
 }
 
 std::int64_t LocalHealth::factor() const
--- a/Libraries/LibMembership/LocalHealth.h
+++ b/Libraries/LibMembership/LocalHealth.h
@@ -7,20 +7,20 @@
 {
 
 /**
- * How far this node trusts itself to judge others. A node that is paused, starved or badly connected sees many members
- * fail to answer; it gives them more time, so that its own slowness does not become their death (Lifeguard, 2018,
- * section IV-A).
+ * Scores how reliable this node's own observations of other members are. A node that is paused, short of processor time or badly
+ * connected sees many members fail to answer. It extends its timeouts, so that it does not declare others dead because it is slow
+ * itself (Lifeguard, 2018, section IV-A).
  */
 class LocalHealth
 {
 public:
-    /** A probe was answered in time. */
+    /** Records that a probe was answered in time. */
     void succeeded();
 
-    /** A probe was not answered, this node had to refute, or it found that it had been paused. */
+    /** Records that a probe was not answered, that this node had to refute a suspicion, or that it had been paused. */
     void failed();
 
-    /** @return 1 for a healthy node, up to 8; times are multiplied by it. */
+    /** @return the factor for intervals and timeouts: 1 for a healthy node, up to 8. */
     std::int64_t factor() const;
 
 private:
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -8,12 +8,12 @@
 namespace Dogwoodkeel
 {
 
-bool isGone(const Member &member)
+bool isDeparted(const Member &member)
 {
     return member.state >= MemberState::Dead;
 }
 
-MemberNews newsOf(const Member &member)
+MemberNews updateOf(const Member &member)
 {
     return {member.session,
             member.incarnation,
@@ -34,13 +34,13 @@
 {
     Entry &own = this->known[this->self];
     own = {std::move(self), now, true};
-    this->recount(own);
+    this->updateTotals(own);
 }
 
-void MemberTable::recount(Entry &entry)
+void MemberTable::updateTotals(Entry &entry)
 {
-    this->uncount(entry);
-    if (!isGone(entry.member)) {
+    this->removeFromTotals(entry);
+    if (!isDeparted(entry.member)) {
         // NOTE: Suspect counts as alive: it is on its way to one or the other, and each step would cost a comparison.
         const std::uint64_t session = entry.member.session.value();
         entry.weight = static_cast<std::uint32_t>(rendezvousWeight(session, entry.member.incarnation));
@@ -49,7 +49,7 @@
     }
 }
 
-void MemberTable::uncount(Entry &entry)
+void MemberTable::removeFromTotals(Entry &entry)
 {
     if (entry.weight) {
         this->partDigests[entry.member.session.value() % parts] -= *entry.weight;
@@ -75,20 +75,20 @@
     Entry &entry = found->second;
     if (isNew) {
         entry = {reported, now, true};
-        this->recount(entry);
+        this->updateTotals(entry);
         return MergeResult::Changed;
     }
     const bool wasDescribed = std::exchange(entry.isDescribed, true);
     if (!wasDescribed) {
         // Its state alone was known. That goes on to count: the description may come from one that has not heard.
-        const MemberNews current = newsOf(entry.member);
-        this->uncount(entry);
+        const MemberNews current = updateOf(entry.member);
+        this->removeFromTotals(entry);
         entry.member = reported;
         entry.member.incarnation = current.incarnation;
         entry.member.state = current.state;
-        this->recount(entry);
+        this->updateTotals(entry);
     }
-    const MergeResult result = this->merge(newsOf(reported), now);
+    const MergeResult result = this->merge(updateOf(reported), now);
     const MergeResult load = this->merge(loadOf(reported));
     if (!wasDescribed || result == MergeResult::Changed) {
         return MergeResult::Changed;
@@ -112,7 +112,7 @@
     }
     Entry &entry = found->second;
     if (!isNewer(reported, entry.member)) {
-        return MergeResult::Nothing;
+        return MergeResult::Unchanged;
     }
     if (!entry.isDescribed && reported.state < MemberState::Dead) {
         return MergeResult::NeedsDescription;
@@ -122,7 +122,7 @@
     }
     entry.member.incarnation = reported.incarnation;
     entry.member.state = reported.state;
-    this->recount(entry);
+    this->updateTotals(entry);
     entry.member.isLeaving = reported.isLeaving;
     entry.member.isReady = reported.isReady;
     entry.member.hasLostStore = reported.hasLostStore;
@@ -138,7 +138,7 @@
     }
     Member &member = found->second.member;
     if (reported.version <= member.loadVersion) {
-        return MergeResult::Nothing;
+        return MergeResult::Unchanged;
     }
     member.loadVersion = reported.version;
     member.backlog = reported.backlog;
@@ -160,16 +160,16 @@
 
 void MemberTable::ownChanged()
 {
-    this->recount(this->known.at(this->self));
+    this->updateTotals(this->known.at(this->self));
 }
 
 void MemberTable::renameOwn(SessionNumber next)
 {
     auto node = this->known.extract(this->self);
-    this->uncount(node.mapped());
-    if (const auto namesake = this->known.find(next); namesake != this->known.end()) {
-        this->uncount(namesake->second);
-        this->known.erase(namesake);
+    this->removeFromTotals(node.mapped());
+    if (const auto duplicate = this->known.find(next); duplicate != this->known.end()) {
+        this->removeFromTotals(duplicate->second);
+        this->known.erase(duplicate);
     }
     node.key() = next;
     node.mapped().member.session = next;
@@ -193,7 +193,7 @@
 {
     std::vector<const Member *> members;
     for (const auto &[session, entry] : this->known) {
-        if (session != this->self && !isGone(entry.member)) {
+        if (session != this->self && !isDeparted(entry.member)) {
             members.push_back(&entry.member);
         }
     }
@@ -218,7 +218,7 @@
 void MemberTable::forget(SteadyTime before)
 {
     std::erase_if(this->known, [this, before](const auto &entry) {
-        return entry.first != this->self && isGone(entry.second.member) && entry.second.since < before;
+        return entry.first != this->self && isDeparted(entry.second.member) && entry.second.since < before;
     });
 }
 
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -17,7 +17,7 @@
 /** What came of taking in something that was told. */
 enum class MergeResult : std::uint8_t {
     /** It was known, or is older than what is known. */
-    Nothing,
+    Unchanged,
     /** It changed what is known of a member. */
     Changed,
     /** It is about a member that no description was given of; the teller has to be asked. */
@@ -85,8 +85,8 @@
 
 private:
     static bool isNewer(const MemberNews &reported, const Member &known);
-    void recount(Entry &entry);
-    void uncount(Entry &entry);
+    void updateTotals(Entry &entry);
+    void removeFromTotals(Entry &entry);
 
     SessionNumber self;
     std::map<SessionNumber, Entry> known;
@@ -97,10 +97,10 @@
 };
 
 /** @return whether a member is dead or left. */
-bool isGone(const Member &member);
+bool isDeparted(const Member &member);
 
 /** @return what is told of a member to those that have its description. */
-MemberNews newsOf(const Member &member);
+MemberNews updateOf(const Member &member);
 
 /** @return what is told of a member's load. */
 MemberLoad loadOf(const Member &member);
--- a/Libraries/LibMembership/MemberView.cpp
+++ b/Libraries/LibMembership/MemberView.cpp
@@ -66,16 +66,16 @@
     if (this->journalHolders.empty()) {
         return this->ownerOf(key);
     }
-    const auto best = std::ranges::max_element(this->journalHolders, {}, [this, key](std::size_t place) {
-        return rendezvousWeight(key, this->list[place].session.value());
+    const auto best = std::ranges::max_element(this->journalHolders, {}, [this, key](std::size_t index) {
+        return rendezvousWeight(key, this->list[index].session.value());
     });
     return &this->list[*best];
 }
 
-std::shared_ptr<const MemberView> MemberView::withJournalLimit(std::size_t most) const
+std::shared_ptr<const MemberView> MemberView::withJournalLimit(std::size_t maxHolders) const
 {
     auto view = std::make_shared<MemberView>(*this);
-    view->journalHolders = chooseJournalHolders(this->list, most);
+    view->journalHolders = selectJournalHolders(this->list, maxHolders);
     return view;
 }
 
--- a/Libraries/LibMembership/MemberView.h
+++ b/Libraries/LibMembership/MemberView.h
@@ -50,7 +50,7 @@
      * @return the same view, in which only some members own shards if there are more than that: each holds a journal, and
      * the platform takes only so many writes. The others send their claims and results there.
      */
-    std::shared_ptr<const MemberView> withJournalLimit(std::size_t most) const;
+    std::shared_ptr<const MemberView> withJournalLimit(std::size_t maxHolders) const;
 
     /** @return how many members own shards. */
     std::size_t journalCount() const;
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -13,28 +13,28 @@
 namespace
 {
 
-constexpr std::size_t relaysKept = 64;
-constexpr std::size_t contactsAtOnce = 8;
-constexpr std::size_t farewells = 32;
-constexpr std::size_t newsInDatagram = 12;
+constexpr std::size_t maxForwardedProbes = 64;
+constexpr std::size_t maxContactsAtOnce = 8;
+constexpr std::size_t maxLeaveReceivers = 32;
+constexpr std::size_t updatesInDatagram = 12;
 constexpr std::size_t membersInDatagram = 5;
 constexpr std::size_t membersInPush = 20;
 constexpr std::size_t departedInPush = 64;
 constexpr std::size_t loadsInDatagram = 8;
 constexpr std::size_t vmsInDatagram = 4;
 /** Above this, a new configVersion is not news: it goes with the node's own probes and answers. */
-constexpr std::size_t tellVersionsUpTo = 32;
-constexpr std::uint32_t tellingsPerDoubling = 3;
-constexpr std::uint32_t fewestTellings = 6;
-constexpr std::size_t smallestTalk = 2;
+constexpr std::size_t maxMembersForVersionUpdates = 32;
+constexpr std::uint32_t transmissionsPerDoubling = 3;
+constexpr std::uint32_t minTransmissions = 6;
+constexpr std::size_t minOtherMembers = 2;
 /** How many times longer an unconfirmed suspicion lasts, and a node that hears nothing waits before it accuses. */
 constexpr int unconfirmedFactor = 3;
-constexpr int deafFactor = 5;
+constexpr int lastMemberFactor = 5;
 constexpr int pullFactor = 10;
 constexpr int reconnectFactor = 25;
-constexpr std::chrono::minutes lostFor{10};
-constexpr std::chrono::minutes leavingKept{10};
-constexpr std::chrono::minutes correctedKept{1};
+constexpr std::chrono::minutes recentLossWindow{10};
+constexpr std::chrono::minutes leavingRetention{10};
+constexpr std::chrono::minutes notifiedRetention{1};
 
 } // namespace
 
@@ -49,7 +49,7 @@
     , lastReceived(clock.now())
 {
     this->newMembers.add(this->self);
-    this->current = std::make_shared<MemberView>(std::vector<Member>{this->table.own()});
+    this->currentView = std::make_shared<MemberView>(std::vector<Member>{this->table.own()});
 }
 
 Membership::~Membership()
@@ -67,16 +67,16 @@
 void Membership::start(const std::vector<Address> &contacts)
 {
     this->tickDue = this->clock.now();
-    this->changed = true;
+    this->hasChanged = true;
     this->contacts = contacts;
     this->tick();
 }
 
 void Membership::contact(const std::vector<Address> &addresses)
 {
-    std::vector<Address> chosen;
-    std::ranges::sample(addresses, std::back_inserter(chosen), contactsAtOnce, this->random);
-    for (const Address &address : chosen) {
+    std::vector<Address> selected;
+    std::ranges::sample(addresses, std::back_inserter(selected), maxContactsAtOnce, this->random);
+    for (const Address &address : selected) {
         if (address != this->table.own().gossip && !this->hasLeft) {
             this->hooks.sendPing(address, {this->self, ++this->lastSequence, this->gossipFor(SessionNumber(0))});
         }
@@ -89,12 +89,12 @@
         return;
     }
     const SteadyTime now = this->clock.now();
-    this->table.forget(now - this->options.forgetDead);
+    this->table.forget(now - this->options.deadRetention);
     std::erase_if(this->leavingSince, [now](const auto &entry) {
-        return now - entry.second > leavingKept;
+        return now - entry.second > leavingRetention;
     });
-    std::erase_if(this->corrected, [now](const auto &entry) {
-        return now - entry.second > correctedKept;
+    std::erase_if(this->notifiedAt, [now](const auto &entry) {
+        return now - entry.second > notifiedRetention;
     });
     if (const SessionNumber target = this->nextTarget(); target.value() != 0) {
         this->probe(target);
@@ -114,9 +114,9 @@
 std::chrono::milliseconds Membership::interval() const
 {
     const auto nodes = static_cast<std::int64_t>(this->table.otherCount() + 1);
-    const auto stretched = this->options.probeInterval * nodes / static_cast<std::int64_t>(this->options.stretchFrom);
-    const auto longest = std::max(this->options.probeInterval, this->options.longestProbeInterval);
-    return std::clamp(stretched, this->options.probeInterval, longest) * this->health.factor();
+    const auto scaled = this->options.probeInterval * nodes / static_cast<std::int64_t>(this->options.scalingThreshold);
+    const auto maximum = std::max(this->options.probeInterval, this->options.maxProbeInterval);
+    return std::clamp(scaled, this->options.probeInterval, maximum) * this->health.factor();
 }
 
 std::chrono::milliseconds Membership::probeTimeout() const
@@ -124,10 +124,10 @@
     return this->options.probeTimeout * this->health.factor();
 }
 
-std::uint32_t Membership::tellings() const
+std::uint32_t Membership::transmissions() const
 {
     const std::size_t nodes = this->table.otherCount() + 1;
-    return std::max(fewestTellings, tellingsPerDoubling * static_cast<std::uint32_t>(std::bit_width(nodes)));
+    return std::max(minTransmissions, transmissionsPerDoubling * static_cast<std::uint32_t>(std::bit_width(nodes)));
 }
 
 bool Membership::wasPaused(SteadyTime due)
@@ -157,17 +157,17 @@
     return true;
 }
 
-bool Membership::isDeaf() const
+bool Membership::isLikelyCutOff() const
 {
     // Where several others are known and none is heard, the fault is more likely here. If the silence lasts, they are gone.
-    const auto silence = this->clock.now() - this->lastReceived;
-    const bool hasOthers = this->table.otherCount() >= smallestTalk;
-    return hasOthers && silence > this->interval() * 2 && !this->isAlone();
+    const auto quietTime = this->clock.now() - this->lastReceived;
+    const bool hasOthers = this->table.otherCount() >= minOtherMembers;
+    return hasOthers && quietTime > this->interval() * 2 && !this->isLikelyLastMember();
 }
 
-bool Membership::isAlone() const
+bool Membership::isLikelyLastMember() const
 {
-    return this->clock.now() - this->lastReceived >= this->options.suspicion * deafFactor;
+    return this->clock.now() - this->lastReceived >= this->options.suspicion * lastMemberFactor;
 }
 
 SessionNumber Membership::nextTarget()
@@ -182,7 +182,7 @@
         const SessionNumber target = this->round.back();
         this->round.pop_back();
         const MemberTable::Entry *const entry = this->table.find(target);
-        if (entry != nullptr && !isGone(entry->member) && !this->isProbing(target)) {
+        if (entry != nullptr && !isDeparted(entry->member) && !this->isProbing(target)) {
             return target;
         }
     }
@@ -203,9 +203,9 @@
             lost.push_back(entry.member.gossip);
         }
     }
-    std::vector<Address> chosen;
-    std::ranges::sample(lost, std::back_inserter(chosen), 1, this->random);
-    this->contact(chosen);
+    std::vector<Address> selected;
+    std::ranges::sample(lost, std::back_inserter(selected), 1, this->random);
+    this->contact(selected);
 }
 
 bool Membership::isProbing(SessionNumber target) const
@@ -220,13 +220,13 @@
     const std::uint64_t sequence = ++this->lastSequence;
     const SteadyTime now = this->clock.now();
     const TimerId timeout = this->scheduler.schedule(this->probeTimeout(), [this, sequence] {
-        this->probeByOthers(sequence);
+        this->probeIndirectly(sequence);
     });
     this->probes[sequence] = {target, now, now + this->probeTimeout(), timeout};
     this->hooks.sendPing(this->table.find(target)->member.gossip, {this->self, sequence, this->gossipFor(target)});
 }
 
-void Membership::probeByOthers(std::uint64_t sequence)
+void Membership::probeIndirectly(std::uint64_t sequence)
 {
     const auto found = this->probes.find(sequence);
     if (found == this->probes.end() || this->wasPaused(found->second.due)) {
@@ -234,12 +234,12 @@
     }
     Probe &probe = found->second;
     const MemberTable::Entry *const entry = this->table.find(probe.target);
-    if (entry == nullptr || isGone(entry->member)) {
+    if (entry == nullptr || isDeparted(entry->member)) {
         this->probes.erase(sequence);
         return;
     }
-    for (const Member *const helper : this->helpersFor(probe.target)) {
-        this->hooks.sendPingRequest(helper->gossip, {this->self, entry->member.gossip, sequence});
+    for (const Member *const prober : this->indirectProbersFor(probe.target)) {
+        this->hooks.sendPingRequest(prober->gossip, {this->self, entry->member.gossip, sequence});
     }
     probe.due = this->clock.now() + this->probeTimeout() * 2;
     probe.timer = this->scheduler.schedule(this->probeTimeout() * 2, [this, sequence] {
@@ -256,28 +256,28 @@
     const Probe probe = found->second;
     this->probes.erase(found);
     this->health.failed();
-    const bool hasWitness = this->lastReceived >= probe.started || this->table.otherCount() < smallestTalk;
-    if (hasWitness) {
-        this->accuse(probe.target);
-    } else if (this->isAlone()) {
+    const bool hasReceivedSinceProbe = this->lastReceived >= probe.started || this->table.otherCount() < minOtherMembers;
+    if (hasReceivedSinceProbe) {
+        this->suspect(probe.target);
+    } else if (this->isLikelyLastMember()) {
         // Each accusation is published, and who hears of it may change the table.
-        std::vector<SessionNumber> silent;
-        std::ranges::transform(this->table.others(), std::back_inserter(silent), &Member::session);
-        for (const SessionNumber session : silent) {
-            this->accuse(session);
+        std::vector<SessionNumber> unresponsive;
+        std::ranges::transform(this->table.others(), std::back_inserter(unresponsive), &Member::session);
+        for (const SessionNumber session : unresponsive) {
+            this->suspect(session);
         }
     }
 }
 
-std::vector<const Member *> Membership::helpersFor(SessionNumber target)
+std::vector<const Member *> Membership::indirectProbersFor(SessionNumber target)
 {
-    std::vector<const Member *> helpers = this->table.others();
-    std::erase_if(helpers, [target](const Member *member) {
+    std::vector<const Member *> indirectProbers = this->table.others();
+    std::erase_if(indirectProbers, [target](const Member *member) {
         return member->session == target;
     });
-    std::ranges::shuffle(helpers, this->random);
-    helpers.resize(std::min(helpers.size(), this->options.helpers));
-    return helpers;
+    std::ranges::shuffle(indirectProbers, this->random);
+    indirectProbers.resize(std::min(indirectProbers.size(), this->options.indirectProbers));
+    return indirectProbers;
 }
 
 std::vector<const Member *> Membership::confirmersOf(SessionNumber target) const
@@ -288,7 +288,7 @@
     std::erase_if(members, [target](const Member *member) {
         return member->session == target;
     });
-    const std::size_t count = std::min(members.size(), this->options.helpers + 1);
+    const std::size_t count = std::min(members.size(), this->options.indirectProbers + 1);
     std::ranges::partial_sort(
         members, members.begin() + static_cast<std::ptrdiff_t>(count), std::ranges::greater(), [target](const Member *member) {
             return rendezvousWeight(target.value(), member->session.value());
@@ -297,41 +297,41 @@
     return members;
 }
 
-void Membership::accuse(SessionNumber target)
+void Membership::suspect(SessionNumber target)
 {
     const MemberTable::Entry *const entry = this->table.find(target);
-    if (entry == nullptr || isGone(entry->member)) {
+    if (entry == nullptr || isDeparted(entry->member)) {
         return;
     }
-    MemberNews news = newsOf(entry->member);
-    news.state = MemberState::Suspect;
-    news.accuser = this->self;
-    this->take(news);
+    MemberNews memberUpdate = updateOf(entry->member);
+    memberUpdate.state = MemberState::Suspect;
+    memberUpdate.accuser = this->self;
+    this->apply(memberUpdate);
     this->publish();
 }
 
-void Membership::startSuspicion(const MemberNews &news)
+void Membership::startSuspicion(const MemberNews &memberUpdate)
 {
-    const SessionNumber target = news.session;
+    const SessionNumber target = memberUpdate.session;
     const std::vector<const Member *> confirmers = this->confirmersOf(target);
-    const std::size_t expected = this->isAlone() ? 0 : std::min(confirmers.size() - 1, this->options.helpers);
+    const std::size_t expected = this->isLikelyLastMember() ? 0 : std::min(confirmers.size() - 1, this->options.indirectProbers);
     const Suspicion::Options times{this->options.suspicion, this->options.suspicion * unconfirmedFactor, expected};
     this->stopSuspicion(target);
-    this->suspected.emplace(target, Suspected{Suspicion(this->clock.now(), news.accuser, times), {}, 0});
-    this->lastAccuser[target] = news.accuser;
+    this->suspected.emplace(target, Suspected{Suspicion(this->clock.now(), memberUpdate.accuser, times), {}, 0});
+    this->lastSuspectingMember[target] = memberUpdate.accuser;
     this->scheduleDeath(target);
-    if (news.accuser == this->self) {
-        this->tellConfirmers(target);
+    if (memberUpdate.accuser == this->self) {
+        this->notifyConfirmers(target);
         return;
     }
-    const bool isAsked = std::ranges::find(confirmers, this->self, &Member::session) != confirmers.end();
-    if (isAsked && !this->isProbing(target)) {
+    const bool isConfirmer = std::ranges::find(confirmers, this->self, &Member::session) != confirmers.end();
+    if (isConfirmer && !this->isProbing(target)) {
         // A look of its own either confirms or lets the member hear of it and refute.
         this->probe(target);
     }
 }
 
-void Membership::tellConfirmers(SessionNumber target)
+void Membership::notifyConfirmers(SessionNumber target)
 {
     for (const Member *const confirmer : this->confirmersOf(target)) {
         if (confirmer->session != this->self) {
@@ -362,14 +362,14 @@
     if (found == this->suspected.end() || entry == nullptr || this->wasPaused(found->second.due)) {
         return;
     }
-    if (this->isDeaf()) {
+    if (this->isLikelyCutOff()) {
         found->second.suspicion.extend(this->interval());
         this->scheduleDeath(target);
         return;
     }
-    MemberNews news = newsOf(entry->member);
-    news.state = MemberState::Dead;
-    this->take(news);
+    MemberNews memberUpdate = updateOf(entry->member);
+    memberUpdate.state = MemberState::Dead;
+    this->apply(memberUpdate);
     this->publish();
 }
 
@@ -380,7 +380,7 @@
         this->scheduler.cancel(found->second.timer);
         this->suspected.erase(found);
     }
-    this->lastAccuser.erase(target);
+    this->lastSuspectingMember.erase(target);
 }
 
 void Membership::receive(const Address &from, const Ping &ping)
@@ -390,12 +390,12 @@
     }
     this->receiveGossip(ping.from, ping.gossip);
     this->hooks.sendPong(from, {this->self, ping.sequence, this->gossipFor(ping.from)});
-    this->tellNamesake(from, ping);
+    this->handleDuplicateSession(from, ping);
     this->compare(from, ping.gossip.digest);
     this->publish();
 }
 
-void Membership::tellNamesake(const Address &from, const Ping &ping)
+void Membership::handleDuplicateSession(const Address &from, const Ping &ping)
 {
     // Two nodes with one number: the one that is heard here is not the one that is known here.
     if (ping.from == this->self) {
@@ -405,8 +405,8 @@
         return;
     }
     const MemberTable::Entry *const entry = this->table.find(ping.from);
-    const bool isKnownElsewhere = entry != nullptr && entry->isDescribed && entry->member.gossip != from;
-    if (isKnownElsewhere) {
+    const bool isKnownAtOtherAddress = entry != nullptr && entry->isDescribed && entry->member.gossip != from;
+    if (isKnownAtOtherAddress) {
         this->hooks.sendPush(from, {this->self, {entry->member}, {}});
     }
 }
@@ -418,8 +418,8 @@
     }
     this->receiveGossip(pong.from, pong.gossip);
     this->publish();
-    if (const auto relay = this->relays.extract(pong.sequence); !relay.empty()) {
-        this->hooks.sendPong(relay.mapped().asker, {pong.from, relay.mapped().sequence, this->gossipFor(SessionNumber(0))});
+    if (const auto forwarded = this->forwardedProbes.extract(pong.sequence); !forwarded.empty()) {
+        this->hooks.sendPong(forwarded.mapped().requester, {pong.from, forwarded.mapped().sequence, this->gossipFor(SessionNumber(0))});
         return;
     }
     const auto probe = this->probes.find(pong.sequence);
@@ -428,9 +428,9 @@
         this->probes.erase(probe);
         this->health.succeeded();
     } else if (probe != this->probes.end()) {
-        this->takeHolder(pong.from, probe->second.target);
+        this->endReplacedSession(pong.from, probe->second.target);
     }
-    this->correct(pong.from);
+    this->notifyIfSuspected(pong.from);
     this->compare(from, pong.gossip.digest);
 }
 
@@ -440,11 +440,11 @@
         return;
     }
     this->lastReceived = this->clock.now();
-    while (this->relays.size() >= relaysKept) {
-        this->relays.erase(this->relays.begin());
+    while (this->forwardedProbes.size() >= maxForwardedProbes) {
+        this->forwardedProbes.erase(this->forwardedProbes.begin());
     }
     const std::uint64_t sequence = ++this->lastSequence;
-    this->relays[sequence] = {from, request.sequence};
+    this->forwardedProbes[sequence] = {from, request.sequence};
     this->hooks.sendPing(request.target, {this->self, sequence, this->gossipFor(SessionNumber(0))});
 }
 
@@ -469,10 +469,10 @@
         if (digests[part] == pull.digests[part]) {
             continue;
         }
-        if (!isGone(entry.member)) {
+        if (!isDeparted(entry.member)) {
             push.members.push_back(entry.member);
         } else if (push.departed.size() < departedInPush) {
-            push.departed.push_back(newsOf(entry.member));
+            push.departed.push_back(updateOf(entry.member));
         }
         if (push.members.size() == membersInPush) {
             pushes.push_back(std::exchange(push, MembersPush{this->self, {}, {}}));
@@ -489,15 +489,15 @@
     }
     this->lastReceived = this->clock.now();
     for (const MemberNews &departed : push.departed) {
-        this->take(departed);
+        this->apply(departed);
     }
     for (const Member &member : push.members) {
-        this->take(member);
+        this->apply(member);
         // All that differs between two views is exchanged at once: passed on as news as well, a fleet that forms would be
         // busy for a minute with what everybody knows.
         this->newMembers.remove(member.session);
         const MemberTable::Entry *const entry = this->table.find(member.session);
-        if (entry != nullptr && isGone(entry->member)) {
+        if (entry != nullptr && isDeparted(entry->member)) {
             // The other side has not heard that this one is gone.
             this->changedMembers.add(member.session);
         }
@@ -510,16 +510,16 @@
     this->lastReceived = this->clock.now();
     this->hasReceived = this->hasReceived || session != this->self;
     for (const Member &member : gossip.members) {
-        this->take(member);
+        this->apply(member);
     }
-    for (const MemberNews &news : gossip.news) {
-        this->take(news);
+    for (const MemberNews &memberUpdate : gossip.news) {
+        this->apply(memberUpdate);
     }
-    this->take(gossip.load);
+    this->apply(gossip.load);
     for (const MemberLoad &load : gossip.loads) {
-        this->take(load);
+        this->apply(load);
     }
-    this->takeLeaving(gossip.leavingVms);
+    this->applyLeaving(gossip.leavingVms);
 }
 
 void Membership::compare(const Address &with, std::uint32_t digest)
@@ -528,48 +528,48 @@
     if (digest == this->table.digest() || now < this->nextPull) {
         return;
     }
-    const bool isJoining = this->table.otherCount() < smallestTalk;
+    const bool isJoining = this->table.otherCount() < minOtherMembers;
     this->nextPull = now + (isJoining ? this->options.probeTimeout : this->interval() * pullFactor);
     const auto &digests = this->table.digests();
     this->hooks.sendPull(with, {this->self, {digests.begin(), digests.end()}});
 }
 
-void Membership::correct(SessionNumber session)
+void Membership::notifyIfSuspected(SessionNumber session)
 {
     const MemberTable::Entry *const entry = this->table.find(session);
-    const bool isWronged = entry != nullptr && entry->isDescribed
+    const bool isSuspectOrDead = entry != nullptr && entry->isDescribed
         && (entry->member.state == MemberState::Suspect || entry->member.state == MemberState::Dead);
     const SteadyTime now = this->clock.now();
-    if (!isWronged || now - this->corrected[session] < this->options.probeTimeout) {
+    if (!isSuspectOrDead || now - this->notifiedAt[session] < this->options.probeTimeout) {
         return;
     }
     // It answers and is held dead: told so, it refutes. Without this two sides of a partition would not meet again.
-    this->corrected[session] = now;
+    this->notifiedAt[session] = now;
     this->hooks.sendPing(entry->member.gossip, {this->self, ++this->lastSequence, this->gossipFor(session)});
 }
 
-void Membership::take(const Member &reported)
+void Membership::apply(const Member &reported)
 {
     if (reported.session == this->self && reported.gossip != this->table.own().gossip) {
         this->loseSession("another node has the same number");
         return;
     }
     if (reported.session == this->self || !isValid(reported.state)) {
-        this->take(newsOf(reported));
+        this->apply(updateOf(reported));
         return;
     }
     const MemberTable::Entry *const before = this->table.find(reported.session);
     if (before != nullptr && before->isDescribed) {
-        this->take(newsOf(reported));
-        this->take(loadOf(reported));
+        this->apply(updateOf(reported));
+        this->apply(loadOf(reported));
         return;
     }
     if (this->table.merge(reported, this->clock.now()) != MergeResult::Changed) {
         return;
     }
-    this->changed = true;
+    this->hasChanged = true;
     const Member &member = this->table.find(reported.session)->member;
-    if (isGone(member)) {
+    if (isDeparted(member)) {
         this->changedMembers.add(reported.session);
         return;
     }
@@ -581,11 +581,11 @@
     this->newMembers.add(reported.session);
     this->supersede(member);
     if (this->table.find(reported.session)->member.state == MemberState::Suspect) {
-        this->startSuspicion(newsOf(reported));
+        this->startSuspicion(updateOf(reported));
     }
 }
 
-void Membership::take(const MemberNews &reported)
+void Membership::apply(const MemberNews &reported)
 {
     if (!isValid(reported.state)) {
         return;
@@ -601,11 +601,11 @@
         && reported.incarnation == entry->member.incarnation && reported.accuser.value() != 0;
     if (isConfirmation) {
         if (suspected->second.suspicion.confirm(reported.accuser)) {
-            this->lastAccuser[reported.session] = reported.accuser;
+            this->lastSuspectingMember[reported.session] = reported.accuser;
             this->changedMembers.add(reported.session);
             this->scheduleDeath(reported.session);
             if (reported.accuser == this->self) {
-                this->tellConfirmers(reported.session);
+                this->notifyConfirmers(reported.session);
             }
         }
         return;
@@ -613,7 +613,7 @@
     if (this->table.merge(reported, this->clock.now()) != MergeResult::Changed) {
         return;
     }
-    this->changed = true;
+    this->hasChanged = true;
     this->changedMembers.add(reported.session);
     if (before != reported.state) {
         log(LogLevel::Info,
@@ -630,75 +630,75 @@
     this->startSuspicion(reported);
 }
 
-void Membership::take(const MemberLoad &reported)
+void Membership::apply(const MemberLoad &reported)
 {
     if (reported.session != this->self && this->table.merge(reported) == MergeResult::Changed) {
-        this->changed = true;
+        this->hasChanged = true;
     }
 }
 
-void Membership::takeLeaving(const std::vector<VmName> &vms)
+void Membership::applyLeaving(const std::vector<VmName> &vms)
 {
-    std::vector<VmName> fresh;
+    std::vector<VmName> newVms;
     for (const VmName &vm : vms) {
         if (this->leavingSince.try_emplace(vm, this->clock.now()).second) {
-            fresh.push_back(vm);
+            newVms.push_back(vm);
             this->leavingVms.add(vm);
         }
     }
-    if (!fresh.empty()) {
-        this->hooks.onLeavingVms(fresh);
+    if (!newVms.empty()) {
+        this->hooks.onLeavingVms(newVms);
     }
 }
 
 void Membership::reportLeaving(const std::vector<VmName> &vms)
 {
-    this->takeLeaving(vms);
+    this->applyLeaving(vms);
 }
 
 void Membership::supersede(const Member &newcomer)
 {
     // A socket belongs to one process: of two sessions with one gossip address the earlier is over, and need not be
     // suspected first.
-    std::vector<MemberNews> over;
-    std::vector<SessionNumber> doubtful;
+    std::vector<MemberNews> ended;
+    std::vector<SessionNumber> uncertain;
     for (const auto &[session, entry] : this->table.entries()) {
         const bool isSame = entry.isDescribed && entry.member.gossip == newcomer.gossip && session != newcomer.session;
-        if (!isSame || isGone(entry.member) || session == this->self) {
+        if (!isSame || isDeparted(entry.member) || session == this->self) {
             continue;
         }
         if (this->options.sessionOrder == SessionOrder::Random) {
-            doubtful.push_back(session);
+            uncertain.push_back(session);
         } else {
             const bool isOlder = session < newcomer.session;
-            over.push_back(newsOf(isOlder ? entry.member : newcomer));
+            ended.push_back(updateOf(isOlder ? entry.member : newcomer));
         }
     }
-    for (const SessionNumber session : doubtful) {
+    for (const SessionNumber session : uncertain) {
         if (!this->isProbing(session)) {
             this->probe(session);
         }
     }
-    for (MemberNews &news : over) {
-        news.state = MemberState::Left;
-        if (news.session != this->self) {
-            this->take(news);
+    for (MemberNews &memberUpdate : ended) {
+        memberUpdate.state = MemberState::Left;
+        if (memberUpdate.session != this->self) {
+            this->apply(memberUpdate);
         }
     }
 }
 
-void Membership::takeHolder(SessionNumber answered, SessionNumber expected)
+void Membership::endReplacedSession(SessionNumber answered, SessionNumber expected)
 {
-    const MemberTable::Entry *const holder = this->table.find(answered);
-    const MemberTable::Entry *const former = this->table.find(expected);
-    const bool isKnown = holder != nullptr && holder->isDescribed && former != nullptr && former->isDescribed;
+    const MemberTable::Entry *const successor = this->table.find(answered);
+    const MemberTable::Entry *const predecessor = this->table.find(expected);
+    const bool isKnown = successor != nullptr && successor->isDescribed && predecessor != nullptr && predecessor->isDescribed;
     // The same sequence may also stand in a late answer to the process that had this node's address before.
-    if (!isKnown || isGone(former->member) || holder->member.gossip != former->member.gossip) {
+    if (!isKnown || isDeparted(predecessor->member) || successor->member.gossip != predecessor->member.gossip) {
         return;
     }
-    MemberNews news = newsOf(former->member);
-    news.state = MemberState::Left;
-    this->take(news);
+    MemberNews memberUpdate = updateOf(predecessor->member);
+    memberUpdate.state = MemberState::Left;
+    this->apply(memberUpdate);
     this->publish();
 }
 
@@ -723,26 +723,26 @@
     this->table.renameOwn(next);
     this->self = next;
     this->newMembers.add(next);
-    this->changed = true;
+    this->hasChanged = true;
     this->publish();
 }
 
-void Membership::refute(const MemberNews &news)
+void Membership::refute(const MemberNews &memberUpdate)
 {
-    if (news.state == MemberState::Left && !this->hasLeft) {
+    if (memberUpdate.state == MemberState::Left && !this->hasLeft) {
         this->loseSession("the others hold it over");
         return;
     }
     Member &own = this->table.own();
-    const bool isWrong = news.incarnation >= own.incarnation && (news.state != own.state || news.incarnation > own.incarnation);
-    if (!isWrong || this->hasLeft) {
+    const bool isRefutationNeeded = memberUpdate.incarnation >= own.incarnation && (memberUpdate.state != own.state || memberUpdate.incarnation > own.incarnation);
+    if (!isRefutationNeeded || this->hasLeft) {
         return;
     }
-    own.incarnation = news.incarnation + 1;
+    own.incarnation = memberUpdate.incarnation + 1;
     this->table.ownChanged();
     this->health.failed();
     this->changedMembers.add(this->self);
-    this->changed = true;
+    this->hasChanged = true;
 }
 
 void Membership::update(const std::function<void(Member &)> &change)
@@ -759,19 +759,19 @@
         = own.backlog != before.backlog || own.backlogModels != before.backlogModels || own.pressure != before.pressure;
     if (isLoadNew || isVersionNew) {
         ++own.loadVersion;
-        this->changed = true;
-        if (isLoadNew || this->table.otherCount() < tellVersionsUpTo) {
+        this->hasChanged = true;
+        if (isLoadNew || this->table.otherCount() < maxMembersForVersionUpdates) {
             this->changedLoads.add(this->self);
         }
     }
-    if (newsOf(own) != newsOf(before)) {
+    if (updateOf(own) != updateOf(before)) {
         ++own.incarnation;
         this->table.ownChanged();
         this->changedMembers.add(this->self);
-        this->changed = true;
+        this->hasChanged = true;
     }
     // What this node says of itself counts for its own decisions at once.
-    this->published = {};
+    this->publishedAt = {};
     this->publish();
 }
 
@@ -780,14 +780,14 @@
     this->update([](Member &member) {
         member.state = MemberState::Left;
     });
-    std::vector<const Member *> hearers;
-    std::ranges::sample(this->table.others(), std::back_inserter(hearers), farewells, this->random);
-    for (const Member *const hearer : hearers) {
-        Gossip farewell;
-        farewell.digest = this->table.digest();
-        farewell.load = loadOf(this->table.own());
-        farewell.news.push_back(newsOf(this->table.own()));
-        this->hooks.sendPing(hearer->gossip, {this->self, ++this->lastSequence, farewell});
+    std::vector<const Member *> receivers;
+    std::ranges::sample(this->table.others(), std::back_inserter(receivers), maxLeaveReceivers, this->random);
+    for (const Member *const receiver : receivers) {
+        Gossip leaveGossip;
+        leaveGossip.digest = this->table.digest();
+        leaveGossip.load = loadOf(this->table.own());
+        leaveGossip.news.push_back(updateOf(this->table.own()));
+        this->hooks.sendPing(receiver->gossip, {this->self, ++this->lastSequence, leaveGossip});
     }
     this->hasLeft = true;
     this->scheduler.cancel(this->timer);
@@ -798,56 +798,56 @@
     this->probes.clear();
 }
 
-Gossip Membership::gossipFor(SessionNumber hearer)
+Gossip Membership::gossipFor(SessionNumber receiver)
 {
     Gossip gossip;
     gossip.digest = this->table.digest();
     gossip.load = loadOf(this->table.own());
-    const MemberTable::Entry *const entry = this->table.find(hearer);
+    const MemberTable::Entry *const entry = this->table.find(receiver);
     if (entry != nullptr && (entry->member.state == MemberState::Suspect || entry->member.state == MemberState::Dead)) {
-        gossip.news.push_back(this->tellable(entry->member));
+        gossip.news.push_back(this->updateToSend(entry->member));
     }
-    const std::uint32_t tellings = this->tellings();
-    for (const SessionNumber session : this->newMembers.take(membersInDatagram, tellings)) {
+    const std::uint32_t transmissions = this->transmissions();
+    for (const SessionNumber session : this->newMembers.selectNext(membersInDatagram, transmissions)) {
         if (const MemberTable::Entry *const reported = this->table.find(session); reported != nullptr && reported->isDescribed) {
             gossip.members.push_back(reported->member);
         }
     }
-    for (const SessionNumber session : this->changedMembers.take(newsInDatagram, tellings)) {
+    for (const SessionNumber session : this->changedMembers.selectNext(updatesInDatagram, transmissions)) {
         if (const MemberTable::Entry *const reported = this->table.find(session)) {
-            gossip.news.push_back(this->tellable(reported->member));
+            gossip.news.push_back(this->updateToSend(reported->member));
         }
     }
-    for (const SessionNumber session : this->changedLoads.take(loadsInDatagram, tellings / tellingsPerDoubling)) {
+    for (const SessionNumber session : this->changedLoads.selectNext(loadsInDatagram, transmissions / transmissionsPerDoubling)) {
         if (const MemberTable::Entry *const reported = this->table.find(session)) {
             gossip.loads.push_back(loadOf(reported->member));
         }
     }
-    gossip.leavingVms = this->leavingVms.take(vmsInDatagram, tellings);
+    gossip.leavingVms = this->leavingVms.selectNext(vmsInDatagram, transmissions);
     return gossip;
 }
 
-MemberNews Membership::tellable(const Member &member) const
+MemberNews Membership::updateToSend(const Member &member) const
 {
-    MemberNews news = newsOf(member);
-    const auto accuser = this->lastAccuser.find(member.session);
-    if (member.state == MemberState::Suspect && accuser != this->lastAccuser.end()) {
-        news.accuser = accuser->second;
+    MemberNews memberUpdate = updateOf(member);
+    const auto suspectingMember = this->lastSuspectingMember.find(member.session);
+    if (member.state == MemberState::Suspect && suspectingMember != this->lastSuspectingMember.end()) {
+        memberUpdate.accuser = suspectingMember->second;
     }
-    return news;
+    return memberUpdate;
 }
 
 void Membership::publish()
 {
-    if (!this->changed || !this->isViewDue()) {
+    if (!this->hasChanged || !this->isViewDue()) {
         return;
     }
-    this->changed = false;
-    this->published = this->clock.now();
+    this->hasChanged = false;
+    this->publishedAt = this->clock.now();
     std::vector<Member> members;
     members.reserve(this->table.otherCount() + 1);
     for (const auto &[session, entry] : this->table.entries()) {
-        if (isGone(entry.member)) {
+        if (isDeparted(entry.member)) {
             continue;
         }
         Member &member = members.emplace_back(entry.member);
@@ -855,14 +855,14 @@
             member.state = MemberState::Leaving;
         }
     }
-    this->current = std::make_shared<MemberView>(std::move(members), this->isMinority(), this->spreadTime());
-    this->hooks.onChange(this->current);
+    this->currentView = std::make_shared<MemberView>(std::move(members), this->isMinority(), this->spreadTime());
+    this->hooks.onChange(this->currentView);
 }
 
 bool Membership::isViewDue()
 {
     const auto hundreds = static_cast<std::int64_t>(this->table.entries().size() / 100);
-    const SteadyTime due = this->published + this->options.viewInterval * (1 + hundreds);
+    const SteadyTime due = this->publishedAt + this->options.viewInterval * (1 + hundreds);
     const SteadyTime now = this->clock.now();
     if (now >= due) {
         return true;
@@ -883,7 +883,7 @@
     /** Sessions that were lost, by their VMs. */
     std::map<VmName, std::size_t> lost;
     for (const auto &[session, entry] : this->table.entries()) {
-        if (entry.member.state == MemberState::Dead && now - entry.since < lostFor) {
+        if (entry.member.state == MemberState::Dead && now - entry.since < recentLossWindow) {
             ++lost[entry.member.vm];
         }
     }
@@ -892,7 +892,7 @@
         return false;
     }
     for (const auto &[session, entry] : this->table.entries()) {
-        if (!isGone(entry.member) && !entry.member.vm.value().empty()) {
+        if (!isDeparted(entry.member) && !entry.member.vm.value().empty()) {
             lost.erase(entry.member.vm);
         }
     }
@@ -900,12 +900,12 @@
     for (const auto &[vm, sessions] : lost) {
         count += sessions;
     }
-    return count > this->table.otherCount() + (isGone(this->table.own()) ? 0 : 1);
+    return count > this->table.otherCount() + (isDeparted(this->table.own()) ? 0 : 1);
 }
 
 MemberViewPointer Membership::view() const
 {
-    return this->current;
+    return this->currentView;
 }
 
 std::chrono::milliseconds Membership::spreadTime() const
@@ -913,7 +913,7 @@
     return this->interval() * std::bit_width(this->table.otherCount() + 1);
 }
 
-bool Membership::hasHeardOthers() const
+bool Membership::hasReceivedFromOthers() const
 {
     return this->hasReceived;
 }
@@ -921,7 +921,7 @@
 std::optional<SteadyTime> Membership::departedSince(SessionNumber session) const
 {
     const MemberTable::Entry *const entry = this->table.find(session);
-    return entry != nullptr && isGone(entry->member) ? std::optional(entry->since) : std::nullopt;
+    return entry != nullptr && isDeparted(entry->member) ? std::optional(entry->since) : std::nullopt;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -5,7 +5,7 @@
 #include <LibMembership/LocalHealth.h>
 #include <LibMembership/MemberTable.h>
 #include <LibMembership/MemberView.h>
-#include <LibMembership/NewsQueue.h>
+#include <LibMembership/UpdateQueue.h>
 #include <LibMembership/Suspicion.h>
 #include <LibWire/Generated/Messages.h>
 
@@ -51,15 +51,15 @@
         /** Between two probes, in a fleet of up to stretchFrom nodes; in proportion in a larger one. */
         std::chrono::milliseconds probeInterval{200};
         /** As far as the interval is stretched. */
-        std::chrono::milliseconds longestProbeInterval{500};
-        std::size_t stretchFrom = 64;
+        std::chrono::milliseconds maxProbeInterval{500};
+        std::size_t scalingThreshold = 64;
         std::chrono::milliseconds probeTimeout{100};
         /** How long a suspected member has to refute, if others confirm that it does not answer. */
         std::chrono::milliseconds suspicion{1000};
         /** Members asked to probe for us, and to confirm a suspicion. */
-        std::size_t helpers = 3;
+        std::size_t indirectProbers = 3;
         /** How long the dead are remembered, so that late gossip cannot bring them back. */
-        std::chrono::milliseconds forgetDead{3600000};
+        std::chrono::milliseconds deadRetention{3600000};
         /**
          * Shortest time between two views, once more for each hundred members: a view costs as much as there are members, and
          * where a whole fleet starts, each of them is a change. The first change after a pause is told at once.
@@ -120,7 +120,7 @@
     std::chrono::milliseconds spreadTime() const;
 
     /** @return whether any other member has been heard. */
-    bool hasHeardOthers() const;
+    bool hasReceivedFromOthers() const;
 
     /** @return whether a session is held dead or left, and since when. */
     std::optional<SteadyTime> departedSince(SessionNumber session) const;
@@ -137,9 +137,9 @@
     };
 
     /** A probe made for another member. */
-    struct Relay
+    struct ForwardedProbe
     {
-        Address asker;
+        Address requester;
         std::uint64_t sequence = 0;
     };
 
@@ -154,23 +154,23 @@
     void tick();
     std::chrono::milliseconds interval() const;
     std::chrono::milliseconds probeTimeout() const;
-    std::uint32_t tellings() const;
+    std::uint32_t transmissions() const;
     bool wasPaused(SteadyTime due);
-    bool isDeaf() const;
-    bool isAlone() const;
+    bool isLikelyCutOff() const;
+    bool isLikelyLastMember() const;
     SessionNumber nextTarget();
     void reconnect();
 
     void probe(SessionNumber target);
-    void probeByOthers(std::uint64_t sequence);
+    void probeIndirectly(std::uint64_t sequence);
     void probeFailed(std::uint64_t sequence);
     bool isProbing(SessionNumber target) const;
-    std::vector<const Member *> helpersFor(SessionNumber target);
+    std::vector<const Member *> indirectProbersFor(SessionNumber target);
     std::vector<const Member *> confirmersOf(SessionNumber target) const;
 
-    void accuse(SessionNumber target);
-    void startSuspicion(const MemberNews &news);
-    void tellConfirmers(SessionNumber target);
+    void suspect(SessionNumber target);
+    void startSuspicion(const MemberNews &memberUpdate);
+    void notifyConfirmers(SessionNumber target);
     void scheduleDeath(SessionNumber target);
     void expire(SessionNumber target);
     void stopSuspicion(SessionNumber target);
@@ -178,18 +178,18 @@
     void receiveGossip(SessionNumber session, const Gossip &gossip);
     void compare(const Address &with, std::uint32_t digest);
     std::vector<MembersPush> answerTo(const MembersPull &pull) const;
-    void correct(SessionNumber session);
-    void take(const Member &reported);
-    void take(const MemberNews &reported);
-    void take(const MemberLoad &reported);
-    void takeLeaving(const std::vector<VmName> &vms);
+    void notifyIfSuspected(SessionNumber session);
+    void apply(const Member &reported);
+    void apply(const MemberNews &reported);
+    void apply(const MemberLoad &reported);
+    void applyLeaving(const std::vector<VmName> &vms);
     void supersede(const Member &newcomer);
-    void takeHolder(SessionNumber answered, SessionNumber expected);
-    void tellNamesake(const Address &from, const Ping &ping);
-    void refute(const MemberNews &news);
+    void endReplacedSession(SessionNumber answered, SessionNumber expected);
+    void handleDuplicateSession(const Address &from, const Ping &ping);
+    void refute(const MemberNews &memberUpdate);
     void loseSession(std::string_view reason);
-    Gossip gossipFor(SessionNumber hearer);
-    MemberNews tellable(const Member &member) const;
+    Gossip gossipFor(SessionNumber receiver);
+    MemberNews updateToSend(const Member &member) const;
     void publish();
     bool isViewDue();
     bool isMinority() const;
@@ -202,21 +202,21 @@
     std::mt19937_64 random;
     MemberTable table;
     LocalHealth health;
-    NewsQueue<SessionNumber> changedMembers;
-    NewsQueue<SessionNumber> newMembers;
-    NewsQueue<SessionNumber> changedLoads;
-    NewsQueue<VmName> leavingVms;
+    UpdateQueue<SessionNumber> changedMembers;
+    UpdateQueue<SessionNumber> newMembers;
+    UpdateQueue<SessionNumber> changedLoads;
+    UpdateQueue<VmName> leavingVms;
     std::map<VmName, SteadyTime> leavingSince;
     std::map<SessionNumber, Suspected> suspected;
-    std::map<SessionNumber, SessionNumber> lastAccuser;
-    std::map<SessionNumber, SteadyTime> corrected;
+    std::map<SessionNumber, SessionNumber> lastSuspectingMember;
+    std::map<SessionNumber, SteadyTime> notifiedAt;
     std::map<std::uint64_t, Probe> probes;
-    std::map<std::uint64_t, Relay> relays;
+    std::map<std::uint64_t, ForwardedProbe> forwardedProbes;
     std::vector<SessionNumber> round;
     std::vector<Address> contacts;
     std::uint64_t lastSequence = 0;
     TimerId timer = 0;
-    SteadyTime published{};
+    SteadyTime publishedAt{};
     TimerId publishTimer = 0;
     SteadyTime tickDue{};
     SteadyTime lastReceived{};
@@ -224,8 +224,8 @@
     SteadyTime nextReconnect{};
     bool hasReceived = false;
     bool hasLeft = false;
-    bool changed = false;
-    MemberViewPointer current;
+    bool hasChanged = false;
+    MemberViewPointer currentView;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/MembershipDatagrams.cpp
+++ b/Libraries/LibMembership/MembershipDatagrams.cpp
@@ -7,7 +7,7 @@
 
 bool receiveDatagram(Membership &membership, const Datagram &datagram)
 {
-    const auto take = [&membership, &datagram](const auto &message) {
+    const auto deliver = [&membership, &datagram](const auto &message) {
         if (message) {
             membership.receive(datagram.from, *message);
         }
@@ -15,15 +15,15 @@
     };
     switch (datagram.number) {
     case Ping::number:
-        return take(decode<Ping>(datagram.payload));
+        return deliver(decode<Ping>(datagram.payload));
     case Pong::number:
-        return take(decode<Pong>(datagram.payload));
+        return deliver(decode<Pong>(datagram.payload));
     case PingRequest::number:
-        return take(decode<PingRequest>(datagram.payload));
+        return deliver(decode<PingRequest>(datagram.payload));
     case MembersPull::number:
-        return take(decode<MembersPull>(datagram.payload));
+        return deliver(decode<MembersPull>(datagram.payload));
     case MembersPush::number:
-        return take(decode<MembersPush>(datagram.payload));
+        return deliver(decode<MembersPush>(datagram.payload));
     default:
         return false;
     }
--- a/Libraries/LibMembership/ReachabilityEstimator.cpp
+++ b/Libraries/LibMembership/ReachabilityEstimator.cpp
@@ -10,13 +10,13 @@
 {
 
 constexpr std::chrono::milliseconds probeInterval{100};
-/** Also a node on a small and busy processor answers within this time. */
+/** Even a node on a small and busy processor answers within this time. */
 constexpr std::chrono::milliseconds answerTimeout{200};
-constexpr std::size_t calmProbes = 4;
+constexpr std::size_t normalProbes = 4;
 constexpr std::size_t fastProbes = 16;
-/** The estimate stands on the probes of this time, and on so many at least. */
-constexpr std::chrono::milliseconds judgedRetained{200};
-constexpr std::size_t fewestJudged = 8;
+/** The estimate uses the probes completed within this time, and at least minCompletedProbes. */
+constexpr std::chrono::milliseconds completedRetention{200};
+constexpr std::size_t minCompletedProbes = 8;
 
 } // namespace
 
@@ -47,43 +47,43 @@
         return;
     }
     this->nextProbes = now + probeInterval;
-    const bool isKnown = this->judged.size() >= fewestJudged;
-    this->sendProbes(isKnown && pace == Pace::Normal ? calmProbes : fastProbes);
+    const bool isKnown = this->completed.size() >= minCompletedProbes;
+    this->sendProbes(isKnown && pace == Pace::Normal ? normalProbes : fastProbes);
 }
 
-// An answer comes at once, silence shows only after its time: were answers counted at once, a node that has just lost many others
-// would seem to be in contact with all.
+// Answers arrive at once, but a missing answer shows only after the timeout. If answers counted immediately, a node that has just
+// lost many others would still appear to reach all of them.
 void ReachabilityEstimator::expire()
 {
     const SteadyTime due = this->clock.now() - answerTimeout;
     for (auto answer = this->answered.begin(); answer != this->answered.end();) {
         const bool isDue = *answer <= due;
         if (isDue) {
-            this->judged.push_back({*answer, true});
+            this->completed.push_back({*answer, true});
         }
         answer = isDue ? this->answered.erase(answer) : std::next(answer);
     }
     for (auto probed = this->pending.begin(); probed != this->pending.end();) {
         const bool isDue = probed->second <= due;
         if (isDue) {
-            this->judged.push_back({probed->second, false});
+            this->completed.push_back({probed->second, false});
         }
         probed = isDue ? this->pending.erase(probed) : std::next(probed);
     }
-    while (this->judged.size() > fewestJudged && this->judged.front().asked <= due - judgedRetained) {
-        this->judged.pop_front();
+    while (this->completed.size() > minCompletedProbes && this->completed.front().sentAt <= due - completedRetention) {
+        this->completed.pop_front();
     }
 }
 
 void ReachabilityEstimator::sendProbes(std::size_t count)
 {
-    std::vector<Address> chosen;
+    std::vector<Address> selected;
     std::ranges::sample(this->others,
-                        std::back_inserter(chosen),
+                        std::back_inserter(selected),
                         static_cast<std::ptrdiff_t>(std::min(count, this->others.size())),
                         this->random);
-    // Also those that have not answered yet: were they passed over, those that answer would be chosen more often.
-    for (const Address &other : chosen) {
+    // Includes nodes with a pending probe: skipping them would select responsive nodes more often and bias the estimate.
+    for (const Address &other : selected) {
         this->pending.emplace(other, this->clock.now());
         this->probe(other);
     }
@@ -94,11 +94,11 @@
     if (this->others.empty()) {
         return 1;
     }
-    if (this->judged.size() < fewestJudged) {
+    if (this->completed.size() < minCompletedProbes) {
         return std::nullopt;
     }
-    const auto count = static_cast<double>(std::ranges::count(this->judged, true, &Judged::isAnswered));
-    const double reached = count / static_cast<double>(this->judged.size());
+    const auto count = static_cast<double>(std::ranges::count(this->completed, true, &CompletedProbe::isAnswered));
+    const double reached = count / static_cast<double>(this->completed.size());
     const auto others = static_cast<double>(this->others.size());
     return (1 + reached * others) / (1 + others);
 }
--- a/Libraries/LibMembership/ReachabilityEstimator.h
+++ b/Libraries/LibMembership/ReachabilityEstimator.h
@@ -16,9 +16,9 @@
 {
 
 /**
- * Estimates with which share of the fleet this node is in contact, by probes to nodes chosen at random. The cost does not grow
- * with the fleet. Of two halves of a fleet that are cut off from each other, each finds its own share within half a second, long
- * before the members of the other one are held dead.
+ * Estimates which share of the fleet this node can reach, by probing randomly selected nodes. The cost does not grow with the
+ * size of the fleet. If the fleet is partitioned, each side finds its share within half a second, long before it declares the
+ * members of the other side dead.
  */
 class ReachabilityEstimator
 {
@@ -26,30 +26,30 @@
     /** How often probes are sent. */
     enum class Pace {
         Normal,
-        /** Something depends on the share now. */
+        /** A decision depends on the share now. */
         Fast,
     };
 
-    /** @param probe sends a datagram that its receiver answers */
+    /** @param probe sends a datagram that the receiver answers */
     ReachabilityEstimator(const Clock &clock, std::uint64_t seed, std::function<void(const Address &)> probe);
 
-    /** Take the other nodes of the fleet; those that were lost of late count among them. */
+    /** Sets the other nodes of the fleet, including those that were lost recently. */
     void setOthers(std::vector<Address> others);
 
-    /** Any datagram of another node came. */
+    /** Records that a datagram arrived from another node; any datagram counts as an answer. */
     void receive(const Address &from);
 
-    /** Send the probes that are due. Until the share is known they are sent at the fast pace. */
+    /** Sends the probes that are due. Until the share is known they are sent at the fast pace. */
     void tick(Pace pace);
 
-    /** @return the share of the fleet, this node included; nothing until enough probes have had time to be answered. */
+    /** @return the reachable share of the fleet, this node included; nothing until enough probes are answered or expired. */
     std::optional<double> share() const;
 
 private:
-    /** A probe that was answered, or has had its time. */
-    struct Judged
+    /** A probe whose timeout has passed, answered or not. */
+    struct CompletedProbe
     {
-        SteadyTime asked{};
+        SteadyTime sentAt{};
         bool isAnswered = false;
     };
 
@@ -60,11 +60,11 @@
     std::minstd_rand random;
     std::function<void(const Address &)> probe;
     std::vector<Address> others;
-    /** When those were asked that have not answered, nor had their time. */
+    /** When the unanswered probes whose timeout has not passed were sent, by target. */
     std::multimap<Address, SteadyTime> pending;
-    /** When those were asked that have answered. They are judged together with those that were asked at the same time. */
+    /** When the answered probes were sent. They are evaluated together with the unanswered ones that were sent at the same time. */
     std::deque<SteadyTime> answered;
-    std::deque<Judged> judged;
+    std::deque<CompletedProbe> completed;
     SteadyTime nextProbes{};
 };
 
--- a/Libraries/LibMembership/RelayAssignment.cpp
+++ b/Libraries/LibMembership/RelayAssignment.cpp
@@ -22,10 +22,10 @@
 
 std::size_t relaysFor(std::size_t membersOfDomain)
 {
-    if (membersOfDomain <= membersWithoutRelays) {
+    if (membersOfDomain <= maxMembersWithoutRelays) {
         return membersOfDomain;
     }
-    return std::max(fewestRelays, (membersOfDomain + membersPerRelay - 1) / membersPerRelay);
+    return std::max(minRelays, (membersOfDomain + membersPerRelay - 1) / membersPerRelay);
 }
 
 bool shouldRelay(const MemberView &view, SessionNumber session)
@@ -42,7 +42,7 @@
             largest = std::max(largest, member.processorShare);
         }
     }
-    if (count <= membersWithoutRelays) {
+    if (count <= maxMembersWithoutRelays) {
         return true;
     }
     const auto isCandidate = [own, largest](const Member &member) {
--- a/Libraries/LibMembership/RelayAssignment.h
+++ b/Libraries/LibMembership/RelayAssignment.h
@@ -6,9 +6,9 @@
 {
 
 /** A failure domain of up to so many members has no need of relays: each of them follows the store's tables itself. */
-inline constexpr std::size_t membersWithoutRelays = 8;
+inline constexpr std::size_t maxMembersWithoutRelays = 8;
 /** Relays of a failure domain: while one is lost, the other goes on. */
-inline constexpr std::size_t fewestRelays = 2;
+inline constexpr std::size_t minRelays = 2;
 /** Members that one relay serves at most, by which their number grows with the failure domain. */
 inline constexpr std::size_t membersPerRelay = 128;
 
--- a/Libraries/LibMembership/RelayRole.h
+++ b/Libraries/LibMembership/RelayRole.h
@@ -40,11 +40,11 @@
 
 private:
     const Clock &clock;
-    bool isChosen = false;
+    bool isSelected = false;
     /** Since when it has been chosen, or not. */
     SteadyTime since;
     /** When no other relay answered last. */
-    std::optional<SteadyTime> alone;
+    std::optional<SteadyTime> relaysUnresponsiveAt;
     bool isActive = false;
 };
 
--- a/Libraries/LibMembership/RelaySelector.cpp
+++ b/Libraries/LibMembership/RelaySelector.cpp
@@ -12,7 +12,7 @@
 {
 
 /** For so long a relay that did not answer, or did not know, is passed by: several times as long as an answer may take. */
-constexpr std::chrono::milliseconds passedByFor{5000};
+constexpr std::chrono::milliseconds avoidanceTime{5000};
 
 } // namespace
 
@@ -27,67 +27,67 @@
     if (const Member *const own = view->find(self)) {
         this->domain = own->failureDomain;
     }
-    this->pickedAt.reset();
+    this->selectedAt.reset();
 }
 
 bool RelaySelector::isRecent(const Times &times, SessionNumber relay) const
 {
     const auto found = times.find(relay);
-    return found != times.end() && this->clock.now() - found->second < passedByFor;
+    return found != times.end() && this->clock.now() - found->second < avoidanceTime;
 }
 
-void RelaySelector::note(Times &times, SessionNumber relay)
+void RelaySelector::record(Times &times, SessionNumber relay)
 {
     const SteadyTime now = this->clock.now();
     times.insert_or_assign(relay, now);
     std::erase_if(times, [now](const auto &entry) {
-        return now - entry.second >= passedByFor;
+        return now - entry.second >= avoidanceTime;
     });
-    this->pickedAt.reset();
+    this->selectedAt.reset();
 }
 
 void RelaySelector::recordUnresponsive(SessionNumber relay)
 {
-    this->note(this->silent, relay);
+    this->record(this->unresponsive, relay);
 }
 
 void RelaySelector::recordOutdated(SessionNumber relay)
 {
-    this->note(this->behind, relay);
+    this->record(this->outdated, relay);
 }
 
 bool RelaySelector::hasNoResponsiveRelay()
 {
-    return this->select() == nullptr && std::ranges::any_of(this->silent, [this](const auto &entry) {
-               return this->isRecent(this->silent, entry.first);
+    return this->select() == nullptr && std::ranges::any_of(this->unresponsive, [this](const auto &entry) {
+               return this->isRecent(this->unresponsive, entry.first);
            });
 }
 
 const Member *RelaySelector::select()
 {
     const SteadyTime now = this->clock.now();
-    if (this->pickedAt && now - *this->pickedAt < passedByFor) {
-        return this->picked;
+    if (this->selectedAt && now - *this->selectedAt < avoidanceTime) {
+        return this->selected;
     }
-    this->pickedAt = now;
-    this->picked = nullptr;
+    this->selectedAt = now;
+    this->selected = nullptr;
     if (!this->view) {
         return nullptr;
     }
-    std::tuple<bool, bool, bool, std::uint64_t> best;
+    std::tuple<bool, bool, bool, std::uint64_t> bestRank;
     for (const Member &member : this->view->members()) {
-        if (!member.isRelay || member.isLeaving || member.session == this->self || this->isRecent(this->silent, member.session)) {
+        if (!member.isRelay || member.isLeaving || member.session == this->self || this->isRecent(this->unresponsive, member.session)) {
             continue;
         }
         const std::uint64_t weight = rendezvousWeight(this->self.value(), member.session.value());
-        const bool isBehind = this->isRecent(this->behind, member.session);
-        const std::tuple rank(!isBehind, !member.hasLostStore, member.failureDomain == this->domain, weight);
-        if (this->picked == nullptr || rank > best) {
-            this->picked = &member;
-            best = rank;
+        const bool isOutdated = this->isRecent(this->outdated, member.session);
+        const std::tuple rank(!isOutdated, !member.hasLostStore, member.failureDomain == this->domain, weight);
+        if (this->selected == nullptr || rank > bestRank) {
+            this->selected = &member;
+            bestRank = rank;
         }
     }
-    return this->picked;
+    return this->selected;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/RelaySelector.h
+++ b/Libraries/LibMembership/RelaySelector.h
@@ -38,18 +38,18 @@
     using Times = std::map<SessionNumber, SteadyTime>;
 
     bool isRecent(const Times &times, SessionNumber relay) const;
-    void note(Times &times, SessionNumber relay);
+    void record(Times &times, SessionNumber relay);
 
     const Clock &clock;
     MemberViewPointer view;
     SessionNumber self;
     FailureDomain domain;
-    const Member *picked = nullptr;
+    const Member *selected = nullptr;
     /** When the choice was made; made again then, so that a silent relay is tried again. */
-    std::optional<SteadyTime> pickedAt;
+    std::optional<SteadyTime> selectedAt;
     /** When relays did not answer last, and when they were behind. */
-    Times silent;
-    Times behind;
+    Times unresponsive;
+    Times outdated;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/RoleAssignment.h
+++ b/Libraries/LibMembership/RoleAssignment.h
@@ -8,37 +8,38 @@
 namespace Dogwoodkeel
 {
 
-/** Which members may have a duty. */
+/** Which members are candidates for a role. */
 enum class RoleCandidates : std::uint8_t {
-    /** All with a large enough processor. */
+    /** All members with a sufficient processor. */
     Any,
-    /** Of these the relays, which know all replicas. Where each member follows the tables itself, as any. */
+    /** Only relays, which know all replicas; the same as Any in a fleet where each member follows the tables itself. */
     Relays,
 };
 
-/** @return whether a member takes callers and stays. */
-bool takesDuties(const Member &member);
+/** @return whether a member is ready for callers and not leaving. */
+bool acceptsRoles(const Member &member);
 
-/** @return whether a member that takes callers has at least half of the largest processor of such members. */
+/** @return whether a member has at least half of the largest processor among the members that accept roles. */
 bool hasEnoughProcessor(const MemberView &view, const Member &member);
 
 /**
- * @return whether a member may keep a duty that only relays have. One that has lost the store knows neither new replicas nor
- * which are leaving. A VM with less than half of the largest processor falls behind as a dispatcher, which delays the requests of
- * all nodes.
+ * @return whether a member may keep a role that is restricted to relays. A member that has lost the store does not learn of new
+ * or leaving replicas. A VM with less than half of the largest processor is too slow as a dispatcher, which delays the requests
+ * of all nodes.
  */
-bool mayKeepDuty(const MemberView &view, const Member &member);
+bool mayKeepRole(const MemberView &view, const Member &member);
 
 /**
- * @param key hash of a duty, such as dispatching for a service or running a job
- * @return the member that should have it (rendezvous hashing over those that take callers and have a large enough processor),
- * or null if there is none; one that reaches the store goes before all that do not
- * @param except members that can't have it, whatever the view says
+ * Selects the coordinator of a role by rendezvous hashing over the members that accept roles and have a sufficient processor.
+ * Members that reach the store take precedence over those that do not.
+ * @param key hash of a role, such as dispatching for a service or running a job
+ * @param except members that are not eligible, whatever the view says
+ * @return the preferred coordinator, or null if no member is eligible
  */
 const Member *
-coordinatorFor(const MemberView &view, std::uint64_t key, RoleCandidates who = RoleCandidates::Any, const std::set<SessionNumber> &except = {});
+coordinatorFor(const MemberView &view, std::uint64_t key, RoleCandidates candidates = RoleCandidates::Any, const std::set<SessionNumber> &except = {});
 
-/** @return whether a member is the one that should have a duty. */
-bool hasRole(const MemberView &view, SessionNumber session, std::uint64_t key, RoleCandidates who = RoleCandidates::Any);
+/** @return whether a member is the preferred coordinator of a role. */
+bool hasRole(const MemberView &view, SessionNumber session, std::uint64_t key, RoleCandidates candidates = RoleCandidates::Any);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/SpreadMembers.cpp
+++ b/Libraries/LibMembership/SpreadMembers.cpp
@@ -10,7 +10,7 @@
 namespace Dogwoodkeel
 {
 
-std::vector<const Member *> spreadMembers(const MemberView &view, std::uint64_t key, std::size_t most)
+std::vector<const Member *> spreadMembers(const MemberView &view, std::uint64_t key, std::size_t maxCount)
 {
     std::vector<std::pair<std::uint64_t, const Member *>> weighted;
     for (const Member &member : view.members()) {
@@ -19,20 +19,20 @@
         }
     }
     std::ranges::sort(weighted, std::greater<>());
-    std::map<FailureDomain, std::size_t> ofDomain;
+    std::map<FailureDomain, std::size_t> domainCounts;
     std::vector<std::tuple<std::size_t, std::size_t, const Member *>> ranked;
     ranked.reserve(weighted.size());
     for (const auto &[weight, member] : weighted) {
-        ranked.emplace_back(ofDomain[member->failureDomain]++, ranked.size(), member);
+        ranked.emplace_back(domainCounts[member->failureDomain]++, ranked.size(), member);
     }
     std::ranges::sort(ranked);
-    std::vector<const Member *> chosen;
+    std::vector<const Member *> selected;
     for (const auto &[rank, order, member] : ranked) {
-        if (chosen.size() < most) {
-            chosen.push_back(member);
+        if (selected.size() < maxCount) {
+            selected.push_back(member);
         }
     }
-    return chosen;
+    return selected;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/SpreadMembers.h
+++ b/Libraries/LibMembership/SpreadMembers.h
@@ -15,6 +15,6 @@
  * @return by rendezvous hashing, one of each failure domain before a second one of any; members that leave are not among them.
  *         The pointers are valid as long as the view
  */
-std::vector<const Member *> spreadMembers(const MemberView &view, std::uint64_t key, std::size_t most);
+std::vector<const Member *> spreadMembers(const MemberView &view, std::uint64_t key, std::size_t maxCount);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/StoreReachability.cpp
+++ b/Libraries/LibMembership/StoreReachability.cpp
@@ -13,7 +13,7 @@
  * In this time all members notice that the store is away, or back: they call a silent store lost after 1.6 s, and look for its
  * return every 0.4 s. News of it takes the members' spreading time beside.
  */
-constexpr std::chrono::milliseconds noticeTime{2000};
+constexpr std::chrono::milliseconds detectionTime{2000};
 
 } // namespace
 
@@ -27,7 +27,7 @@
     this->view = view;
     // Where there are relays, only they follow the store and see whether it answers.
     const bool hasRelays = std::ranges::any_of(view->members(), &Member::isRelay);
-    const auto watchers = std::ranges::count_if(view->members(), [hasRelays](const Member &member) {
+    const auto observers = std::ranges::count_if(view->members(), [hasRelays](const Member &member) {
         return member.isRelay || member.hasLostStore || !hasRelays;
     });
     std::map<SessionNumber, SteadyTime> lost;
@@ -38,21 +38,21 @@
         }
     }
     this->lostSince = std::move(lost);
-    const bool isCommon = this->lostSince.size() * 2 < static_cast<std::size_t>(watchers);
-    if (!isCommon) {
-        this->commonSince.reset();
-    } else if (!this->commonSince) {
-        this->commonSince = now;
+    const bool hasMajority = this->lostSince.size() * 2 < static_cast<std::size_t>(observers);
+    if (!hasMajority) {
+        this->majoritySince.reset();
+    } else if (!this->majoritySince) {
+        this->majoritySince = now;
     }
-    this->last.reset();
+    this->lastStableView.reset();
 }
 
 bool StoreReachability::isCutOff(const Member &member, SteadyTime now) const
 {
-    const std::chrono::milliseconds settling = noticeTime + this->view->spreadTime();
+    const std::chrono::milliseconds settlingTime = detectionTime + this->view->spreadTime();
     const auto since = this->lostSince.find(member.session);
-    return since != this->lostSince.end() && this->commonSince && now - since->second >= settling
-        && now - *this->commonSince >= settling;
+    return since != this->lostSince.end() && this->majoritySince && now - since->second >= settlingTime
+        && now - *this->majoritySince >= settlingTime;
 }
 
 MemberViewPointer StoreReachability::stableView()
@@ -66,11 +66,11 @@
         member.hasLostStore = this->isCutOff(member, now);
     }
     const bool isSame
-        = this->last && std::ranges::equal(members, this->last->members(), {}, &Member::hasLostStore, &Member::hasLostStore);
+        = this->lastStableView && std::ranges::equal(members, this->lastStableView->members(), {}, &Member::hasLostStore, &Member::hasLostStore);
     if (!isSame) {
-        this->last = std::make_shared<const MemberView>(std::move(members), this->view->isMinority(), this->view->spreadTime());
+        this->lastStableView = std::make_shared<const MemberView>(std::move(members), this->view->isMinority(), this->view->spreadTime());
     }
-    return this->last;
+    return this->lastStableView;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/StoreReachability.h
+++ b/Libraries/LibMembership/StoreReachability.h
@@ -40,8 +40,8 @@
     /** Since when each member that has lost the store says so. */
     std::map<SessionNumber, SteadyTime> lostSince;
     /** Since when most members have had the store. */
-    std::optional<SteadyTime> commonSince;
-    MemberViewPointer last;
+    std::optional<SteadyTime> majoritySince;
+    MemberViewPointer lastStableView;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/Suspicion.h
+++ b/Libraries/LibMembership/Suspicion.h
@@ -21,17 +21,17 @@
     struct Options
     {
         /** With all the confirmations that can be expected. */
-        std::chrono::milliseconds shortest{1000};
+        std::chrono::milliseconds minTimeout{1000};
         /** With none. */
-        std::chrono::milliseconds longest{3000};
+        std::chrono::milliseconds maxTimeout{3000};
         /** Confirmations that can be expected; 0 when nobody else is there to confirm. */
-        std::size_t expected = 3;
+        std::size_t expectedConfirmations = 3;
     };
 
-    Suspicion(SteadyTime since, SessionNumber accuser, Options options);
+    Suspicion(SteadyTime since, SessionNumber suspectingMember, Options options);
 
     /** @return whether this accuser is a new one that counts. */
-    bool confirm(SessionNumber accuser);
+    bool confirm(SessionNumber suspectingMember);
 
     /** @return when the member counts as dead, unless it has refuted. */
     SteadyTime deadline() const;
@@ -42,7 +42,7 @@
 private:
     SteadyTime since;
     Options options;
-    std::set<SessionNumber> accusers;
+    std::set<SessionNumber> suspectingMembers;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/NewsQueue.h
+++ b/Libraries/LibMembership/UpdateQueue.h
@@ -15,7 +15,7 @@
  * @tparam Key names what the news is about; newer news about the same takes the place of older
  */
 template <typename Key>
-class NewsQueue
+class UpdateQueue
 {
 public:
     void add(const Key &key)
@@ -26,8 +26,8 @@
 
     void remove(const Key &key)
     {
-        std::erase_if(this->queued, [&key](const Piece &piece) {
-            return piece.key == key;
+        std::erase_if(this->queued, [&key](const Entry &entry) {
+            return entry.key == key;
         });
     }
 
@@ -36,22 +36,22 @@
      * @param most how many pieces
      * @param tellings after how many a piece is dropped
      */
-    std::vector<Key> take(std::size_t most, std::uint32_t tellings)
+    std::vector<Key> selectNext(std::size_t maxCount, std::uint32_t maxTransmissions)
     {
-        const std::size_t count = std::min(most, this->queued.size());
+        const std::size_t count = std::min(maxCount, this->queued.size());
         const auto end = this->queued.begin() + static_cast<std::ptrdiff_t>(count);
-        std::partial_sort(this->queued.begin(), end, this->queued.end(), [](const Piece &left, const Piece &right) {
-            return left.reported != right.reported ? left.reported < right.reported : left.order > right.order;
+        std::partial_sort(this->queued.begin(), end, this->queued.end(), [](const Entry &left, const Entry &right) {
+            return left.transmissions != right.transmissions ? left.transmissions < right.transmissions : left.order > right.order;
         });
-        std::vector<Key> taken;
+        std::vector<Key> selected;
         for (std::size_t i = 0; i < count; ++i) {
-            ++this->queued[i].reported;
-            taken.push_back(this->queued[i].key);
+            ++this->queued[i].transmissions;
+            selected.push_back(this->queued[i].key);
         }
-        std::erase_if(this->queued, [tellings](const Piece &piece) {
-            return piece.reported >= tellings;
+        std::erase_if(this->queued, [maxTransmissions](const Entry &entry) {
+            return entry.transmissions >= maxTransmissions;
         });
-        return taken;
+        return selected;
     }
 
     std::size_t size() const
@@ -60,14 +60,14 @@
     }
 
 private:
-    struct Piece
+    struct Entry
     {
         Key key;
-        std::uint32_t reported = 0;
+        std::uint32_t transmissions = 0;
         std::uint64_t order = 0;
     };
 
-    std::vector<Piece> queued;
+    std::vector<Entry> queued;
     std::uint64_t lastOrder = 0;
 };
 
--- a/Libraries/LibMembership/ViewStability.cpp
+++ b/Libraries/LibMembership/ViewStability.cpp
@@ -11,13 +11,13 @@
 {
 
 /** Several gossip rounds: what one node knows of a common start, the others know by then. */
-constexpr std::chrono::milliseconds quietTime{200};
+constexpr std::chrono::milliseconds quietPeriod{200};
 /** Where nodes come and go all the time, work must not wait for them. */
-constexpr std::chrono::milliseconds longestWait{1000};
+constexpr std::chrono::milliseconds maxWait{1000};
 
 } // namespace
 
-ViewStability::ViewStability(const Clock &clock) : clock(clock), changed(clock.now()), unsettled(clock.now())
+ViewStability::ViewStability(const Clock &clock) : clock(clock), changedAt(clock.now()), unstableSince(clock.now())
 {
 }
 
@@ -25,7 +25,7 @@
 {
     std::set<SessionNumber> present;
     for (const Member &member : view.members()) {
-        if (takesDuties(member)) {
+        if (acceptsRoles(member)) {
             present.insert(member.session);
         }
     }
@@ -33,15 +33,15 @@
         return;
     }
     const SteadyTime now = this->clock.now();
-    this->unsettled = now - this->changed >= quietTime ? now : this->unsettled;
-    this->changed = now;
+    this->unstableSince = now - this->changedAt >= quietPeriod ? now : this->unstableSince;
+    this->changedAt = now;
     this->sessions = std::move(present);
 }
 
 bool ViewStability::isStable() const
 {
     const SteadyTime now = this->clock.now();
-    return now - this->changed >= quietTime || now - this->unsettled >= longestWait;
+    return now - this->changedAt >= quietPeriod || now - this->unstableSince >= maxWait;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/ViewStability.h
+++ b/Libraries/LibMembership/ViewStability.h
@@ -28,9 +28,9 @@
 private:
     const Clock &clock;
     std::set<SessionNumber> sessions;
-    SteadyTime changed;
+    SteadyTime changedAt;
     /** Since when they have not stood still. */
-    SteadyTime unsettled;
+    SteadyTime unstableSince;
 };
 
 } // namespace Dogwoodkeel
--- a/Tests/LibMembership/TestJournalHolders.cpp
+++ b/Tests/LibMembership/TestJournalHolders.cpp
@@ -22,11 +22,11 @@
     return members;
 }
 
-std::set<SessionNumber> holders(const std::vector<Member> &members, std::size_t most)
+std::set<SessionNumber> holders(const std::vector<Member> &members, std::size_t maxHolders)
 {
     std::set<SessionNumber> sessions;
-    for (const std::size_t place : chooseJournalHolders(members, most)) {
-        sessions.insert(members[place].session);
+    for (const std::size_t index : selectJournalHolders(members, maxHolders)) {
+        sessions.insert(members[index].session);
     }
     return sessions;
 }
@@ -37,14 +37,14 @@
 {
     const std::vector<Member> members = fleet(390, 7);
     std::map<FailureDomain, int> perDomain;
-    for (const std::size_t place : chooseJournalHolders(members, 28)) {
-        ++perDomain[members[place].failureDomain];
+    for (const std::size_t index : selectJournalHolders(members, 28)) {
+        ++perDomain[members[index].failureDomain];
     }
     REQUIRE(perDomain.size() == 7);
     for (const auto &[domain, count] : perDomain) {
         CHECK(count == 4);
     }
-    CHECK(chooseJournalHolders(fleet(11, 3), 28).empty());
+    CHECK(selectJournalHolders(fleet(11, 3), 28).empty());
 }
 
 TEST_CASE("a member that joins takes nobody's journal, and one that is lost is followed by one other")
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -42,7 +42,7 @@
     };
     for (int step = 0; step < 3000; ++step) {
         const std::uint64_t number = 2 + below(40);
-        MemberNews news = newsOf(memberOf(number));
+        MemberNews news = updateOf(memberOf(number));
         news.incarnation = below(6);
         news.state = static_cast<MemberState>(below(5));
         switch (below(5)) {
--- a/Tests/LibMembership/TestRelayAssignment.cpp
+++ b/Tests/LibMembership/TestRelayAssignment.cpp
@@ -58,15 +58,15 @@
     const std::size_t at300 = relaysOf(MemberView(membersOf(300))).size();
     const std::size_t at1000 = relaysOf(MemberView(membersOf(1000))).size();
     const std::size_t at2000 = relaysOf(MemberView(membersOf(2000))).size();
-    CHECK(at300 == domainCount * fewestRelays);
-    CHECK(at1000 == domainCount * fewestRelays);
+    CHECK(at300 == domainCount * minRelays);
+    CHECK(at1000 == domainCount * minRelays);
     CHECK(at2000 == domainCount * 4);
     CHECK(at2000 * membersPerRelay >= 2000);
 }
 
 TEST_CASE("in a small failure domain all members follow the store")
 {
-    CHECK(relaysOf(MemberView(membersOf(domainCount * membersWithoutRelays))).size() == domainCount * membersWithoutRelays);
+    CHECK(relaysOf(MemberView(membersOf(domainCount * maxMembersWithoutRelays))).size() == domainCount * maxMembersWithoutRelays);
 }
 
 TEST_CASE("relays have a large processor, and reach the store")
@@ -227,7 +227,7 @@
         REQUIRE(coordinatorFor(view, key, RoleCandidates::Relays) != nullptr);
         CHECK(coordinatorFor(view, key, RoleCandidates::Relays)->session == members[9].session);
     }
-    CHECK(mayKeepDuty(view, members[9]));
-    CHECK_FALSE(mayKeepDuty(view, members[19]));
+    CHECK(mayKeepRole(view, members[9]));
+    CHECK_FALSE(mayKeepRole(view, members[19]));
     CHECK(coordinatorFor(MemberView(membersOf(10)), 1, RoleCandidates::Relays) != nullptr);
 }
--- a/Tests/LibMembership/TestRelayStart.cpp
+++ b/Tests/LibMembership/TestRelayStart.cpp
@@ -60,7 +60,7 @@
         CAPTURE(nodeCount);
         const std::size_t needed = domainCount * relaysFor(nodeCount / domainCount);
         const std::size_t began = beganAtCommonStart(nodeCount);
-        CHECK(began >= domainCount * fewestRelays);
+        CHECK(began >= domainCount * minRelays);
         CHECK(began <= needed * 2);
     }
 }
