--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -41,7 +41,7 @@
 {
     this->removeFromTotals(entry);
     if (!isDeparted(entry.member)) {
-        // NOTE: Suspect counts as alive: it is on its way to one or the other, and each step would cost a comparison.
+        // NOTE: Suspect counts as alive: the state is transient, and a digest that reflects it would cause extra comparisons.
         const std::uint64_t session = entry.member.session.value();
         entry.weight = static_cast<std::uint32_t>(rendezvousWeight(session, entry.member.incarnation));
         this->partDigests[session % parts] += *entry.weight;
@@ -80,7 +80,7 @@
     }
     const bool wasDescribed = std::exchange(entry.isDescribed, true);
     if (!wasDescribed) {
-        // Its state alone was known. That goes on to count: the description may come from one that has not heard.
+        // Only the state was known. It is kept, because the sender of the description may not know it yet.
         const MemberNews current = updateOf(entry.member);
         this->removeFromTotals(entry);
         entry.member = reported;
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -14,39 +14,39 @@
 namespace Dogwoodkeel
 {
 
-/** What came of taking in something that was told. */
+/** The result of merging a report about a member. */
 enum class MergeResult : std::uint8_t {
-    /** It was known, or is older than what is known. */
+    /** The report was known already or is older than what is known. */
     Unchanged,
-    /** It changed what is known of a member. */
+    /** The report changed what is known of a member. */
     Changed,
-    /** It is about a member that no description was given of; the teller has to be asked. */
+    /** The report is about a member whose description is not known; it has to be requested from the sender. */
     NeedsDescription,
 };
 
 /**
- * What a node knows of the members, itself included. Merging is the same in whatever order things are told: of two
- * entries the higher incarnation wins, at the same incarnation the graver state, and Left wins always.
+ * Holds what a node knows of the members, itself included. The result of merging does not depend on the order of the reports: of
+ * two reports the higher incarnation wins, at the same incarnation the more severe state, and Left always wins.
  *
- * Members that are dead or left are remembered, without cost to the others, so that late gossip cannot bring them back:
- * only a higher incarnation can, and only a member itself raises its own.
+ * Members that are dead or left are kept, without cost for the present ones, so that late gossip cannot restore them. Only a
+ * higher incarnation can restore a dead member, and only a member itself raises its incarnation.
  */
 class MemberTable
 {
 public:
-    /** A member as it is known. */
+    /** What is known of a member. */
     struct Entry
     {
         Member member;
-        /** When its state changed last. */
+        /** When its state last changed. */
         SteadyTime since{};
-        /** Whether its addresses are known; not so for one that was first heard of when it was dead. */
+        /** Whether its addresses are known; false if the first report of it said that it was dead or left. */
         bool isDescribed = false;
-        /** Its part of the digests, if it is counted as present there. */
+        /** Its contribution to the digests while it counts as present. */
         std::optional<std::uint32_t> weight{};
     };
 
-    /** Parts of the digest, so that only members in parts that differ are sent. */
+    /** Number of parts of the digest; only members in parts that differ are sent. */
     static constexpr std::size_t parts = 16;
 
     explicit MemberTable(Member self, SteadyTime now);
@@ -55,12 +55,12 @@
     MergeResult merge(const MemberNews &reported, SteadyTime now);
     MergeResult merge(const MemberLoad &reported);
 
-    /** @return this node itself, to be changed by its owner; call ownChanged() after. */
+    /** @return this node itself. The caller may change it and calls ownChanged() afterwards. */
     Member &own();
     const Member &own() const;
     void ownChanged();
 
-    /** Know this node itself under another session number. */
+    /** Changes the session number of this node. */
     void renameOwn(SessionNumber next);
 
     /** @return what is known of a session, or null. */
@@ -71,16 +71,16 @@
     /** @return the other members that are neither dead nor left. */
     std::vector<const Member *> others() const;
 
-    /** @return how many others() there are, without looking at them. */
+    /** @return the number of others(), in constant time. */
     std::size_t otherCount() const;
 
-    /** @return digests of the parts. */
+    /** @return the digest of each part. */
     const std::array<std::uint32_t, parts> &digests() const;
 
-    /** @return digest of all members that are neither dead nor left. */
+    /** @return the digest of all members that are neither dead nor left. */
     std::uint32_t digest() const;
 
-    /** Forget members that have been dead or left since before a time. */
+    /** Removes members that have been dead or left since before a time. */
     void forget(SteadyTime before);
 
 private:
@@ -90,19 +90,19 @@
 
     SessionNumber self;
     std::map<SessionNumber, Entry> known;
-    /** Members that are neither dead nor left, this node among them. */
+    /** Number of members that are neither dead nor left, this node included. */
     std::size_t presentCount = 0;
-    /** Of the members that are present; changed with each of them. */
+    /** Sums of the weights of the present members, updated with each change. */
     std::array<std::uint32_t, parts> partDigests{};
 };
 
 /** @return whether a member is dead or left. */
 bool isDeparted(const Member &member);
 
-/** @return what is told of a member to those that have its description. */
+/** @return the update that is sent to members that have the description. */
 MemberNews updateOf(const Member &member);
 
-/** @return what is told of a member's load. */
+/** @return the load of a member as it is sent to others. */
 MemberLoad loadOf(const Member &member);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/MemberView.h
+++ b/Libraries/LibMembership/MemberView.h
@@ -12,14 +12,14 @@
 namespace Dogwoodkeel
 {
 
-/** The members as one node saw them at one moment; never changed, so tasks share it. */
+/** A snapshot of the members as one node knows them. It is immutable, so tasks share it. */
 class MemberView
 {
 public:
     /**
-     * @param members alive, suspect and leaving ones, in order of their sessions
-     * @param isMinority whether this node has lost sight of more members than it sees
-     * @param spreadTime how long news takes to reach every member, most likely
+     * @param members the alive, suspect and leaving members, sorted by session
+     * @param isMinority whether this node has recently lost more members than it still knows
+     * @param spreadTime the time in which an update most likely reaches every member
      */
     explicit MemberView(std::vector<Member> members,
                         bool isMinority = false,
@@ -28,12 +28,12 @@
     const std::vector<Member> &members() const;
 
     /**
-     * @return whether this node has lately lost sight of more members than it sees, itself included. It is then more
-     * likely to be cut off than to have outlived them: what it would take over from them is most likely not free.
+     * @return whether this node has recently lost more members than it still knows, itself included. It is then more likely to
+     * be in the smaller side of a partition than to have survived them, and must expect that what they own is still in use.
      */
     bool isMinority() const;
 
-    /** @return how long it takes until every member has most likely the same view. */
+    /** @return the time after which every member most likely has the same view. */
     std::chrono::milliseconds spreadTime() const;
 
     /** @return the member of a session, or null. */
@@ -41,7 +41,7 @@
 
     /**
      * @param key hash of what is to be owned
-     * @return who should own it (rendezvous hashing over the members that are not leaving), or null if there is none
+     * @return the preferred owner (rendezvous hashing over the members that are not leaving), or null if there is none
      */
     const Member *ownerOf(std::uint64_t key) const;
 
@@ -52,20 +52,20 @@
      */
     std::shared_ptr<const MemberView> withJournalLimit(std::size_t maxHolders) const;
 
-    /** @return how many members own shards. */
+    /** @return the number of members that hold a journal and own shards. */
     std::size_t journalCount() const;
 
-    /** @return who should own a shard. */
+    /** @return the preferred owner of a shard. */
     const Member *ownerOf(ShardNumber shard) const;
 
-    /** @return who should hold the lane of a replica. */
+    /** @return the member that should hold the lane of a replica. */
     const Member *laneHolderOf(const EndpointName &replica) const;
 
 private:
     std::vector<Member> list;
     bool minority = false;
     std::chrono::milliseconds spread{0};
-    /** Places in the list of those who own shards; empty if all do that are not leaving. */
+    /** Indexes in the list of the members that own shards; empty if all that are not leaving do. */
     std::vector<std::size_t> journalHolders;
 };
 
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -22,12 +22,13 @@
 constexpr std::size_t departedInPush = 64;
 constexpr std::size_t loadsInDatagram = 8;
 constexpr std::size_t vmsInDatagram = 4;
-/** Above this, a new configVersion is not news: it goes with the node's own probes and answers. */
+/** In a larger fleet a new configVersion is not queued as an update; the node's own probes and answers carry it. */
 constexpr std::size_t maxMembersForVersionUpdates = 32;
 constexpr std::uint32_t transmissionsPerDoubling = 3;
 constexpr std::uint32_t minTransmissions = 6;
 constexpr std::size_t minOtherMembers = 2;
-/** How many times longer an unconfirmed suspicion lasts, and a node that hears nothing waits before it accuses. */
+/** Number of other members from which on receiving nothing at all indicates a fault of this node rather than of theirs. */
+/** Timeouts as multiples of Options::suspicion: of an unconfirmed suspicion, and of a node that receives nothing at all. */
 constexpr int unconfirmedFactor = 3;
 constexpr int lastMemberFactor = 5;
 constexpr int pullFactor = 10;
@@ -100,7 +101,7 @@
         this->probe(target);
     }
     if (this->table.otherCount() == 0) {
-        // The first word to the others may have been lost.
+        // The first probes of the contacts may have been lost.
         this->contact(this->contacts);
     }
     this->reconnect();
@@ -132,8 +133,8 @@
 
 bool Membership::wasPaused(SteadyTime due)
 {
-    // A node that was stopped for a while finds all its timers late at once, and would take the answers that lie unread
-    // in its socket for missing: every member it was probing or suspecting would be accused by the one that was at fault.
+    // After a pause all timers of a node are late at once, while answers are still unread in its socket. Without this check the
+    // node would suspect every member that it was probing, or declare those dead that it suspects, although the fault is its own.
     const auto late = std::chrono::duration_cast<std::chrono::milliseconds>(this->clock.now() - due);
     if (late <= this->options.probeTimeout) {
         return false;
@@ -159,7 +160,7 @@
 
 bool Membership::isLikelyCutOff() const
 {
-    // Where several others are known and none is heard, the fault is more likely here. If the silence lasts, they are gone.
+    // If several others are known and nothing is received, the fault is more likely here. If that lasts, they have departed.
     const auto quietTime = this->clock.now() - this->lastReceived;
     const bool hasOthers = this->table.otherCount() >= minOtherMembers;
     return hasOthers && quietTime > this->interval() * 2 && !this->isLikelyLastMember();
@@ -191,7 +192,8 @@
 
 void Membership::reconnect()
 {
-    // Two sides of a partition hold each other dead and would never speak again; so one of the dead is tried now and then.
+    // The two sides of a partition declare each other dead and would not contact each other again; so one dead member is probed
+    // from time to time.
     const SteadyTime now = this->clock.now();
     if (now < this->nextReconnect) {
         return;
@@ -260,7 +262,7 @@
     if (hasReceivedSinceProbe) {
         this->suspect(probe.target);
     } else if (this->isLikelyLastMember()) {
-        // Each accusation is published, and who hears of it may change the table.
+        // Each suspicion is published, and the receiver of the view may change the table; so the sessions are copied first.
         std::vector<SessionNumber> unresponsive;
         std::ranges::transform(this->table.others(), std::back_inserter(unresponsive), &Member::session);
         for (const SessionNumber session : unresponsive) {
@@ -282,7 +284,7 @@
 
 std::vector<const Member *> Membership::confirmersOf(SessionNumber target) const
 {
-    // The same few for every accuser, so that a suspicion costs few probes however many hear of it.
+    // The same few for every suspecting member, so that a suspicion causes few probes however many members receive it.
     std::vector<const Member *> members = this->table.others();
     members.push_back(&this->table.own());
     std::erase_if(members, [target](const Member *member) {
@@ -326,7 +328,7 @@
     }
     const bool isConfirmer = std::ranges::find(confirmers, this->self, &Member::session) != confirmers.end();
     if (isConfirmer && !this->isProbing(target)) {
-        // A look of its own either confirms or lets the member hear of it and refute.
+        // The probe either confirms the suspicion or lets the member learn of it and refute it.
         this->probe(target);
     }
 }
@@ -397,10 +399,10 @@
 
 void Membership::handleDuplicateSession(const Address &from, const Ping &ping)
 {
-    // Two nodes with one number: the one that is heard here is not the one that is known here.
+    // Two nodes have the same number: the sender is not the node that is known here under it.
     if (ping.from == this->self) {
         if (from != this->table.own().gossip) {
-            this->loseSession("another node has the same number");
+            this->loseSession("another node uses the same session number");
         }
         return;
     }
@@ -493,12 +495,12 @@
     }
     for (const Member &member : push.members) {
         this->apply(member);
-        // All that differs between two views is exchanged at once: passed on as news as well, a fleet that forms would be
-        // busy for a minute with what everybody knows.
+        // A push exchanges all differences between two views at once. If its members were queued as updates as well, a starting
+        // fleet would spend a minute on sending what all nodes know.
         this->newMembers.remove(member.session);
         const MemberTable::Entry *const entry = this->table.find(member.session);
         if (entry != nullptr && isDeparted(entry->member)) {
-            // The other side has not heard that this one is gone.
+            // The sender does not know yet that this member has departed.
             this->changedMembers.add(member.session);
         }
     }
@@ -543,7 +545,8 @@
     if (!isSuspectOrDead || now - this->notifiedAt[session] < this->options.probeTimeout) {
         return;
     }
-    // It answers and is held dead: told so, it refutes. Without this two sides of a partition would not meet again.
+    // The member answers although it is regarded as suspect or dead. Notified of that, it refutes. Without this the two sides of
+    // a partition would not merge again.
     this->notifiedAt[session] = now;
     this->hooks.sendPing(entry->member.gossip, {this->self, ++this->lastSequence, this->gossipFor(session)});
 }
@@ -551,7 +554,7 @@
 void Membership::apply(const Member &reported)
 {
     if (reported.session == this->self && reported.gossip != this->table.own().gossip) {
-        this->loseSession("another node has the same number");
+        this->loseSession("another node uses the same session number");
         return;
     }
     if (reported.session == this->self || !isValid(reported.state)) {
@@ -658,8 +661,8 @@
 
 void Membership::supersede(const Member &newcomer)
 {
-    // A socket belongs to one process: of two sessions with one gossip address the earlier is over, and need not be
-    // suspected first.
+    // A socket belongs to one process: of two sessions with the same gossip address the earlier has ended, without any need to
+    // suspect it first.
     std::vector<MemberNews> ended;
     std::vector<SessionNumber> uncertain;
     for (const auto &[session, entry] : this->table.entries()) {
@@ -692,7 +695,7 @@
     const MemberTable::Entry *const successor = this->table.find(answered);
     const MemberTable::Entry *const predecessor = this->table.find(expected);
     const bool isKnown = successor != nullptr && successor->isDescribed && predecessor != nullptr && predecessor->isDescribed;
-    // The same sequence may also stand in a late answer to the process that had this node's address before.
+    // A late answer to the process that previously had this node's address may have the same sequence number.
     if (!isKnown || isDeparted(predecessor->member) || successor->member.gossip != predecessor->member.gossip) {
         return;
     }
@@ -730,7 +733,7 @@
 void Membership::refute(const MemberNews &memberUpdate)
 {
     if (memberUpdate.state == MemberState::Left && !this->hasLeft) {
-        this->loseSession("the others hold it over");
+        this->loseSession("the other members regard the session as ended");
         return;
     }
     Member &own = this->table.own();
@@ -770,7 +773,7 @@
         this->changedMembers.add(this->self);
         this->hasChanged = true;
     }
-    // What this node says of itself counts for its own decisions at once.
+    // The node's own decisions use its new description at once.
     this->publishedAt = {};
     this->publish();
 }
@@ -880,14 +883,14 @@
 bool Membership::isMinority() const
 {
     const SteadyTime now = this->clock.now();
-    /** Sessions that were lost, by their VMs. */
+    /** Number of lost sessions by VM. */
     std::map<VmName, std::size_t> lost;
     for (const auto &[session, entry] : this->table.entries()) {
         if (entry.member.state == MemberState::Dead && now - entry.since < recentLossWindow) {
             ++lost[entry.member.vm];
         }
     }
-    // Mostly nobody is lost, and each new view asks.
+    // Each new view is checked, and usually no member is lost.
     if (lost.empty()) {
         return false;
     }
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -22,25 +22,26 @@
 {
 
 /**
- * Knows which nodes there are, by probing and gossip over datagrams (after SWIM: Das, Gupta, Motivala, 2002, and
- * Lifeguard: Dadgar, Phillips, Currey, 2018).
+ * Maintains the list of nodes by probing and gossip over datagrams (after SWIM: Das, Gupta, Motivala, 2002, and Lifeguard: Dadgar,
+ * Phillips, Currey, 2018).
  *
- * Each node probes one member an interval, whatever their number, so that each member is probed about once an interval
- * by someone. News is told a bounded number of times; what it missed is found by comparing digests. A member that does
- * not answer is probed through others before it is suspected, others are asked to confirm, and it has time to refute
- * before it counts as dead. A node that finds itself paused or deaf accuses nobody.
+ * Each node probes one member per interval, whatever the number of members, so that each member is probed about once per interval
+ * by some node. An update is sent a bounded number of times; nodes that missed it find the difference by comparing digests. A
+ * member that does not answer is probed through others before it is suspected. Others are asked to confirm the suspicion, and the
+ * member has time to refute it before it is declared dead. A node that detects that it was paused or receives nothing does not
+ * suspect others.
  *
- * NOTE: What this class says is a hint. Nothing durable depends on it being right: who owns a shard is decided by the
- * platform's rows, and a journal's seal fences an owner that was held dead by mistake.
+ * NOTE: The list is a hint, and nothing durable depends on its accuracy. The rows of the platform decide which node owns a shard,
+ * and the seal of a journal fences an owner that was declared dead by mistake.
  */
 class Membership
 {
 public:
-    /** What the numbers of two sessions at one address tell. */
+    /** What the order of the numbers of two sessions at one address means. */
     enum class SessionOrder : std::uint8_t {
-        /** The lower one is over: a row of the platform counts the sessions of a VM. */
+        /** The lower one has ended: a row of the platform counts the sessions of a VM. */
         Ascending,
-        /** Nothing, since they are drawn at random: the one that answers at the address lives. */
+        /** Nothing, because the numbers are random: the session that answers at the address is alive. */
         Random,
     };
 
@@ -48,26 +49,27 @@
     struct Options
     {
         SessionOrder sessionOrder = SessionOrder::Ascending;
-        /** Between two probes, in a fleet of up to stretchFrom nodes; in proportion in a larger one. */
+        /** Time between two probes in a fleet of up to scalingThreshold nodes; it grows in proportion in a larger one. */
         std::chrono::milliseconds probeInterval{200};
-        /** As far as the interval is stretched. */
+        /** Upper limit of the interval. */
         std::chrono::milliseconds maxProbeInterval{500};
         std::size_t scalingThreshold = 64;
         std::chrono::milliseconds probeTimeout{100};
-        /** How long a suspected member has to refute, if others confirm that it does not answer. */
+        /** How long a suspected member has to refute the suspicion if others confirm that it does not answer. */
         std::chrono::milliseconds suspicion{1000};
-        /** Members asked to probe for us, and to confirm a suspicion. */
+        /** Number of members that are asked to probe on behalf of this node, and to confirm a suspicion. */
         std::size_t indirectProbers = 3;
-        /** How long the dead are remembered, so that late gossip cannot bring them back. */
+        /** How long dead members are kept, so that late gossip cannot restore them. */
         std::chrono::milliseconds deadRetention{3600000};
         /**
-         * Shortest time between two views, once more for each hundred members: a view costs as much as there are members, and
-         * where a whole fleet starts, each of them is a change. The first change after a pause is told at once.
+         * Minimum time between two views, plus the same for each hundred members. The cost of a view is proportional to the number
+         * of members, and while a whole fleet starts, each member causes a change. The first change after a pause is published at
+         * once.
          */
         std::chrono::milliseconds viewInterval{0};
     };
 
-    /** How datagrams leave, and who hears of changes. */
+    /** Functions that send datagrams and receive notifications of changes. */
     struct Hooks
     {
         std::function<void(const Address &, const Ping &)> sendPing;
@@ -76,9 +78,9 @@
         std::function<void(const Address &, const MembersPull &)> sendPull;
         std::function<void(const Address &, const MembersPush &)> sendPush;
         std::function<void(MemberViewPointer)> onChange;
-        /** Told of VMs that the platform is about to take away, as others saw them on its list. */
+        /** Called with VMs that the platform is about to remove, as other nodes found them on its list. */
         std::function<void(const std::vector<VmName> &)> onLeavingVms;
-        /** Told that this node needs another session number; may be empty where a number can't be lost. See renew(). */
+        /** Called if this node needs another session number, see renew(); may be empty if a number can't be lost. */
         std::function<void()> onSessionLost;
     };
 
@@ -87,10 +89,10 @@
     Membership(const Membership &) = delete;
     Membership &operator=(const Membership &) = delete;
 
-    /** Start probing. @param contacts gossip addresses to introduce this node to */
+    /** Starts probing. @param contacts gossip addresses of nodes to contact first */
     void start(const std::vector<Address> &contacts);
 
-    /** Probe addresses that may have a member: used to join, and to meet again after a partition. */
+    /** Probes addresses that may have a member, in order to join or to reconnect after a partition. */
     void contact(const std::vector<Address> &addresses);
 
     void receive(const Address &from, const Ping &ping);
@@ -99,34 +101,35 @@
     void receive(const Address &from, const MembersPull &pull);
     void receive(const Address &from, const MembersPush &push);
 
-    /** Tell the others of a change of this node itself. */
+    /** Changes the description of this node and publishes the change to the other members. */
     void update(const std::function<void(Member &)> &change);
 
-    /** Tell the others that this session is over, and stop probing. */
+    /** Notifies other members that this session has ended, and stops probing. */
     void leave();
 
     /**
-     * Go on under another session number. A number is lost if another node has the same one (each would take the other's
-     * news for its own), or if the others hold it over: nothing that this node says of it would be believed any more.
+     * Continues under another session number. A number is lost if another node uses the same one, because each would apply the
+     * other's updates to itself. It is also lost if the other members regard it as ended, because they would ignore further
+     * updates of it.
      */
     void renew(SessionNumber next);
 
-    /** Tell the others of VMs that the platform is about to take away. */
+    /** Notifies the other members of VMs that the platform is about to remove. */
     void reportLeaving(const std::vector<VmName> &vms);
 
     MemberViewPointer view() const;
 
-    /** @return how long news takes to reach every node, most likely. */
+    /** @return the time in which an update most likely reaches every node. */
     std::chrono::milliseconds spreadTime() const;
 
-    /** @return whether any other member has been heard. */
+    /** @return whether gossip was received from any other member. */
     bool hasReceivedFromOthers() const;
 
-    /** @return whether a session is held dead or left, and since when. */
+    /** @return since when a session has been dead or left; nothing if it is not known to be. */
     std::optional<SteadyTime> departedSince(SessionNumber session) const;
 
 private:
-    /** A probe that waits for its answer. */
+    /** A probe that has not been answered yet. */
     struct Probe
     {
         SessionNumber target;
@@ -136,7 +139,7 @@
         TimerId timer = 0;
     };
 
-    /** A probe made for another member. */
+    /** A probe sent on behalf of another member. */
     struct ForwardedProbe
     {
         Address requester;
--- a/Libraries/LibMembership/MembershipDatagrams.h
+++ b/Libraries/LibMembership/MembershipDatagrams.h
@@ -6,7 +6,7 @@
 namespace Dogwoodkeel
 {
 
-/** Hand a datagram to the membership; a malformed one is dropped. @return whether it is about membership */
+/** Passes a datagram to the membership and drops a malformed one. @return whether it is a membership message */
 bool receiveDatagram(Membership &membership, const Datagram &datagram);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/RecentMembers.cpp
+++ b/Libraries/LibMembership/RecentMembers.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** What is lost for longer is taken to have ended: who is left has to serve on. */
+/** A member that is lost for longer is assumed to have ended, so that the remaining ones count as the whole fleet. */
 constexpr std::chrono::seconds lostRetained{30};
 
 bool isExpired(SteadyTime since, SteadyTime now)
--- a/Libraries/LibMembership/RecentMembers.h
+++ b/Libraries/LibMembership/RecentMembers.h
@@ -12,18 +12,18 @@
 {
 
 /**
- * The other members, and those that were lost of late without having left and are not back: a part of the fleet that is cut off
- * from this one, most likely, which goes on by itself.
+ * Tracks the other members, including those that were lost recently without having left and have not returned. These are most
+ * likely still running on the other side of a partition.
  */
 class RecentMembers
 {
 public:
     explicit RecentMembers(const Clock &clock);
 
-    /** Take the members as they are seen now. */
+    /** Applies a new view of the members. */
     void update(const MemberView &view, SessionNumber self);
 
-    /** @return where they take datagrams. */
+    /** @return the gossip addresses of the members that are not leaving and of those that were lost recently. */
     std::vector<Address> others() const;
 
 private:
@@ -40,7 +40,7 @@
     };
 
     const Clock &clock;
-    /** By VM: one that was started again is another member, and the same VM. */
+    /** By VM: a node that restarts is another member on the same VM. */
     std::map<std::string, Known> present;
     std::map<std::string, Lost> lost;
 };
--- a/Libraries/LibMembership/RelayAssignment.h
+++ b/Libraries/LibMembership/RelayAssignment.h
@@ -5,23 +5,26 @@
 namespace Dogwoodkeel
 {
 
-/** A failure domain of up to so many members has no need of relays: each of them follows the store's tables itself. */
+/** In a failure domain of up to this many members, each member follows the store's tables itself. */
 inline constexpr std::size_t maxMembersWithoutRelays = 8;
-/** Relays of a failure domain: while one is lost, the other goes on. */
+/** Minimum number of relays in a larger failure domain: if one is lost, the other still serves. */
 inline constexpr std::size_t minRelays = 2;
-/** Members that one relay serves at most, by which their number grows with the failure domain. */
+/** Maximum number of members per relay, by which the number of relays grows with the failure domain. */
 inline constexpr std::size_t membersPerRelay = 128;
 
 /**
- * What is read from the store is paid for by row and reader. Were every member to follow the tables, the bytes would grow with
- * the replicas times the members. So a few relays of each failure domain follow them, and pass on what the others need.
+ * Decides by rendezvous hashing whether a member should be a relay of its failure domain. Candidates are the members of the domain
+ * that are not leaving and have a sufficient processor; those that reach the store take precedence.
  *
- * @return whether a member should be a relay of its failure domain, in the eyes of whoever has this view: rendezvous hashing over
- * the members of the domain that stay and have a large enough processor, those that reach the store before all others
+ * Each row that a member reads from the store has a cost. If every member followed the tables, the bytes read would grow with the
+ * number of replicas times the number of members. So only a few relays of each failure domain follow them, and forward what the
+ * other members need.
+ *
+ * @return whether the member should be a relay according to this view
  */
 bool shouldRelay(const MemberView &view, SessionNumber session);
 
-/** @return how many relays a failure domain of so many members has. */
+/** @return the number of relays in a failure domain with the given number of members. */
 std::size_t relaysFor(std::size_t membersOfDomain);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibMembership/RelayRole.cpp
+++ b/Libraries/LibMembership/RelayRole.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-/** Several rounds of gossip: a node that starts among many others has met enough of them by then. */
+/** Several gossip rounds, after which a node that starts together with many others knows enough of them. */
 constexpr std::chrono::milliseconds startDelay{400};
-/** Until then all nodes have the view by which another one is chosen, and it has read the tables. */
+/** By then all nodes have a view that selects another relay, and that relay has read the tables. */
 constexpr std::chrono::seconds stopDelay{30};
 
 } // namespace
--- a/Libraries/LibMembership/RelayRole.h
+++ b/Libraries/LibMembership/RelayRole.h
@@ -9,41 +9,43 @@
 {
 
 /**
- * Whether this node follows the store's tables for the others of its failure domain, see shouldRelay().
+ * Decides whether this node is a relay now, which follows the store's tables for the others of its failure domain, see
+ * shouldRelay().
  *
- * Where a whole fleet starts, each node sees few members for a moment and finds itself the best of them. Were it to begin at
- * once, all would read all tables. A relay that is chosen no longer goes on for a while: those whose view is older still ask it.
+ * A node starts as a relay only after a delay. While a whole fleet starts, each node knows few members at first and selects itself;
+ * without the delay all nodes would read all tables. A relay that is no longer selected continues for a while, because nodes with
+ * an older view still send requests to it.
  */
 class RelayRole
 {
 public:
-    /** What others have of this node as a relay. */
+    /** How this node is in use as a relay. */
     enum class Use : std::uint8_t {
-        /** Nothing yet: it has not read the tables. */
+        /** Not in use: it has not read the tables yet. */
         None,
-        /** They may ask it. */
+        /** It accepts requests of other nodes. */
         Serving,
-        /** It has a duty for which it needs what a relay knows. */
+        /** It is the coordinator of a role that needs the tables. */
         Coordinating,
     };
 
     explicit RelayRole(const Clock &clock);
 
-    /** Take the members as they are seen now. */
+    /** Applies a new view of the members. */
     void update(const MemberView &view, SessionNumber self);
 
-    /** No relay that this node knows answers it: it has to follow the tables itself. */
+    /** Records that no known relay responds to this node, which then has to follow the tables itself. */
     void recordRelaysUnresponsive();
 
-    /** @return whether the node is a relay now, seeing what others have of it. */
+    /** @return whether the node is a relay now, given how it is in use. */
     bool isRelay(Use use);
 
 private:
     const Clock &clock;
     bool isSelected = false;
-    /** Since when it has been chosen, or not. */
+    /** When isSelected last changed. */
     SteadyTime since;
-    /** When no other relay answered last. */
+    /** When it was last recorded that no relay responds. */
     std::optional<SteadyTime> relaysUnresponsiveAt;
     bool isActive = false;
 };
--- a/Libraries/LibMembership/RelaySelector.cpp
+++ b/Libraries/LibMembership/RelaySelector.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** For so long a relay that did not answer, or did not know, is passed by: several times as long as an answer may take. */
+/** How long an unresponsive or outdated relay is avoided: several times the timeout of a response. */
 constexpr std::chrono::milliseconds avoidanceTime{5000};
 
 } // namespace
--- a/Libraries/LibMembership/RelaySelector.h
+++ b/Libraries/LibMembership/RelaySelector.h
@@ -10,28 +10,27 @@
 {
 
 /**
- * Which relay a node asks: of those that answer, one that reaches the store, of its own failure domain if there is one. The nodes
- * of a domain spread over its relays.
+ * Selects the relay to which a node sends its requests: a responsive one that reaches the store, in its own failure domain if there
+ * is one. The nodes of a domain are spread over its relays.
  */
 class RelaySelector
 {
 public:
     explicit RelaySelector(const Clock &clock);
 
-    /** Take the members as they are seen now. */
+    /** Applies a new view of the members. */
     void update(const MemberViewPointer &view, SessionNumber self);
 
-    /** @return the relay to ask, or null if none is known that may answer; valid until the next update. */
+    /** @return the selected relay, or null if no responsive one is known; valid until the next update. */
     const Member *select();
 
-    /** @return whether there are relays, and none of them answers this node: it is most likely cut off from them. */
+    /** @return whether there are relays but none responds to this node, which is then most likely cut off from them. */
     bool hasNoResponsiveRelay();
 
-    /** A relay did not answer: others are asked for a while. */
+    /** Records that a relay did not respond. Others are selected for a while. */
     void recordUnresponsive(SessionNumber relay);
 
-    /** A relay answered that it does not know what was asked, as it has lost the store or is none any more: others go before it.
-     */
+    /** Records that a relay could not answer because it has lost the store or is no longer a relay. Others are preferred. */
     void recordOutdated(SessionNumber relay);
 
 private:
@@ -45,9 +44,9 @@
     SessionNumber self;
     FailureDomain domain;
     const Member *selected = nullptr;
-    /** When the choice was made; made again then, so that a silent relay is tried again. */
+    /** When the relay was selected. The selection expires, so that an unresponsive relay is tried again. */
     std::optional<SteadyTime> selectedAt;
-    /** When relays did not answer last, and when they were behind. */
+    /** When each relay last failed to respond, and when it was last outdated. */
     Times unresponsive;
     Times outdated;
 };
--- a/Libraries/LibMembership/SpreadMembers.h
+++ b/Libraries/LibMembership/SpreadMembers.h
@@ -10,9 +10,9 @@
 {
 
 /**
- * Choose members to keep copies of something. Views that differ in a few members give nearly the same ones.
- * @param key hash of what is kept
- * @return by rendezvous hashing, one of each failure domain before a second one of any; members that leave are not among them.
+ * Selects members that keep copies of an object. Views that differ in a few members yield nearly the same selection.
+ * @param key hash of the object
+ * @return members that are not leaving, ordered by rendezvous hashing, with one of each failure domain before a second one of any.
  *         The pointers are valid as long as the view
  */
 std::vector<const Member *> spreadMembers(const MemberView &view, std::uint64_t key, std::size_t maxCount);
--- a/Libraries/LibMembership/StoreReachability.cpp
+++ b/Libraries/LibMembership/StoreReachability.cpp
@@ -10,8 +10,8 @@
 {
 
 /**
- * In this time all members notice that the store is away, or back: they call a silent store lost after 1.6 s, and look for its
- * return every 0.4 s. News of it takes the members' spreading time beside.
+ * Time in which all members detect an outage or a recovery of the store: an unresponsive store counts as lost after 1.6 s, and its
+ * return is checked every 0.4 s. The spread time of the update is added.
  */
 constexpr std::chrono::milliseconds detectionTime{2000};
 
@@ -25,7 +25,7 @@
 {
     const SteadyTime now = this->clock.now();
     this->view = view;
-    // Where there are relays, only they follow the store and see whether it answers.
+    // If there are relays, only they follow the store and detect whether it responds.
     const bool hasRelays = std::ranges::any_of(view->members(), &Member::isRelay);
     const auto observers = std::ranges::count_if(view->members(), [hasRelays](const Member &member) {
         return member.isRelay || member.hasLostStore || !hasRelays;
--- a/Libraries/LibMembership/StoreReachability.h
+++ b/Libraries/LibMembership/StoreReachability.h
@@ -11,23 +11,25 @@
 {
 
 /**
- * Judges which members can't have duties because they do not reach the platform's store while most others do.
+ * Determines which members are not eligible for roles because they do not reach the platform's store while most others do.
  *
- * When the whole store goes away, members notice it one after the other, hear of each other's loss later still, and come back in
- * the same disorder. If duties followed each word, they would move dozens of times within seconds, differently in each member's
- * eyes: several dispatchers would fill the same replicas, and requests wait in the replicas' queues. So a loss counts only
- * once it has stood for longer than such a disorder lasts, and most members had the store all the while.
+ * A loss counts only after it has lasted longer than an outage or a recovery takes to become known to all members, and only if
+ * most members reached the store during that time.
+ *
+ * If the whole store fails, members detect it one after the other, learn of each other's loss even later, and recover in the
+ * same way. If roles followed each report, they would move dozens of times within seconds, differently in each member's view:
+ * several dispatchers would fill the same replicas, and requests would wait in the replicas' queues.
  */
 class StoreReachability
 {
 public:
     explicit StoreReachability(const Clock &clock);
 
-    /** Take the members as they are seen now. */
+    /** Applies a new view of the members. */
     void update(const MemberViewPointer &view);
 
     /**
-     * @return the members, with the loss of the store told only of those that can't have duties for it; the same pointer as
+     * @return the members with hasLostStore set only on those that are not eligible for roles because of it; the same pointer as
      * before if nothing has changed
      */
     MemberViewPointer stableView();
@@ -37,9 +39,9 @@
 
     const Clock &clock;
     MemberViewPointer view;
-    /** Since when each member that has lost the store says so. */
+    /** Since when each member has reported that it has lost the store. */
     std::map<SessionNumber, SteadyTime> lostSince;
-    /** Since when most members have had the store. */
+    /** Since when most members have reached the store. */
     std::optional<SteadyTime> majoritySince;
     MemberViewPointer lastStableView;
 };
--- a/Libraries/LibMembership/Suspicion.h
+++ b/Libraries/LibMembership/Suspicion.h
@@ -11,32 +11,33 @@
 {
 
 /**
- * One member's suspicion, and when it ends in death. Alone, one accuser waits long, since the fault may be its own; each
- * further member that got no answer either shortens the wait (Dadgar, Phillips, Currey: Lifeguard, 2018, section IV-B).
+ * The suspicion against one member, and when that member is declared dead. With a single suspecting member the timeout is long,
+ * because the fault may be its own. Each further member that receives no answer either shortens the timeout (Dadgar, Phillips,
+ * Currey: Lifeguard, 2018, section IV-B).
  */
 class Suspicion
 {
 public:
-    /** How long a suspected member has to refute. */
+    /** How long a suspected member has to refute the suspicion. */
     struct Options
     {
-        /** With all the confirmations that can be expected. */
+        /** With all expected confirmations. */
         std::chrono::milliseconds minTimeout{1000};
-        /** With none. */
+        /** Without any confirmation. */
         std::chrono::milliseconds maxTimeout{3000};
-        /** Confirmations that can be expected; 0 when nobody else is there to confirm. */
+        /** Number of confirmations that can be expected; 0 if there is no other member that could confirm. */
         std::size_t expectedConfirmations = 3;
     };
 
     Suspicion(SteadyTime since, SessionNumber suspectingMember, Options options);
 
-    /** @return whether this accuser is a new one that counts. */
+    /** Adds a confirmation. @return whether the member is a new one and counts */
     bool confirm(SessionNumber suspectingMember);
 
-    /** @return when the member counts as dead, unless it has refuted. */
+    /** @return when the member is declared dead unless it has refuted the suspicion. */
     SteadyTime deadline() const;
 
-    /** Move the deadline by a time in which this node could not have heard a refutation. */
+    /** Extends the deadline by a time in which this node could not have received a refutation. */
     void extend(std::chrono::milliseconds time);
 
 private:
--- a/Libraries/LibMembership/UpdateQueue.h
+++ b/Libraries/LibMembership/UpdateQueue.h
@@ -9,10 +9,10 @@
 {
 
 /**
- * What is still to be told to others. Each piece of news goes out a bounded number of times: that many tellings, a small
- * multiple of the logarithm of the fleet's size, reach every node with high probability (Das, Gupta, Motivala, 2002,
- * section 4.1), and after them it costs nothing any more.
- * @tparam Key names what the news is about; newer news about the same takes the place of older
+ * Queues updates for dissemination by gossip. Each update is sent a bounded number of times, a small multiple of the logarithm of
+ * the size of the fleet. That reaches every node with high probability (Das, Gupta, Motivala, 2002, section 4.1), and the update
+ * causes no further traffic.
+ * @tparam Key identifies the subject of an update; a newer update replaces an older one with the same key
  */
 template <typename Key>
 class UpdateQueue
--- a/Libraries/LibMembership/ViewStability.cpp
+++ b/Libraries/LibMembership/ViewStability.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-/** Several gossip rounds: what one node knows of a common start, the others know by then. */
+/** Several gossip rounds, after which all nodes of a fleet that starts at once have the same view. */
 constexpr std::chrono::milliseconds quietPeriod{200};
-/** Where nodes come and go all the time, work must not wait for them. */
+/** If nodes join and leave all the time, work starts after this time nevertheless. */
 constexpr std::chrono::milliseconds maxWait{1000};
 
 } // namespace
--- a/Libraries/LibMembership/ViewStability.h
+++ b/Libraries/LibMembership/ViewStability.h
@@ -11,25 +11,25 @@
 {
 
 /**
- * Whether the members that take duties have stood still for long enough to share work out among them by their view. While a fleet
- * starts, or many nodes die at once, each node sees other members for a moment, and several would take the same work for theirs.
+ * Determines whether the set of members that accept roles has been unchanged for long enough to assign work by the view. While a
+ * fleet starts or many nodes die at once, the views of the nodes differ for a moment, and several nodes would start the same work.
  */
 class ViewStability
 {
 public:
     explicit ViewStability(const Clock &clock);
 
-    /** Take the members as they are seen now. */
+    /** Applies a new view of the members. */
     void update(const MemberView &view);
 
-    /** @return whether they have stood still, or have moved for so long that waiting is no use. */
+    /** @return whether the set is unchanged for long enough, or has kept changing for so long that waiting does not help. */
     bool isStable() const;
 
 private:
     const Clock &clock;
     std::set<SessionNumber> sessions;
     SteadyTime changedAt;
-    /** Since when they have not stood still. */
+    /** Start of the current or last sequence of changes. */
     SteadyTime unstableSince;
 };
 
