--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -22,17 +22,17 @@
 {
 
 /**
- * Maintains the list of nodes by probing and gossip over datagrams (after SWIM: Das, Gupta, Motivala, 2002, and Lifeguard: Dadgar,
- * Phillips, Currey, 2018).
+ * Maintains the list of nodes by probing and gossip over datagrams (after SWIM: Das, Gupta, Motivala, 2002, and Lifeguard:
+ * Dadgar, Phillips, Currey, 2018).
  *
- * Each node probes one member per interval, whatever the number of members, so that each member is probed about once per interval
- * by some node. An update is sent a bounded number of times; nodes that missed it find the difference by comparing digests. A
- * member that does not answer is probed through others before it is suspected. Others are asked to confirm the suspicion, and the
- * member has time to refute it before it is declared dead. A node that detects that it was paused or receives nothing does not
- * suspect others.
+ * Each node probes one member per interval, whatever the number of members, so that each member is probed about once per
+ * interval by some node. An update is sent a bounded number of times; nodes that missed it find the difference by comparing
+ * digests. A member that does not answer is probed through others before it is suspected. Others are asked to confirm the
+ * suspicion, and the member has time to refute it before it is declared dead. A node that detects that it was paused or
+ * receives nothing does not suspect others.
  *
- * NOTE: The list is a hint, and nothing durable depends on its accuracy. The rows of the platform decide which node owns a shard,
- * and the seal of a journal fences an owner that was declared dead by mistake.
+ * NOTE: The list is a hint, and nothing durable depends on its accuracy. The rows of the platform decide which node owns a
+ * shard, and the seal of a journal fences an owner that was declared dead by mistake.
  */
 class Membership
 {
@@ -62,9 +62,9 @@
         /** How long dead members are kept, so that late gossip cannot restore them. */
         std::chrono::milliseconds deadRetention{3600000};
         /**
-         * Minimum time between two views, plus the same for each hundred members. The cost of a view is proportional to the number
-         * of members, and while a whole fleet starts, each member causes a change. The first change after a pause is published at
-         * once.
+         * Minimum time between two views, plus the same for each hundred members. The cost of a view is proportional to the
+         * number of members, and while a whole fleet starts, each member causes a change. The first change after a pause is
+         * published at once.
          */
         std::chrono::milliseconds viewInterval{0};
     };
--- a/Libraries/LibMembership/ReachabilityEstimator.h
+++ b/Libraries/LibMembership/ReachabilityEstimator.h
@@ -62,7 +62,9 @@
     std::vector<Address> others;
     /** When the unanswered probes whose timeout has not passed were sent, by target. */
     std::multimap<Address, SteadyTime> pending;
-    /** When the answered probes were sent. They are evaluated together with the unanswered ones that were sent at the same time. */
+    /**
+     * When the answered probes were sent. They are evaluated together with the unanswered ones that were sent at the same time.
+     */
     std::deque<SteadyTime> answered;
     std::deque<CompletedProbe> completed;
     SteadyTime nextProbes{};
--- a/Libraries/LibMembership/RelayAssignment.h
+++ b/Libraries/LibMembership/RelayAssignment.h
@@ -13,12 +13,12 @@
 inline constexpr std::size_t membersPerRelay = 128;
 
 /**
- * Decides by rendezvous hashing whether a member should be a relay of its failure domain. Candidates are the members of the domain
- * that are not leaving and have a sufficient processor; those that reach the store take precedence.
+ * Decides by rendezvous hashing whether a member should be a relay of its failure domain. Candidates are the members of the
+ * domain that are not leaving and have a sufficient processor; those that reach the store take precedence.
  *
- * Each row that a member reads from the store has a cost. If every member followed the tables, the bytes read would grow with the
- * number of replicas times the number of members. So only a few relays of each failure domain follow them, and forward what the
- * other members need.
+ * Each row that a member reads from the store has a cost. If every member followed the tables, the bytes read would grow with
+ * the number of replicas times the number of members. So only a few relays of each failure domain follow them, and forward what
+ * the other members need.
  *
  * @return whether the member should be a relay according to this view
  */
--- a/Libraries/LibMembership/RelaySelector.h
+++ b/Libraries/LibMembership/RelaySelector.h
@@ -10,8 +10,8 @@
 {
 
 /**
- * Selects the relay to which a node sends its requests: a responsive one that reaches the store, in its own failure domain if there
- * is one. The nodes of a domain are spread over its relays.
+ * Selects the relay to which a node sends its requests: a responsive one that reaches the store, in its own failure domain if
+ * there is one. The nodes of a domain are spread over its relays.
  */
 class RelaySelector
 {
--- a/Libraries/LibMembership/RoleAssignment.cpp
+++ b/Libraries/LibMembership/RoleAssignment.cpp
@@ -37,7 +37,7 @@
     });
 }
 
-bool isAnyRelay(const MemberView &view)
+bool hasRelay(const MemberView &view)
 {
     return std::ranges::any_of(view.members(), [](const Member &member) {
         return member.isRelay && acceptsRoles(member);
@@ -47,7 +47,7 @@
 /** @return whether roles with RoleCandidates::Relays are restricted to relays in this view. */
 bool isRestrictedToRelays(const MemberView &view)
 {
-    return isAnyRelay(view) || needsRelays(view);
+    return hasRelay(view) || needsRelays(view);
 }
 
 } // namespace
--- a/Libraries/LibMembership/StoreReachability.cpp
+++ b/Libraries/LibMembership/StoreReachability.cpp
@@ -10,8 +10,8 @@
 {
 
 /**
- * Time in which all members detect an outage or a recovery of the store: an unresponsive store counts as lost after 1.6 s, and its
- * return is checked every 0.4 s. The spread time of the update is added.
+ * Time in which all members detect an outage or a recovery of the store: an unresponsive store counts as lost after 1.6 s, and
+ * its return is checked every 0.4 s. The spread time of the update is added.
  */
 constexpr std::chrono::milliseconds detectionTime{2000};
 
@@ -47,7 +47,7 @@
     this->lastStableView.reset();
 }
 
-bool StoreReachability::isCutOff(const Member &member, SteadyTime now) const
+bool StoreReachability::isIneligible(const Member &member, SteadyTime now) const
 {
     const std::chrono::milliseconds settlingTime = detectionTime + this->view->spreadTime();
     const auto since = this->lostSince.find(member.session);
@@ -63,7 +63,7 @@
     const SteadyTime now = this->clock.now();
     std::vector<Member> members = this->view->members();
     for (Member &member : members) {
-        member.hasLostStore = this->isCutOff(member, now);
+        member.hasLostStore = this->isIneligible(member, now);
     }
     const bool isSame
         = this->lastStableView && std::ranges::equal(members, this->lastStableView->members(), {}, &Member::hasLostStore, &Member::hasLostStore);
--- a/Libraries/LibMembership/StoreReachability.h
+++ b/Libraries/LibMembership/StoreReachability.h
@@ -35,7 +35,7 @@
     MemberViewPointer stableView();
 
 private:
-    bool isCutOff(const Member &member, SteadyTime now) const;
+    bool isIneligible(const Member &member, SteadyTime now) const;
 
     const Clock &clock;
     MemberViewPointer view;
--- a/Libraries/LibMembership/ViewStability.h
+++ b/Libraries/LibMembership/ViewStability.h
@@ -11,8 +11,9 @@
 {
 
 /**
- * Determines whether the set of members that accept roles has been unchanged for long enough to assign work by the view. While a
- * fleet starts or many nodes die at once, the views of the nodes differ for a moment, and several nodes would start the same work.
+ * Determines whether the set of members that accept roles has been unchanged for long enough to assign work by the view. While
+ * a fleet starts or many nodes die at once, the views of the nodes differ for a moment, and several nodes would start the same
+ * work.
  */
 class ViewStability
 {
--- a/Tests/LibMembership/TestCoordinatorElection.cpp
+++ b/Tests/LibMembership/TestCoordinatorElection.cpp
@@ -106,9 +106,10 @@
 
 } // namespace
 
-// Guards against several dispatchers at once. A third of the nodes loses the store for nine seconds; each detects loss and recovery
-// at a different time and reports them by gossip. If each report selected the coordinator anew by hash, nodes would send requests
-// to several dispatchers for seconds. These would fill the same replicas, and callers would wait in the replicas' queues.
+// Guards against several dispatchers at once. A third of the nodes loses the store for nine seconds; each detects loss and
+// recovery at a different time and reports them by gossip. If each report selected the coordinator anew by hash, nodes would
+// send requests to several dispatchers for seconds. These would fill the same replicas, and callers would wait in the replicas'
+// queues.
 TEST_CASE("if a third of the nodes loses the store, a role moves at most once")
 {
     const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &random) {
@@ -153,8 +154,8 @@
     CHECK(outcome.changes == 1);
 }
 
-// The VM of a dispatcher is paused for longer than the timeout of the others and then continues. It has to learn that another node
-// has the role before it assigns slots a second time.
+// The VM of a dispatcher is paused for longer than the timeout of the others and then continues. It has to learn that another
+// node has the role before it assigns slots a second time.
 TEST_CASE("a coordinator that is paused and resumes accepts that another node has the role")
 {
     const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &) {
@@ -244,8 +245,8 @@
     }
 }
 
-// Guards against two members that stop at once and name each other as successor in turn, because each regards the other as eligible
-// until the view shows otherwise. Each such claim would be sent to every member.
+// Guards against two members that stop at once and name each other as successor in turn, because each regards the other as
+// eligible until the view shows otherwise. Each such claim would be sent to every member.
 TEST_CASE("two members that are no longer eligible do not name each other in turn")
 {
     ManualClock clock;
@@ -311,8 +312,8 @@
     CHECK(election.receive(election.claimQuery()) == CoordinatorElection::ReceiveOutcome::Outdated);
 }
 
-// A node that is cut off regards all others as dead. A claim of its own with a higher term would take the role from its coordinator
-// when the nodes reconnect.
+// A node that is cut off regards all others as dead. A claim of its own with a higher term would take the role from its
+// coordinator when the nodes reconnect.
 TEST_CASE("a node that has lost most other members makes no claim")
 {
     ManualClock clock;
@@ -348,8 +349,8 @@
     }
 }
 
-// The VM of a dispatcher is lost. Until another node dispatches, its clients place requests by their own counts, which is worse under
-// load. The membership declares the node dead only seconds later.
+// The VM of a dispatcher is lost. Until another node dispatches, its clients place requests by their own counts, which is worse
+// under load. The membership declares the node dead only seconds later.
 TEST_CASE("a coordinator that does not answer several nodes and the successor loses its role")
 {
     ElectionFixture fixture;
@@ -404,8 +405,8 @@
     CHECK(*claim == DutyClaim{"llm", 6, SessionNumber(1)});
 }
 
-// Half of the nodes are killed at once, including the coordinator. The successor has lost many members, as if it were cut off, but
-// it receives suspicions from others. If it waited, all nodes would place requests by their own counts for seconds.
+// Half of the nodes are killed at once, including the coordinator. The successor has lost many members, as if it were cut off,
+// but it receives suspicions from others. If it waited, all nodes would place requests by their own counts for seconds.
 TEST_CASE("a successor that has lost many members claims the role if several others suspect the coordinator")
 {
     ManualClock clock;
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -30,8 +30,8 @@
 
 } // namespace
 
-// The digests and the count are used with each datagram, so they are maintained incrementally: computing them each time would cost
-// time in proportion to the number of members.
+// The digests and the count are used with each datagram, so they are maintained incrementally: computing them each time would
+// cost time in proportion to the number of members.
 TEST_CASE("the incrementally maintained digests and count match a table built from scratch")
 {
     ManualClock clock;
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -110,23 +110,23 @@
 
 TEST_CASE("a paused node suspects no other member when it resumes")
 {
-    // Guards against every shard of the fleet changing its owner at once. After a pause of a minute, all timers of a node are late
-    // before it has read any of the answers in its socket, and it would declare every other node dead.
+    // Guards against every shard of the fleet changing its owner at once. After a pause of a minute, all timers of a node are
+    // late before it has read any of the answers in its socket, and it would declare every other node dead.
     GossipNetwork network;
     startFleet(network, 11);
     network.pause(4);
     network.clock.advance(60s);
-    std::set<Number> accused;
-    network.onView = [&accused](Number seenBy, const MemberView &view) {
+    std::set<Number> suspected;
+    network.onView = [&suspected](Number seenBy, const MemberView &view) {
         for (const Member &member : view.members()) {
             if (member.state == MemberState::Suspect && (seenBy == 4 || member.session.value() != 4)) {
-                accused.insert(member.session.value());
+                suspected.insert(member.session.value());
             }
         }
     };
     network.resume(4);
     network.clock.advance(20s);
-    CHECK(accused.empty());
+    CHECK(suspected.empty());
     CHECK(network.isConverged());
 }
 
@@ -164,8 +164,9 @@
 
 TEST_CASE("regions that were partitioned for minutes merge again")
 {
-    // Nine nodes in three regions; the third is cut off for three minutes. Each side declares the other dead, and the smaller side
-    // detects that it is the minority. Unless dead members are probed from time to time, neither side contacts the other again.
+    // Nine nodes in three regions; the third is cut off for three minutes. Each side declares the other dead, and the smaller
+    // side detects that it is the minority. Unless dead members are probed from time to time, neither side contacts the other
+    // again.
     GossipNetwork network;
     startFleet(network, 9);
     network.isCut = [](Number from, Number to) {
@@ -221,8 +222,8 @@
     }
 }
 
-// Guards against a node that never gets callers: a late update of an ended session states that its successor at the same address has
-// left, and all others would ignore the successor for as long as it lives.
+// Guards against a node that never gets callers: a late update of an ended session states that its successor at the same
+// address has left, and all others would ignore the successor for as long as it lives.
 TEST_CASE("a node whose session the others regard as ended by mistake continues under another number")
 {
     Membership::Options options;
@@ -308,8 +309,8 @@
 
 TEST_CASE("after random faults the views converge, and dead members stay dead")
 {
-    // Random kills, pauses, partitions, joins and planned stops in a small fleet with lost datagrams. A node that was declared dead
-    // may return only with a higher incarnation, no incarnation decreases, and in the end all views are the same.
+    // Random kills, pauses, partitions, joins and planned stops in a small fleet with lost datagrams. A node that was declared
+    // dead may return only with a higher incarnation, no incarnation decreases, and in the end all views are the same.
     CHECK(rc::check([] {
         GossipNetwork network({}, *rc::gen::arbitrary<std::uint64_t>());
         std::map<std::pair<Number, Number>, std::uint64_t> lastSeen;
--- a/Tests/LibMembership/TestReachabilityEstimator.cpp
+++ b/Tests/LibMembership/TestReachabilityEstimator.cpp
@@ -25,10 +25,10 @@
 {
 public:
     explicit Fixture(std::size_t others)
-        : sample(this->clock, 1, [this](const Address &other) {
+        : estimator(this->clock, 1, [this](const Address &other) {
             ++this->probes;
             if (other.port < this->respondingCount) {
-                this->sample.receive(other);
+                this->estimator.receive(other);
             }
         })
     {
@@ -37,13 +37,13 @@
             addresses.push_back(addressOf(number));
         }
         this->respondingCount = others;
-        this->sample.setOthers(addresses);
+        this->estimator.setOthers(addresses);
     }
 
     void run(std::chrono::milliseconds length, ReachabilityEstimator::Pace pace = ReachabilityEstimator::Pace::Fast)
     {
         for (std::chrono::milliseconds passed(0); passed < length; passed += tickInterval) {
-            this->sample.tick(pace);
+            this->estimator.tick(pace);
             this->clock.advance(tickInterval);
         }
     }
@@ -52,7 +52,7 @@
     /** Nodes with lower numbers respond. */
     std::size_t respondingCount = 0;
     std::size_t probes = 0;
-    ReachabilityEstimator sample;
+    ReachabilityEstimator estimator;
 };
 
 Member memberOf(std::uint64_t session, const std::string &vm)
@@ -72,11 +72,11 @@
         Fixture fixture(58);
         fixture.respondingCount = respondingCount;
         fixture.run(std::chrono::milliseconds(100));
-        CHECK_FALSE(fixture.sample.share());
+        CHECK_FALSE(fixture.estimator.share());
         fixture.run(std::chrono::milliseconds(400));
-        REQUIRE(fixture.sample.share());
+        REQUIRE(fixture.estimator.share());
         const double exact = (1 + static_cast<double>(respondingCount)) / 59;
-        CHECK(std::abs(*fixture.sample.share() - exact) < 0.2);
+        CHECK(std::abs(*fixture.estimator.share() - exact) < 0.2);
     }
 }
 
@@ -84,19 +84,19 @@
 {
     Fixture fixture(58);
     fixture.run(std::chrono::seconds(2));
-    CHECK(*fixture.sample.share() == 1);
+    CHECK(*fixture.estimator.share() == 1);
     fixture.respondingCount = 10;
     fixture.run(std::chrono::milliseconds(500));
-    CHECK(*fixture.sample.share() < 0.4);
+    CHECK(*fixture.estimator.share() < 0.4);
     fixture.respondingCount = 58;
     fixture.run(std::chrono::milliseconds(500));
-    CHECK(*fixture.sample.share() == 1);
+    CHECK(*fixture.estimator.share() == 1);
 }
 
 TEST_CASE("a node without other members reaches the whole fleet")
 {
     Fixture fixture(0);
-    CHECK(*fixture.sample.share() == 1);
+    CHECK(*fixture.estimator.share() == 1);
 }
 
 TEST_CASE("the number of probes per second does not grow with the fleet")
