--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -422,7 +422,8 @@
     this->receiveGossip(pong.from, pong.gossip);
     this->publish();
     if (const auto forwarded = this->forwardedProbes.extract(pong.sequence); !forwarded.empty()) {
-        this->hooks.sendPong(forwarded.mapped().requester, {pong.from, forwarded.mapped().sequence, this->gossipFor(SessionNumber(0))});
+        this->hooks.sendPong(forwarded.mapped().requester,
+                             {pong.from, forwarded.mapped().sequence, this->gossipFor(SessionNumber(0))});
         return;
     }
     const auto probe = this->probes.find(pong.sequence);
@@ -738,7 +739,8 @@
         return;
     }
     Member &own = this->table.own();
-    const bool isRefutationNeeded = memberUpdate.incarnation >= own.incarnation && (memberUpdate.state != own.state || memberUpdate.incarnation > own.incarnation);
+    const bool isRefutationNeeded = memberUpdate.incarnation >= own.incarnation
+        && (memberUpdate.state != own.state || memberUpdate.incarnation > own.incarnation);
     if (!isRefutationNeeded || this->hasLeft) {
         return;
     }
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -5,8 +5,8 @@
 #include <LibMembership/LocalHealth.h>
 #include <LibMembership/MemberTable.h>
 #include <LibMembership/MemberView.h>
-#include <LibMembership/UpdateQueue.h>
 #include <LibMembership/Suspicion.h>
+#include <LibMembership/UpdateQueue.h>
 #include <LibWire/Generated/Messages.h>
 
 #include <chrono>
--- a/Libraries/LibMembership/RelaySelector.cpp
+++ b/Libraries/LibMembership/RelaySelector.cpp
@@ -76,7 +76,8 @@
     }
     std::tuple<bool, bool, bool, std::uint64_t> bestRank;
     for (const Member &member : this->view->members()) {
-        if (!member.isRelay || member.isLeaving || member.session == this->self || this->isRecent(this->unresponsive, member.session)) {
+        if (!member.isRelay || member.isLeaving || member.session == this->self
+            || this->isRecent(this->unresponsive, member.session)) {
             continue;
         }
         const std::uint64_t weight = rendezvousWeight(this->self.value(), member.session.value());
--- a/Libraries/LibMembership/RoleAssignment.cpp
+++ b/Libraries/LibMembership/RoleAssignment.cpp
@@ -68,7 +68,8 @@
     return isEligible && acceptsRoles(member) && !member.hasLostStore && hasEnoughProcessor(view, member);
 }
 
-const Member *coordinatorFor(const MemberView &view, std::uint64_t key, RoleCandidates candidates, const std::set<SessionNumber> &except)
+const Member *
+coordinatorFor(const MemberView &view, std::uint64_t key, RoleCandidates candidates, const std::set<SessionNumber> &except)
 {
     const std::uint32_t largest = largestProcessorShare(view);
     const bool isRelayOnly = candidates == RoleCandidates::Relays && isRestrictedToRelays(view);
--- a/Libraries/LibMembership/RoleAssignment.h
+++ b/Libraries/LibMembership/RoleAssignment.h
@@ -36,8 +36,10 @@
  * @param except members that are not eligible, whatever the view says
  * @return the preferred coordinator, or null if no member is eligible
  */
-const Member *
-coordinatorFor(const MemberView &view, std::uint64_t key, RoleCandidates candidates = RoleCandidates::Any, const std::set<SessionNumber> &except = {});
+const Member *coordinatorFor(const MemberView &view,
+                             std::uint64_t key,
+                             RoleCandidates candidates = RoleCandidates::Any,
+                             const std::set<SessionNumber> &except = {});
 
 /** @return whether a member is the preferred coordinator of a role. */
 bool hasRole(const MemberView &view, SessionNumber session, std::uint64_t key, RoleCandidates candidates = RoleCandidates::Any);
--- a/Libraries/LibMembership/StoreReachability.cpp
+++ b/Libraries/LibMembership/StoreReachability.cpp
@@ -65,10 +65,11 @@
     for (Member &member : members) {
         member.hasLostStore = this->isIneligible(member, now);
     }
-    const bool isSame
-        = this->lastStableView && std::ranges::equal(members, this->lastStableView->members(), {}, &Member::hasLostStore, &Member::hasLostStore);
+    const bool isSame = this->lastStableView
+        && std::ranges::equal(members, this->lastStableView->members(), {}, &Member::hasLostStore, &Member::hasLostStore);
     if (!isSame) {
-        this->lastStableView = std::make_shared<const MemberView>(std::move(members), this->view->isMinority(), this->view->spreadTime());
+        this->lastStableView
+            = std::make_shared<const MemberView>(std::move(members), this->view->isMinority(), this->view->spreadTime());
     }
     return this->lastStableView;
 }
--- a/Libraries/LibMembership/Suspicion.cpp
+++ b/Libraries/LibMembership/Suspicion.cpp
@@ -5,13 +5,15 @@
 namespace Dogwoodkeel
 {
 
-Suspicion::Suspicion(SteadyTime since, SessionNumber suspectingMember, Options options) : since(since), options(options), suspectingMembers{suspectingMember}
+Suspicion::Suspicion(SteadyTime since, SessionNumber suspectingMember, Options options)
+    : since(since), options(options), suspectingMembers{suspectingMember}
 {
 }
 
 bool Suspicion::confirm(SessionNumber suspectingMember)
 {
-    return this->suspectingMembers.size() <= this->options.expectedConfirmations && this->suspectingMembers.insert(suspectingMember).second;
+    return this->suspectingMembers.size() <= this->options.expectedConfirmations
+        && this->suspectingMembers.insert(suspectingMember).second;
 }
 
 SteadyTime Suspicion::deadline() const
--- a/Libraries/LibMembership/UpdateQueue.h
+++ b/Libraries/LibMembership/UpdateQueue.h
@@ -41,7 +41,8 @@
         const std::size_t count = std::min(maxCount, this->queued.size());
         const auto end = this->queued.begin() + static_cast<std::ptrdiff_t>(count);
         std::partial_sort(this->queued.begin(), end, this->queued.end(), [](const Entry &left, const Entry &right) {
-            return left.transmissions != right.transmissions ? left.transmissions < right.transmissions : left.order > right.order;
+            return left.transmissions != right.transmissions ? left.transmissions < right.transmissions
+                                                             : left.order > right.order;
         });
         std::vector<Key> selected;
         for (std::size_t i = 0; i < count; ++i) {
--- a/Services/Gateway/Gateway.h
+++ b/Services/Gateway/Gateway.h
@@ -4,8 +4,8 @@
 #include <LibBase/TrafficMeter.h>
 #include <LibGateway/CrashMemory.h>
 #include <LibGateway/PromptPartGuard.h>
-#include <LibMembership/RelaySelector.h>
 #include <LibMembership/RelayRole.h>
+#include <LibMembership/RelaySelector.h>
 #include <LibProxy/CallerServer.h>
 #include <LibProxy/OutboundPool.h>
 #include <LibSettings/SettingsHandle.h>
--- a/Services/Gateway/PeerNetwork.h
+++ b/Services/Gateway/PeerNetwork.h
@@ -2,8 +2,8 @@
 
 #include <LibBase/Clock.h>
 #include <LibBase/TrafficMeter.h>
-#include <LibMembership/RoleAssignment.h>
 #include <LibMembership/Membership.h>
+#include <LibMembership/RoleAssignment.h>
 #include <LibMembership/StoreReachability.h>
 #include <LibPlatform/RowStore.h>
 #include <LibSettings/Generated/Settings.h>
--- a/Tests/LibMembership/TestEntrySelector.cpp
+++ b/Tests/LibMembership/TestEntrySelector.cpp
@@ -1,5 +1,5 @@
-#include <LibMembership/EntrySelector.h>
 #include <LibMembership/EntryPressure.h>
+#include <LibMembership/EntrySelector.h>
 
 #include <doctest/doctest.h>
 
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -281,7 +281,8 @@
             MemberNews &memberUpdate = updates.emplace_back();
             memberUpdate.session = SessionNumber(2);
             memberUpdate.incarnation = *rc::gen::inRange<std::uint64_t>(0, 4);
-            memberUpdate.state = *rc::gen::element(MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left);
+            memberUpdate.state
+                = *rc::gen::element(MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left);
         }
         const auto mergeAll = [](const std::vector<MemberNews> &memberUpdates) {
             Member self;
--- a/Tests/LibMembership/TestRelayAssignment.cpp
+++ b/Tests/LibMembership/TestRelayAssignment.cpp
@@ -1,8 +1,8 @@
 #include <LibBase/ManualClock.h>
-#include <LibMembership/RoleAssignment.h>
 #include <LibMembership/RelayAssignment.h>
-#include <LibMembership/RelaySelector.h>
 #include <LibMembership/RelayRole.h>
+#include <LibMembership/RelaySelector.h>
+#include <LibMembership/RoleAssignment.h>
 
 #include <doctest/doctest.h>
 
--- a/Tests/LibMembership/TestViewStability.cpp
+++ b/Tests/LibMembership/TestViewStability.cpp
@@ -102,7 +102,8 @@
 {
     const Takeovers atOnce = startAll(false);
     const Takeovers stable = startAll(true);
-    MESSAGE("jobs started by several nodes: at once " << atOnce.startedTwice << ", after the view is stable " << stable.startedTwice);
+    MESSAGE("jobs started by several nodes: at once " << atOnce.startedTwice << ", after the view is stable "
+                                                      << stable.startedTwice);
     CHECK(stable.startedTwice * 50 <= jobCount);
     CHECK(stable.neverStarted == 0);
     CHECK(atOnce.startedTwice > stable.startedTwice * 10);
