--- a/Libraries/LibMembership/ReachabilityEstimator.h
+++ b/Libraries/LibMembership/ReachabilityEstimator.h
@@ -42,7 +42,7 @@
     /** Sends the probes that are due. Until the share is known they are sent at the fast pace. */
     void tick(Pace pace);
 
-    /** @return the reachable share of the fleet, this node included; nothing until enough probes are answered or expired. */
+    /** @return the reachable share of the fleet, this node included; nothing until the timeout of enough probes has passed. */
     std::optional<double> share() const;
 
 private:
@@ -60,11 +60,9 @@
     std::minstd_rand random;
     std::function<void(const Address &)> probe;
     std::vector<Address> others;
-    /** When the unanswered probes whose timeout has not passed were sent, by target. */
+    /** Send times of the unanswered probes that are still within the timeout, by target. */
     std::multimap<Address, SteadyTime> pending;
-    /**
-     * When the answered probes were sent. They are evaluated together with the unanswered ones that were sent at the same time.
-     */
+    /** Send times of the answered probes. They count only together with the unanswered ones that were sent at the same time. */
     std::deque<SteadyTime> answered;
     std::deque<CompletedProbe> completed;
     SteadyTime nextProbes{};
--- a/Libraries/LibMembership/RelayRole.h
+++ b/Libraries/LibMembership/RelayRole.h
@@ -9,8 +9,8 @@
 {
 
 /**
- * Decides whether this node is a relay now, which follows the store's tables for the others of its failure domain, see
- * shouldRelay().
+ * Decides whether this node currently acts as a relay, that is, follows the store's tables for the other nodes of its failure
+ * domain, see shouldRelay().
  *
  * A node starts as a relay only after a delay. While a whole fleet starts, each node knows few members at first and selects
  * itself; without the delay all nodes would read all tables. A relay that is no longer selected continues for a while, because
--- a/Libraries/LibMembership/UpdateQueue.h
+++ b/Libraries/LibMembership/UpdateQueue.h
@@ -10,8 +10,8 @@
 
 /**
  * Queues updates for dissemination by gossip. Each update is sent a bounded number of times, a small multiple of the logarithm of
- * the size of the fleet. That reaches every node with high probability (Das, Gupta, Motivala, 2002, section 4.1), and the update
- * causes no further traffic.
+ * the size of the fleet. That reaches every node with high probability (Das, Gupta, Motivala, 2002, section 4.1). After that the
+ * update causes no traffic.
  * @tparam Key identifies the subject of an update; a newer update replaces an older one with the same key
  */
 template <typename Key>
