--- a/Libraries/LibMembership/MemberView.cpp
+++ b/Libraries/LibMembership/MemberView.cpp
@@ -66,20 +66,20 @@
     if (this->journalHolders.empty()) {
         return this->ownerOf(key);
     }
-    const auto best = std::ranges::max_element(this->journalHolders, {}, [this, key](std::size_t place) {
-        return rendezvousWeight(key, this->list[place].session.value());
+    const auto best = std::ranges::max_element(this->journalHolders, {}, [this, key](std::size_t index) {
+        return rendezvousWeight(key, this->list[index].session.value());
     });
     return &this->list[*best];
 }
 
-std::shared_ptr<const MemberView> MemberView::withJournals(std::size_t most) const
+std::shared_ptr<const MemberView> MemberView::withJournalLimit(std::size_t maxHolders) const
 {
     auto view = std::make_shared<MemberView>(*this);
-    view->journalHolders = chooseJournalHolders(this->list, most);
+    view->journalHolders = selectJournalHolders(this->list, maxHolders);
     return view;
 }
 
-std::size_t MemberView::journals() const
+std::size_t MemberView::journalCount() const
 {
     if (!this->journalHolders.empty()) {
         return this->journalHolders.size();
@@ -89,7 +89,7 @@
     }));
 }
 
-const Member *MemberView::holderOf(const EndpointName &replica) const
+const Member *MemberView::laneHolderOf(const EndpointName &replica) const
 {
     return this->ownerOf(stableHash(replica.value(), laneSeed));
 }
--- a/Services/Gateway/Gateway.h
+++ b/Services/Gateway/Gateway.h
@@ -155,7 +155,7 @@
     PlacementClient placements;
     QuotaService quotas;
     RelayRole relayRole;
-    RelayPicker relays;
+    RelaySelector relays;
     ReplicaFollower listed;
     TableRelay tableRelay;
     RelayedFeed feed;
--- a/Services/Gateway/JobRunners.h
+++ b/Services/Gateway/JobRunners.h
@@ -104,7 +104,7 @@
     TimerId settleTimer = 0;
     TimerId considerTimer = 0;
     TimerId lookTimer = 0;
-    ViewSettling settling;
+    ViewStability settling;
     /** When this node last ran a job, as far as was looked. */
     SteadyTime lastBusy;
 };
--- a/Services/Gateway/PeerNetwork.h
+++ b/Services/Gateway/PeerNetwork.h
@@ -124,7 +124,7 @@
     PeerServer peerServer;
     PeerClient peerClient;
     std::optional<Membership> membership;
-    StoreReach reach;
+    StoreReachability reach;
     MemberViewPointer duties;
     TimerId reachTimer = 0;
     std::map<std::string, NodeRecord> known;
--- a/Services/Gateway/ReplicaFollower.h
+++ b/Services/Gateway/ReplicaFollower.h
@@ -60,7 +60,7 @@
                     const Clock &clock,
                     RowStore &store,
                     PeerNetwork &peers,
-                    RelayPicker &relays,
+                    RelaySelector &relays,
                     const Options &options,
                     Format format,
                     Hooks hooks);
@@ -127,7 +127,7 @@
     const Clock &clock;
     RowStore &store;
     PeerNetwork &peers;
-    RelayPicker &relays;
+    RelaySelector &relays;
     Options options;
     std::minstd_rand random;
     Format format;
--- a/Tests/Fakes/DutyNetwork.h
+++ b/Tests/Fakes/DutyNetwork.h
@@ -64,8 +64,8 @@
 private:
     struct Node
     {
-        std::unique_ptr<StoreReach> reach;
-        std::unique_ptr<ClaimedDuty> duty;
+        std::unique_ptr<StoreReachability> reach;
+        std::unique_ptr<CoordinatorElection> duty;
         MemberViewPointer view;
         SteadyTime nextAsk{};
         SteadyTime nextLook{};
--- a/Tests/LibMembership/TestRelayAssignment.cpp
+++ b/Tests/LibMembership/TestRelayAssignment.cpp
@@ -24,7 +24,7 @@
     Member member;
     member.session = SessionNumber(number);
     member.failureDomain = FailureDomain("z" + std::to_string(number % domainCount));
-    // One large VM in five, in each failure domain.
+    // One of five VMs in each failure domain is large.
     member.processorShare = number / domainCount % 5 == 0 ? largeShare : smallShare;
     member.isReady = true;
     return member;
@@ -52,21 +52,21 @@
 
 } // namespace
 
-// Were each member to follow the tables, the bytes read from the store would grow with the replicas times the members.
-TEST_CASE("those who follow the store grow far slower than the members")
+// If each member followed the tables, the bytes read from the store would grow with the number of replicas times that of members.
+TEST_CASE("the number of relays grows far slower than the number of members")
 {
     const std::size_t at300 = relaysOf(MemberView(membersOf(300))).size();
     const std::size_t at1000 = relaysOf(MemberView(membersOf(1000))).size();
     const std::size_t at2000 = relaysOf(MemberView(membersOf(2000))).size();
-    CHECK(at300 == domainCount * fewestRelays);
-    CHECK(at1000 == domainCount * fewestRelays);
+    CHECK(at300 == domainCount * minRelays);
+    CHECK(at1000 == domainCount * minRelays);
     CHECK(at2000 == domainCount * 4);
     CHECK(at2000 * membersPerRelay >= 2000);
 }
 
 TEST_CASE("in a small failure domain all members follow the store")
 {
-    CHECK(relaysOf(MemberView(membersOf(domainCount * membersWithoutRelays))).size() == domainCount * membersWithoutRelays);
+    CHECK(relaysOf(MemberView(membersOf(domainCount * maxMembersWithoutRelays))).size() == domainCount * maxMembersWithoutRelays);
 }
 
 TEST_CASE("relays have a large processor, and reach the store")
@@ -85,7 +85,7 @@
     }
 }
 
-TEST_CASE("a node that is chosen only for the moment in which it sees few others does not begin to follow the tables")
+TEST_CASE("a node that is selected only while it knows few others does not start to follow the tables")
 {
     ManualClock clock;
     RelayRole role(clock);
@@ -103,7 +103,7 @@
     CHECK_FALSE(role.isRelay(RelayRole::Use::None));
 }
 
-TEST_CASE("a relay that is chosen no longer goes on while it is asked or has a duty, and one that knows nothing yet ends at once")
+TEST_CASE("a relay that is no longer selected continues while it is in use, and one that is not in use stops at once")
 {
     ManualClock clock;
     RelayRole role(clock);
@@ -113,31 +113,31 @@
     role.update(view, self);
     clock.advance(500ms);
     CHECK(role.isRelay(RelayRole::Use::None));
-    std::vector<Member> without = all;
-    std::ranges::find(without, self, &Member::session)->isLeaving = true;
-    role.update(MemberView(without), self);
+    std::vector<Member> withoutSelf = all;
+    std::ranges::find(withoutSelf, self, &Member::session)->isLeaving = true;
+    role.update(MemberView(withoutSelf), self);
     clock.advance(20s);
     CHECK(role.isRelay(RelayRole::Use::Serving));
     clock.advance(20s);
-    CHECK(role.isRelay(RelayRole::Use::OnDuty));
+    CHECK(role.isRelay(RelayRole::Use::Coordinating));
     CHECK_FALSE(role.isRelay(RelayRole::Use::Serving));
     role.update(view, self);
     clock.advance(500ms);
     CHECK(role.isRelay(RelayRole::Use::None));
-    role.update(MemberView(without), self);
+    role.update(MemberView(withoutSelf), self);
     CHECK_FALSE(role.isRelay(RelayRole::Use::None));
 }
 
-TEST_CASE("a node that no relay answers follows the tables itself")
+TEST_CASE("a node to which no relay responds follows the tables itself")
 {
     ManualClock clock;
     RelayRole role(clock);
     CHECK_FALSE(role.isRelay(RelayRole::Use::None));
-    role.noteAlone();
+    role.recordRelaysUnresponsive();
     CHECK(role.isRelay(RelayRole::Use::None));
 }
 
-TEST_CASE("nodes spread over the relays of their failure domain, and pass by one that is silent or has lost the store")
+TEST_CASE("nodes spread over the relays of their failure domain, and avoid one that is unresponsive or has lost the store")
 {
     ManualClock clock;
     std::vector<Member> members = membersOf(300);
@@ -146,88 +146,88 @@
         member.isRelay = std::ranges::find(relays, member.session) != relays.end();
     }
     const auto view = std::make_shared<const MemberView>(members);
-    std::map<SessionNumber, std::size_t> asked;
+    std::map<SessionNumber, std::size_t> requestCounts;
     for (const Member &member : members) {
-        RelayPicker picker(clock);
-        picker.update(view, member.session);
-        const Member *const first = picker.pick();
+        RelaySelector selector(clock);
+        selector.update(view, member.session);
+        const Member *const first = selector.select();
         REQUIRE(first != nullptr);
         if (!member.isRelay) {
             CHECK(first->failureDomain == member.failureDomain);
-            ++asked[first->session];
+            ++requestCounts[first->session];
         }
-        picker.noteSilent(first->session);
-        const Member *const second = picker.pick();
+        selector.recordUnresponsive(first->session);
+        const Member *const second = selector.select();
         REQUIRE(second != nullptr);
         CHECK(second->session != first->session);
-        CHECK_FALSE(picker.isForsaken());
+        CHECK_FALSE(selector.hasNoResponsiveRelay());
     }
-    CHECK(asked.size() == relays.size());
-    for (const auto &[relay, count] : asked) {
+    CHECK(requestCounts.size() == relays.size());
+    for (const auto &[relay, count] : requestCounts) {
         CHECK(count <= membersPerRelay);
         CHECK(count >= 10);
     }
     for (Member &member : members) {
         member.hasLostStore = member.isRelay && member.failureDomain == members.front().failureDomain;
     }
-    RelayPicker picker(clock);
-    picker.update(std::make_shared<const MemberView>(members), members.front().session);
-    CHECK_FALSE(picker.pick()->hasLostStore);
+    RelaySelector selector(clock);
+    selector.update(std::make_shared<const MemberView>(members), members.front().session);
+    CHECK_FALSE(selector.select()->hasLostStore);
 }
 
-// While the store is away, all relays are behind. Were each node to follow the tables itself then, all would read all of them
-// when it is back.
-TEST_CASE("relays that are behind are passed by as long as there are others, and leave nobody forsaken")
+// During an outage of the store all relays are outdated. If each node then followed the tables itself, all nodes would read all
+// tables when the store recovers.
+TEST_CASE("outdated relays are avoided as long as there are others, but still count as responsive")
 {
     ManualClock clock;
     std::vector<Member> members = membersOf(3);
     members[1].isRelay = true;
     members[2].isRelay = true;
-    RelayPicker picker(clock);
-    picker.update(std::make_shared<const MemberView>(members), members.front().session);
-    const SessionNumber first = picker.pick()->session;
-    picker.noteBehind(first);
-    const SessionNumber second = picker.pick()->session;
+    RelaySelector selector(clock);
+    selector.update(std::make_shared<const MemberView>(members), members.front().session);
+    const SessionNumber first = selector.select()->session;
+    selector.recordOutdated(first);
+    const SessionNumber second = selector.select()->session;
     CHECK(second != first);
-    picker.noteBehind(second);
-    REQUIRE(picker.pick() != nullptr);
-    CHECK_FALSE(picker.isForsaken());
-    picker.noteSilent(first);
-    REQUIRE(picker.pick() != nullptr);
-    CHECK(picker.pick()->session == second);
+    selector.recordOutdated(second);
+    REQUIRE(selector.select() != nullptr);
+    CHECK_FALSE(selector.hasNoResponsiveRelay());
+    selector.recordUnresponsive(first);
+    REQUIRE(selector.select() != nullptr);
+    CHECK(selector.select()->session == second);
 }
 
-TEST_CASE("a node whose relays are all silent is forsaken, and tries them again later")
+TEST_CASE("a node whose relays are all unresponsive reports that, and tries them again later")
 {
     ManualClock clock;
     std::vector<Member> members = membersOf(3);
     members[1].isRelay = true;
-    RelayPicker picker(clock);
-    picker.update(std::make_shared<const MemberView>(members), members.front().session);
-    CHECK_FALSE(picker.isForsaken());
-    picker.noteSilent(members[1].session);
-    CHECK(picker.pick() == nullptr);
-    CHECK(picker.isForsaken());
+    RelaySelector selector(clock);
+    selector.update(std::make_shared<const MemberView>(members), members.front().session);
+    CHECK_FALSE(selector.hasNoResponsiveRelay());
+    selector.recordUnresponsive(members[1].session);
+    CHECK(selector.select() == nullptr);
+    CHECK(selector.hasNoResponsiveRelay());
     clock.advance(6s);
-    REQUIRE(picker.pick() != nullptr);
-    CHECK(picker.pick()->session == members[1].session);
-    CHECK_FALSE(picker.isForsaken());
+    REQUIRE(selector.select() != nullptr);
+    CHECK(selector.select()->session == members[1].session);
+    CHECK_FALSE(selector.hasNoResponsiveRelay());
 }
 
-// A dispatcher that knows a part of the replicas would fill these and leave the others idle.
-TEST_CASE("where a failure domain needs relays, only they dispatch, and before there is one nobody does")
+// A dispatcher that knows only a part of the replicas would fill these and leave the others idle.
+TEST_CASE("if a failure domain needs relays, only they dispatch, and no node does before there is one")
 {
     std::vector<Member> members = membersOf(300);
-    CHECK(dutyHolder(MemberView(members), 1, DutyFor::Relays) == nullptr);
-    CHECK(dutyHolder(MemberView(members), 1) != nullptr);
+    CHECK(coordinatorFor(MemberView(members), 1, RoleCandidates::Relays) == nullptr);
+    CHECK(coordinatorFor(MemberView(members), 1) != nullptr);
     members[9].isRelay = true;
     members[9].processorShare = largeShare;
     const MemberView view(members);
     for (std::uint64_t key = 0; key < 20; ++key) {
-        REQUIRE(dutyHolder(view, key, DutyFor::Relays) != nullptr);
-        CHECK(dutyHolder(view, key, DutyFor::Relays)->session == members[9].session);
+        REQUIRE(coordinatorFor(view, key, RoleCandidates::Relays) != nullptr);
+        CHECK(coordinatorFor(view, key, RoleCandidates::Relays)->session == members[9].session);
     }
-    CHECK(mayKeepDuty(view, members[9]));
-    CHECK_FALSE(mayKeepDuty(view, members[19]));
-    CHECK(dutyHolder(MemberView(membersOf(10)), 1, DutyFor::Relays) != nullptr);
+    CHECK(mayKeepRole(view, members[9]));
+    CHECK_FALSE(mayKeepRole(view, members[19]));
+    CHECK(coordinatorFor(MemberView(membersOf(10)), 1, RoleCandidates::Relays) != nullptr);
 }
