--- a/Services/Gateway/DutyKeeper.cpp
+++ b/Services/Gateway/CoordinatorElections.cpp
@@ -1,4 +1,4 @@
-#include <Services/Gateway/DutyKeeper.h>
+#include <Services/Gateway/CoordinatorElections.h>
 
 #include <LibBase/Log.h>
 #include <LibWire/Codec.h>
--- a/Services/Gateway/PlacementClient.h
+++ b/Services/Gateway/PlacementClient.h
@@ -6,7 +6,7 @@
 #include <LibGateway/ServingConfiguration.h>
 #include <LibTask/EventLoop.h>
 #include <LibWire/DatagramSocket.h>
-#include <Services/Gateway/DutyKeeper.h>
+#include <Services/Gateway/CoordinatorElections.h>
 #include <Services/Gateway/PeerNetwork.h>
 #include <Services/Gateway/PlacementServer.h>
 
--- a/Services/Gateway/PlacementServer.h
+++ b/Services/Gateway/PlacementServer.h
@@ -7,7 +7,7 @@
 #include <LibGateway/ServingReplica.h>
 #include <LibTask/EventLoop.h>
 #include <LibWire/DatagramSocket.h>
-#include <Services/Gateway/DutyKeeper.h>
+#include <Services/Gateway/CoordinatorElections.h>
 #include <Services/Gateway/PeerNetwork.h>
 
 #include <functional>
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -6,7 +6,7 @@
 #include <LibWire/DatagramSocket.h>
 #include <LibWorkspace/QuotaAsker.h>
 #include <LibWorkspace/QuotaCounter.h>
-#include <Services/Gateway/DutyKeeper.h>
+#include <Services/Gateway/CoordinatorElections.h>
 #include <Services/Gateway/PeerNetwork.h>
 
 #include <array>
