--- a/Services/Gateway/ConfigurationFollower.cpp
+++ b/Services/Gateway/ConfigurationFollower.cpp
@@ -56,7 +56,7 @@
                                                   },
                                                   std::chrono::milliseconds(0)},
                            TableFollower::Hooks{
-                               .onAll =
+                               .onSnapshot =
                                    [takeRow](const std::vector<StoredRow> &rows) {
                                        for (const StoredRow &row : rows) {
                                            takeRow(row);
@@ -108,7 +108,7 @@
 {
     const bool isInTouch = this->peers.isInTouch();
     if (std::exchange(this->wasInTouch, isInTouch) && !isInTouch) {
-        this->hurry();
+        this->refresh();
     }
     const bool isBehind = this->isBehind();
     const SteadyTime now = this->clock.now();
@@ -135,9 +135,9 @@
     });
 }
 
-void ConfigurationFollower::hurry()
+void ConfigurationFollower::refresh()
 {
-    this->follower->hurry();
+    this->follower->refresh();
 }
 
 void ConfigurationFollower::catchUp()
--- a/Services/Gateway/ConfigurationFollower.h
+++ b/Services/Gateway/ConfigurationFollower.h
@@ -56,7 +56,7 @@
     void catchUp();
 
     /** Ask the store anew, at once. */
-    void hurry();
+    void refresh();
 
 private:
     void take(const std::string &text, std::string_view source);
--- a/Services/Gateway/DutyKeeper.cpp
+++ b/Services/Gateway/CoordinatorElections.cpp
@@ -1,4 +1,4 @@
-#include <Services/Gateway/DutyKeeper.h>
+#include <Services/Gateway/CoordinatorElections.h>
 
 #include <LibBase/Log.h>
 #include <LibWire/Codec.h>
@@ -24,12 +24,12 @@
 
 } // namespace
 
-DutyKeeper::DutyKeeper(const Clock &clock, PeerNetwork &peers)
-    : clock(clock), peers(peers), view(peers.dutyView()), random(static_cast<std::minstd_rand::result_type>(peers.self().value()))
+CoordinatorElections::CoordinatorElections(const Clock &clock, PeerNetwork &peers)
+    : clock(clock), peers(peers), view(peers.roleView()), random(static_cast<std::minstd_rand::result_type>(peers.self().value()))
 {
 }
 
-void DutyKeeper::follow(const std::string &duty, Moved moved)
+void CoordinatorElections::follow(const std::string &duty, ChangeHandler moved)
 {
     if (this->duties.contains(duty)) {
         return;
@@ -40,52 +40,52 @@
     this->duties.emplace(duty, std::move(followed));
 }
 
-const DutyKeeper::Followed *DutyKeeper::find(const std::string &duty) const
+const CoordinatorElections::Followed *CoordinatorElections::find(const std::string &duty) const
 {
     const auto found = this->duties.find(duty);
     return found != this->duties.end() ? &found->second : nullptr;
 }
 
-const Member *DutyKeeper::holder(const std::string &duty) const
+const Member *CoordinatorElections::coordinator(const std::string &duty) const
 {
     const Followed *const followed = this->find(duty);
     return followed != nullptr ? followed->duty->holder() : nullptr;
 }
 
-const Member *DutyKeeper::otherHolder(const std::string &duty) const
+const Member *CoordinatorElections::remoteCoordinator(const std::string &duty) const
 {
-    const Member *const member = this->holder(duty);
+    const Member *const member = this->coordinator(duty);
     return member != nullptr && member->session != this->peers.self() ? member : nullptr;
 }
 
-bool DutyKeeper::isClaimedHere(const std::string &duty) const
+bool CoordinatorElections::isClaimedLocally(const std::string &duty) const
 {
     const Followed *const followed = this->find(duty);
     return followed != nullptr && followed->duty->claim() && followed->duty->claim()->holder == this->peers.self();
 }
 
-bool DutyKeeper::isAnyClaimedHere() const
+bool CoordinatorElections::isAnyClaimedLocally() const
 {
     return std::ranges::any_of(this->duties, [this](const auto &followed) {
-        return this->isClaimedHere(followed.first);
+        return this->isClaimedLocally(followed.first);
     });
 }
 
-bool DutyKeeper::isClaimed(const std::string &duty) const
+bool CoordinatorElections::isClaimed(const std::string &duty) const
 {
     const Followed *const followed = this->find(duty);
     return followed != nullptr && followed->duty->claim();
 }
 
-const Member *DutyKeeper::successor(const std::string &duty) const
+const Member *CoordinatorElections::successor(const std::string &duty) const
 {
     const Followed *const followed = this->find(duty);
     return followed != nullptr ? followed->duty->successor() : nullptr;
 }
 
-void DutyKeeper::suspectHolder(const std::string &duty)
+void CoordinatorElections::suspectCoordinator(const std::string &duty)
 {
-    const Member *const suspected = this->otherHolder(duty);
+    const Member *const suspected = this->remoteCoordinator(duty);
     const Member *const next = suspected != nullptr ? this->successor(duty) : nullptr;
     if (next == nullptr) {
         return;
@@ -98,21 +98,21 @@
     }
 }
 
-void DutyKeeper::probeMembers(const std::string &duty)
+void CoordinatorElections::probeSomeMembers(const std::string &duty)
 {
     if (const Followed *const followed = this->find(duty)) {
         this->askForClaim(*followed->duty);
     }
 }
 
-void DutyKeeper::probe(const Address &node, const std::string &duty)
+void CoordinatorElections::probe(const Address &node, const std::string &duty)
 {
     if (const Followed *const followed = this->find(duty)) {
         this->peers.datagrams().send(node, followed->duty->question());
     }
 }
 
-void DutyKeeper::tellClaim(const Address &to, const std::string &duty)
+void CoordinatorElections::sendClaim(const Address &to, const std::string &duty)
 {
     const Followed *const followed = this->find(duty);
     if (followed != nullptr && followed->duty->claim()) {
@@ -120,7 +120,7 @@
     }
 }
 
-void DutyKeeper::setView(const MemberViewPointer &view)
+void CoordinatorElections::setView(const MemberViewPointer &view)
 {
     const MemberViewPointer before = std::exchange(this->view, view);
     for (auto &[name, followed] : this->duties) {
@@ -130,16 +130,16 @@
     }
 }
 
-void DutyKeeper::takeHolder(Followed &followed, bool isGivenUp)
+void CoordinatorElections::takeHolder(Followed &followed, bool isHandedOver)
 {
     const SessionNumber current = sessionOf(followed.duty->holder());
     const SessionNumber former = std::exchange(followed.holder, current);
     if (former != current) {
-        followed.moved({former, isGivenUp});
+        followed.moved({former, isHandedOver});
     }
 }
 
-void DutyKeeper::claim(const std::string &name, Followed &followed)
+void CoordinatorElections::claim(const std::string &name, Followed &followed)
 {
     const std::optional<DutyClaim> claim = followed.duty->makeClaim();
     if (!claim) {
@@ -159,7 +159,7 @@
     this->takeHolder(followed, claim->holder != this->peers.self());
 }
 
-void DutyKeeper::askForClaim(const ClaimedDuty &duty)
+void CoordinatorElections::askForClaim(const ClaimedDuty &duty)
 {
     const auto isOther = [this](const Member &member) {
         return member.session != this->peers.self();
@@ -171,7 +171,7 @@
     }
 }
 
-void DutyKeeper::tellNewcomers(const ClaimedDuty &duty, const MemberView &before)
+void CoordinatorElections::tellNewcomers(const ClaimedDuty &duty, const MemberView &before)
 {
     const Member *const holder = duty.holder();
     const bool isOurs = holder != nullptr && holder->session == this->peers.self();
@@ -185,7 +185,7 @@
     }
 }
 
-bool DutyKeeper::receive(const Datagram &datagram)
+bool CoordinatorElections::receive(const Datagram &datagram)
 {
     if (datagram.number == DutyClaim::number) {
         if (const auto claim = decode<DutyClaim>(datagram.payload)) {
@@ -204,7 +204,7 @@
     return false;
 }
 
-void DutyKeeper::receive(const Address &from, const DutyClaim &claim)
+void CoordinatorElections::receive(const Address &from, const DutyClaim &claim)
 {
     const auto found = this->duties.find(claim.duty);
     if (found == this->duties.end()) {
@@ -222,14 +222,14 @@
         this->takeHolder(followed);
         return;
     case ClaimedDuty::ReceiveOutcome::Outdated:
-        this->tellClaim(from, claim.duty);
+        this->sendClaim(from, claim.duty);
         return;
     case ClaimedDuty::ReceiveOutcome::Known:
         return;
     }
 }
 
-void DutyKeeper::tick()
+void CoordinatorElections::tick()
 {
     const SteadyTime now = this->clock.now();
     const bool isQuestionDue = now >= this->nextQuestion;
--- a/Services/Gateway/DutyKeeper.h
+++ b/Services/Gateway/CoordinatorElections.h
@@ -15,39 +15,39 @@
 {
 
 /** Which node has which duty, as the nodes tell each other, see ClaimedDuty. */
-class DutyKeeper
+class CoordinatorElections
 {
 public:
     /** A change of who has a duty. */
-    struct Move
+    struct Change
     {
         /** Who had it before. */
         SessionNumber former;
         /** Whether this node had it and named its successor itself, so that nobody else did. */
-        bool isGivenUp = false;
+        bool isHandedOver = false;
     };
 
     /** Told when another node has the duty. */
-    using Moved = std::function<void(const Move &)>;
+    using ChangeHandler = std::function<void(const Change &)>;
 
-    DutyKeeper(const Clock &clock, PeerNetwork &peers);
-    DutyKeeper(const DutyKeeper &) = delete;
-    DutyKeeper &operator=(const DutyKeeper &) = delete;
+    CoordinatorElections(const Clock &clock, PeerNetwork &peers);
+    CoordinatorElections(const CoordinatorElections &) = delete;
+    CoordinatorElections &operator=(const CoordinatorElections &) = delete;
 
     /** Follow a duty from now on; one that is followed already goes on as it is. */
-    void follow(const std::string &duty, Moved moved);
+    void follow(const std::string &duty, ChangeHandler moved);
 
     /** @return who has a duty, or null if nobody can; valid until the next event. */
-    const Member *holder(const std::string &duty) const;
+    const Member *coordinator(const std::string &duty) const;
 
     /** @return who has a duty if it is another node, else null. */
-    const Member *otherHolder(const std::string &duty) const;
+    const Member *remoteCoordinator(const std::string &duty) const;
 
     /** @return whether this node has a duty by a claim, and not only because nobody has told of one. */
-    bool isClaimedHere(const std::string &duty) const;
+    bool isClaimedLocally(const std::string &duty) const;
 
     /** @return whether this node has any duty by a claim. */
-    bool isAnyClaimedHere() const;
+    bool isAnyClaimedLocally() const;
 
     /** @return whether any claim of a duty is known. */
     bool isClaimed(const std::string &duty) const;
@@ -56,16 +56,16 @@
     const Member *successor(const std::string &duty) const;
 
     /** The holder of a duty does not answer this node. */
-    void suspectHolder(const std::string &duty);
+    void suspectCoordinator(const std::string &duty);
 
     /** Ask some members for a sign of life: each that knows another claim than an empty one tells it. */
-    void probeMembers(const std::string &duty);
+    void probeSomeMembers(const std::string &duty);
 
     /** Ask a node for a sign of life: it answers if it knows a claim of the duty. */
     void probe(const Address &node, const std::string &duty);
 
     /** Tell a node who has a duty, if a claim is known. */
-    void tellClaim(const Address &to, const std::string &duty);
+    void sendClaim(const Address &to, const std::string &duty);
 
     /** The members changed, see PeerNetwork::dutyView(). */
     void setView(const MemberViewPointer &view);
@@ -82,11 +82,11 @@
         std::unique_ptr<ClaimedDuty> duty;
         /** Who had it when it was last looked. */
         SessionNumber holder;
-        Moved moved;
+        ChangeHandler moved;
     };
 
     const Followed *find(const std::string &duty) const;
-    void takeHolder(Followed &followed, bool isGivenUp = false);
+    void takeHolder(Followed &followed, bool isHandedOver = false);
     void claim(const std::string &name, Followed &followed);
     void askForClaim(const ClaimedDuty &duty);
     void tellNewcomers(const ClaimedDuty &duty, const MemberView &before);
--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -197,7 +197,7 @@
               settings->gateway.jobsKept,
               {.isOurDuty =
                    [this] {
-                       return hasDuty(*this->peers.dutyView(), this->peers.self(), stableHash(JobRows::jobTable));
+                       return hasDuty(*this->peers.roleView(), this->peers.self(), stableHash(JobRows::jobTable));
                    },
                .isOpen =
                    [this](const JobId &job) {
@@ -231,7 +231,7 @@
 {
     this->tableRelay.serve(this->peers.server());
     this->isComplete = true;
-    this->takeView(this->peers.dutyView());
+    this->takeView(this->peers.roleView());
     this->tick();
     this->trafficTimer = loop.schedule(trafficInterval, [this] {
         this->logTraffic();
@@ -280,9 +280,9 @@
     return this->configuration.version();
 }
 
-MemberViewPointer Gateway::dutyView() const
+MemberViewPointer Gateway::roleView() const
 {
-    return this->peers.dutyView();
+    return this->peers.roleView();
 }
 
 const Member *Gateway::dispatcherOf(const ServiceName &service) const
@@ -343,13 +343,13 @@
     }
     RelayRole::Use use = RelayRole::Use::None;
     if (this->isRelay) {
-        use = this->duties.isAnyClaimedHere() ? RelayRole::Use::OnDuty : RelayRole::Use::Serving;
+        use = this->duties.isAnyClaimedLocally() ? RelayRole::Use::OnDuty : RelayRole::Use::Serving;
     }
     const bool isActive = this->relayRole.isRelay(use);
     this->listed.setRelay(isActive);
     this->tableRelay.setActive(isActive);
     this->peers.followNodes(isActive);
-    const bool isRelayNow = isActive && this->listed.isWhole();
+    const bool isRelayNow = isActive && this->listed.isComplete();
     if (std::exchange(this->isRelay, isRelayNow) != isRelayNow) {
         this->peers.setRelay(isRelayNow);
     }
@@ -359,7 +359,7 @@
 {
     this->relays.noteSilent(relay);
     // What was asked of it before waits in vain.
-    this->configuration.hurry();
+    this->configuration.refresh();
     this->runners.hurry();
 }
 
@@ -445,10 +445,10 @@
 {
     if (this->isComplete && isReached) {
         // What was asked before may wait on connections that the outage has left dead.
-        this->tableRelay.hurry();
-        this->configuration.hurry();
+        this->tableRelay.refresh();
+        this->configuration.refresh();
         this->runners.hurry();
-        this->peers.hurry();
+        this->peers.refresh();
     }
 }
 
--- a/Services/Gateway/Gateway.h
+++ b/Services/Gateway/Gateway.h
@@ -13,7 +13,7 @@
 #include <Services/Gateway/CallerRouter.h>
 #include <Services/Gateway/ConfigurationFollower.h>
 #include <Services/Gateway/CrashExchange.h>
-#include <Services/Gateway/DutyKeeper.h>
+#include <Services/Gateway/CoordinatorElections.h>
 #include <Services/Gateway/GatewayContext.h>
 #include <Services/Gateway/GatewayMetrics.h>
 #include <Services/Gateway/JobApi.h>
@@ -85,7 +85,7 @@
     std::uint64_t configurationVersion() const;
 
     /** @return the members by which duties are given. */
-    MemberViewPointer dutyView() const;
+    MemberViewPointer roleView() const;
 
     /** @return who dispatches a service in this node's eyes, or null if nobody does; valid until the next event. */
     const Member *dispatcherOf(const ServiceName &service) const;
@@ -151,7 +151,7 @@
     PeerNetwork peers;
     CrashExchange crashExchange;
     StreamOriginExchange origins;
-    DutyKeeper duties;
+    CoordinatorElections duties;
     PlacementClient placements;
     QuotaService quotas;
     RelayRole relayRole;
--- a/Services/Gateway/JobRunners.cpp
+++ b/Services/Gateway/JobRunners.cpp
@@ -45,7 +45,7 @@
     , storeWait(settings.storeWait)
     , endBound(settings.jobEndBound)
     , configuration(std::move(configuration))
-    , view(peers.dutyView())
+    , view(peers.roleView())
     , looks(context.clock)
     , settling(context.clock)
     , lastBusy(context.clock.now())
@@ -66,7 +66,7 @@
                                                   },
                                                   changesPace},
                            TableFollower::Hooks{
-                               .onAll =
+                               .onSnapshot =
                                    [this](const std::vector<StoredRow> &all) {
                                        this->takeAll(all);
                                    },
@@ -289,7 +289,7 @@
 void JobRunners::hurry()
 {
     if (this->follower) {
-        this->follower->hurry();
+        this->follower->refresh();
     }
 }
 
--- a/Services/Gateway/OnlineCall.cpp
+++ b/Services/Gateway/OnlineCall.cpp
@@ -305,7 +305,7 @@
     query.connected = connectedReplicas(this->context, this->service, this->longestIdle());
     query.version = this->begunVersion;
     query.soleVersionFor = this->soleVersionFor;
-    query.knowsAllReplicas = this->context.listed.isWhole() && this->context.listed.age() <= freshListAge;
+    query.knowsAllReplicas = this->context.listed.isComplete() && this->context.listed.age() <= freshListAge;
     this->ticket = this->context.placements.ask(query, [self = this->shared_from_this()](const Placement &placement) {
         self->takePlacement(placement);
     });
--- a/Services/Gateway/PeerNetwork.cpp
+++ b/Services/Gateway/PeerNetwork.cpp
@@ -179,7 +179,7 @@
     return this->membership->view();
 }
 
-MemberViewPointer PeerNetwork::dutyView() const
+MemberViewPointer PeerNetwork::roleView() const
 {
     return this->duties;
 }
@@ -277,10 +277,10 @@
     return this->clock.now() - this->received < touchTime;
 }
 
-void PeerNetwork::hurry()
+void PeerNetwork::refresh()
 {
     if (this->nodes) {
-        this->nodes->hurry();
+        this->nodes->refresh();
     }
 }
 
@@ -303,7 +303,7 @@
                                                },
                                                nodesPace},
                         TableFollower::Hooks{
-                            .onAll =
+                            .onSnapshot =
                                 [this](const std::vector<StoredRow> &rows) {
                                     this->takeNodes(rows);
                                 },
--- a/Services/Gateway/PeerNetwork.h
+++ b/Services/Gateway/PeerNetwork.h
@@ -48,7 +48,7 @@
     MemberViewPointer view() const;
 
     /** @return the members by which duties are given: a loss of the store counts there only once it is no common one. */
-    MemberViewPointer dutyView() const;
+    MemberViewPointer roleView() const;
 
     /** @return when the last datagram of another node came. */
     SteadyTime lastReceived() const;
@@ -66,7 +66,7 @@
     void followNodes(bool isFollowing);
 
     /** Ask the store anew which nodes there are. */
-    void hurry();
+    void refresh();
 
     /** Tell the others whether this node takes callers. */
     void setReady(bool isReady);
--- a/Services/Gateway/PlacementClient.cpp
+++ b/Services/Gateway/PlacementClient.cpp
@@ -38,7 +38,7 @@
 PlacementClient::PlacementClient(EventLoop &loop,
                                  const Clock &clock,
                                  PeerNetwork &peers,
-                                 DutyKeeper &duties,
+                                 CoordinatorElections &duties,
                                  FailureDomain own,
                                  PlacementServer::Describe describe)
     : loop(loop)
--- a/Services/Gateway/PlacementClient.h
+++ b/Services/Gateway/PlacementClient.h
@@ -6,7 +6,7 @@
 #include <LibGateway/ServingConfiguration.h>
 #include <LibTask/EventLoop.h>
 #include <LibWire/DatagramSocket.h>
-#include <Services/Gateway/DutyKeeper.h>
+#include <Services/Gateway/CoordinatorElections.h>
 #include <Services/Gateway/PeerNetwork.h>
 #include <Services/Gateway/PlacementServer.h>
 
@@ -65,7 +65,7 @@
     PlacementClient(EventLoop &loop,
                     const Clock &clock,
                     PeerNetwork &peers,
-                    DutyKeeper &duties,
+                    CoordinatorElections &duties,
                     FailureDomain own,
                     PlacementServer::Describe describe);
     ~PlacementClient();
--- a/Services/Gateway/PlacementServer.cpp
+++ b/Services/Gateway/PlacementServer.cpp
@@ -26,8 +26,8 @@
 
 } // namespace
 
-PlacementServer::PlacementServer(EventLoop &loop, const Clock &clock, PeerNetwork &peers, DutyKeeper &duties, Hooks hooks)
-    : loop(loop), clock(clock), peers(peers), duties(duties), hooks(std::move(hooks)), view(peers.dutyView())
+PlacementServer::PlacementServer(EventLoop &loop, const Clock &clock, PeerNetwork &peers, CoordinatorElections &duties, Hooks hooks)
+    : loop(loop), clock(clock), peers(peers), duties(duties), hooks(std::move(hooks)), view(peers.roleView())
 {
 }
 
@@ -40,7 +40,7 @@
 {
     const auto [state, isNew] = this->services.try_emplace(service, this->clock);
     if (isNew) {
-        this->duties.follow(service.value(), [this, service](const DutyKeeper::Move &move) {
+        this->duties.follow(service.value(), [this, service](const CoordinatorElections::Change &move) {
             this->takeMove(service, move.former);
         });
     }
@@ -104,17 +104,17 @@
 
 void PlacementServer::suspectDispatcher(const ServiceName &service)
 {
-    this->duties.suspectHolder(service.value());
+    this->duties.suspectCoordinator(service.value());
 }
 
 const Member *PlacementServer::dispatcherOf(const ServiceName &service) const
 {
-    return this->duties.holder(service.value());
+    return this->duties.coordinator(service.value());
 }
 
 const Member *PlacementServer::otherDispatcher(const ServiceName &service) const
 {
-    return this->duties.otherHolder(service.value());
+    return this->duties.remoteCoordinator(service.value());
 }
 
 void PlacementServer::dropGoneAskers(ServiceState &state)
@@ -170,7 +170,7 @@
     Message passed = message;
     passed.replyTo = datagram.from;
     this->peers.datagrams().send(dispatcher->gossip, passed);
-    this->duties.tellClaim(datagram.from, message.service);
+    this->duties.sendClaim(datagram.from, message.service);
     return true;
 }
 
--- a/Services/Gateway/PlacementServer.h
+++ b/Services/Gateway/PlacementServer.h
@@ -7,7 +7,7 @@
 #include <LibGateway/ServingReplica.h>
 #include <LibTask/EventLoop.h>
 #include <LibWire/DatagramSocket.h>
-#include <Services/Gateway/DutyKeeper.h>
+#include <Services/Gateway/CoordinatorElections.h>
 #include <Services/Gateway/PeerNetwork.h>
 
 #include <functional>
@@ -41,7 +41,7 @@
         Describe describe;
     };
 
-    PlacementServer(EventLoop &loop, const Clock &clock, PeerNetwork &peers, DutyKeeper &duties, Hooks hooks);
+    PlacementServer(EventLoop &loop, const Clock &clock, PeerNetwork &peers, CoordinatorElections &duties, Hooks hooks);
     ~PlacementServer();
     PlacementServer(const PlacementServer &) = delete;
     PlacementServer &operator=(const PlacementServer &) = delete;
@@ -122,7 +122,7 @@
     EventLoop &loop;
     const Clock &clock;
     PeerNetwork &peers;
-    DutyKeeper &duties;
+    CoordinatorElections &duties;
     Hooks hooks;
     std::map<ServiceName, ServiceState> services;
     MemberViewPointer view;
--- a/Services/Gateway/QuotaService.cpp
+++ b/Services/Gateway/QuotaService.cpp
@@ -47,13 +47,13 @@
 
 } // namespace
 
-QuotaService::QuotaService(const Clock &clock, PeerNetwork &peers, DutyKeeper &duties, const QuotaBounds &bounds)
+QuotaService::QuotaService(const Clock &clock, PeerNetwork &peers, CoordinatorElections &duties, const QuotaBounds &bounds)
     : clock(clock)
     , peers(peers)
     , duties(duties)
     , bounds(bounds)
     , started(clock.now())
-    , view(peers.dutyView())
+    , view(peers.roleView())
     , suspended(clock.suspended())
     , asker(clock,
             bounds,
@@ -65,7 +65,7 @@
                  [this](std::size_t number) {
                      const std::string &duty = this->parts[number].duty;
                      log(LogLevel::Warning, "counter of quotas does not answer", {{"duty", duty}});
-                     this->duties.suspectHolder(duty);
+                     this->duties.suspectCoordinator(duty);
                  }})
     , recent(clock)
     , contact(clock, peers.self().value(), [this](const Address &other) {
@@ -80,7 +80,7 @@
 void QuotaService::start()
 {
     for (std::size_t number = 0; number < this->parts.size(); ++number) {
-        this->duties.follow(this->parts[number].duty, [this, number](const DutyKeeper::Move &move) {
+        this->duties.follow(this->parts[number].duty, [this, number](const CoordinatorElections::Change &move) {
             this->handOver(number, move);
         });
     }
@@ -101,7 +101,7 @@
     const std::size_t number = quotaPartOf(question.workspace);
     const std::string &duty = this->parts[number].duty;
     const bool isToSuccessor = counter == QuotaAsker::Counter::Successor;
-    const Member *const member = isToSuccessor ? this->duties.successor(duty) : this->duties.holder(duty);
+    const Member *const member = isToSuccessor ? this->duties.successor(duty) : this->duties.coordinator(duty);
     if (member == nullptr) {
         return false;
     }
@@ -153,13 +153,13 @@
     const std::size_t number = quotaPartOf(ask.workspace);
     const std::string &duty = this->parts[number].duty;
     const bool isPassedOn = ask.replyTo != Address();
-    const Member *const other = isPassedOn || ask.isToSuccessor ? nullptr : this->duties.otherHolder(duty);
+    const Member *const other = isPassedOn || ask.isToSuccessor ? nullptr : this->duties.remoteCoordinator(duty);
     if (other != nullptr) {
         // Who asks does not know the holder yet. Were it answered here, two would count the same workspace.
         QuotaAsk passed = ask;
         passed.replyTo = datagram.from;
         this->peers.datagrams().send(other->gossip, passed);
-        this->duties.tellClaim(datagram.from, duty);
+        this->duties.sendClaim(datagram.from, duty);
         return;
     }
     if (!this->mayCount(duty)) {
@@ -196,7 +196,7 @@
             part.counter->setShare(*this->share);
         }
     }
-    if (this->duties.isClaimedHere(part.duty) || this->isAlone()) {
+    if (this->duties.isClaimedLocally(part.duty) || this->isAlone()) {
         part.counter->confirm();
         this->takeHandover(part);
     }
@@ -215,15 +215,15 @@
     return this->view->members().size() <= 1 && isSure;
 }
 
-void QuotaService::handOver(std::size_t number, const DutyKeeper::Move &move)
+void QuotaService::handOver(std::size_t number, const CoordinatorElections::Change &move)
 {
     Part &part = this->parts[number];
     this->asker.noteHolderChanged(number);
     if (move.former != this->peers.self() || !part.counter) {
         return;
     }
-    const Member *const next = this->duties.otherHolder(part.duty);
-    if (next != nullptr && move.isGivenUp) {
+    const Member *const next = this->duties.remoteCoordinator(part.duty);
+    if (next != nullptr && move.isHandedOver) {
         const std::vector<QuotaLevel> levels = part.counter->levels();
         const std::size_t datagrams = std::max<std::size_t>(1, (levels.size() + restsAtOnce - 1) / restsAtOnce);
         for (std::size_t index = 0; index < datagrams; ++index) {
@@ -256,7 +256,7 @@
     });
     part.handover.insert_or_assign(handover.index, handover);
     part.handoverReceived = this->clock.now();
-    if (this->duties.isClaimedHere(part.duty)) {
+    if (this->duties.isClaimedLocally(part.duty)) {
         this->counterOf(part);
     }
 }
@@ -300,7 +300,7 @@
     });
     if (inUse != this->parts.end() && now - this->peers.lastReceived() > probeAfter && now >= this->nextProbe) {
         this->nextProbe = now + probeInterval;
-        this->duties.probeMembers(inUse->duty);
+        this->duties.probeSomeMembers(inUse->duty);
     }
 }
 
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -6,7 +6,7 @@
 #include <LibWire/DatagramSocket.h>
 #include <LibWorkspace/QuotaAsker.h>
 #include <LibWorkspace/QuotaCounter.h>
-#include <Services/Gateway/DutyKeeper.h>
+#include <Services/Gateway/CoordinatorElections.h>
 #include <Services/Gateway/PeerNetwork.h>
 
 #include <array>
@@ -26,7 +26,7 @@
 class QuotaService
 {
 public:
-    QuotaService(const Clock &clock, PeerNetwork &peers, DutyKeeper &duties, const QuotaBounds &bounds);
+    QuotaService(const Clock &clock, PeerNetwork &peers, CoordinatorElections &duties, const QuotaBounds &bounds);
     QuotaService(const QuotaService &) = delete;
     QuotaService &operator=(const QuotaService &) = delete;
 
@@ -82,7 +82,7 @@
     void takeHandover(Part &part);
     QuotaDecision count(std::size_t number, const QuestionId &id, const QuotaQuestion &question);
     QuotaCounter &counterOf(Part &part);
-    void handOver(std::size_t number, const DutyKeeper::Move &move);
+    void handOver(std::size_t number, const CoordinatorElections::Change &move);
     void clean(Part &part);
     bool mayCount(const std::string &duty) const;
     bool isAlone() const;
@@ -93,7 +93,7 @@
 
     const Clock &clock;
     PeerNetwork &peers;
-    DutyKeeper &duties;
+    CoordinatorElections &duties;
     QuotaBounds bounds;
     SteadyTime started;
     MemberViewPointer view;
--- a/Services/Gateway/ReplicaFollower.cpp
+++ b/Services/Gateway/ReplicaFollower.cpp
@@ -133,7 +133,7 @@
                                                   },
                                                   changesPace},
                            TableFollower::Hooks{
-                               .onAll =
+                               .onSnapshot =
                                    [this](const std::vector<StoredRow> &rows) {
                                        this->takeAll(rows);
                                    },
@@ -141,7 +141,7 @@
                                    [this](const StoredRow &row) {
                                        this->takeChange(row);
                                    },
-                               .onRead =
+                               .onDelivered =
                                    [this] {
                                        this->tellChanges();
                                    },
@@ -157,7 +157,7 @@
                            });
 }
 
-bool ReplicaFollower::isWhole() const
+bool ReplicaFollower::isComplete() const
 {
     return this->follower && this->follower->version() > 0;
 }
@@ -211,7 +211,7 @@
     if (const ServingReplica *const listed = this->find(placed.instance)) {
         return listed->isDraining ? std::nullopt : std::optional(*listed);
     }
-    if (this->isWhole() || placed.address == Address()) {
+    if (this->isComplete() || placed.address == Address()) {
         return std::nullopt;
     }
     this->recent.note(placed);
@@ -379,7 +379,7 @@
         this->peers.setStoreLost(isLost);
         this->hooks.storeReached(!isLost);
     }
-    if (isLost || !this->isWhole()) {
+    if (isLost || !this->isComplete()) {
         this->askPeer();
     }
 }
@@ -387,7 +387,7 @@
 void ReplicaFollower::askPeer()
 {
     const Member *const relay = this->relays.pick();
-    if (relay != nullptr && (!relay->hasLostStore || !this->isWhole())) {
+    if (relay != nullptr && (!relay->hasLostStore || !this->isComplete())) {
         this->ask(*relay, 0);
     }
 }
@@ -455,7 +455,7 @@
 void ReplicaFollower::takeWhole(const ReplicaRecords &records)
 {
     // Who asked as another kind of node was given a set.
-    if (!records.isWhole || (this->isWhole() && records.age >= this->age())) {
+    if (!records.isWhole || (this->isComplete() && records.age >= this->age())) {
         return;
     }
     this->lastReported = this->clock.now() - records.age;
@@ -496,7 +496,7 @@
     ReplicaRecords records;
     if (request.mostOfService > 0) {
         records = this->chosenRecords(request);
-    } else if (this->isWhole()) {
+    } else if (this->isComplete()) {
         records = this->wholeRecords(request);
     }
     records.age = this->age();
@@ -523,9 +523,9 @@
 {
     ReplicaRecords records;
     records.isKnown = this->known;
-    records.version = this->isWhole() ? this->follower->version() : this->reportedVersion;
+    records.version = this->isComplete() ? this->follower->version() : this->reportedVersion;
     ReplicaRing::Choice choice;
-    if (this->isWhole()) {
+    if (this->isComplete()) {
         choice = this->ring.choose(
             stableHash(request.failureDomain.value(), request.from.value()), request.failureDomain, request.mostOfService);
     } else {
--- a/Services/Gateway/ReplicaFollower.h
+++ b/Services/Gateway/ReplicaFollower.h
@@ -72,7 +72,7 @@
     void setRelay(bool isRelay);
 
     /** @return whether all replicas are known, and followed. */
-    bool isWhole() const;
+    bool isComplete() const;
 
     /** @return the replica of a place that was given, or nothing if it takes no requests any more. */
     std::optional<ServingReplica> resolve(const ServingReplica &placed);
--- a/Services/Gateway/TableFollower.cpp
+++ b/Services/Gateway/TableFollower.cpp
@@ -82,12 +82,12 @@
     const Reading whole = std::exchange(this->reading, {});
     this->since = whole.version;
     this->hooks.onAnswer();
-    this->hooks.onAll(whole.rows);
-    this->hooks.onRead();
+    this->hooks.onSnapshot(whole.rows);
+    this->hooks.onDelivered();
     this->follow();
 }
 
-void TableFollower::hurry()
+void TableFollower::refresh()
 {
     this->scheduler.cancel(std::exchange(this->timer, 0));
     this->current();
@@ -143,7 +143,7 @@
     for (const StoredRow &row : result.rows) {
         this->hooks.onChange(row);
     }
-    this->hooks.onRead();
+    this->hooks.onDelivered();
     this->schedule(result.rows.empty() ? std::chrono::milliseconds(0) : this->options.pace, [this] {
         this->follow();
     });
--- a/Services/Gateway/TableFollower.h
+++ b/Services/Gateway/TableFollower.h
@@ -29,11 +29,11 @@
     struct Hooks
     {
         /** The whole table, at the start and after a gap in the history. */
-        std::function<void(const std::vector<StoredRow> &)> onAll;
+        std::function<void(const std::vector<StoredRow> &)> onSnapshot;
         /** A row was put or removed. */
         std::function<void(const StoredRow &)> onChange;
         /** All rows of an answer have been told. */
-        std::function<void()> onRead = [] {};
+        std::function<void()> onDelivered = [] {};
         /** The store answered. */
         std::function<void()> onAnswer = [] {};
         /** The store did not answer. */
@@ -46,7 +46,7 @@
     TableFollower &operator=(const TableFollower &) = delete;
 
     /** Ask the store anew, at once: what it was asked before may be waiting on a connection that is dead. */
-    void hurry();
+    void refresh();
 
     /** Another node has told the whole table as it was at a version: what came since is followed, without reading it all. */
     void seed(RowVersion version);
--- a/Services/Gateway/TableRelay.cpp
+++ b/Services/Gateway/TableRelay.cpp
@@ -103,7 +103,7 @@
 void TableRelay::start(const std::string &name, Table &table)
 {
     TableFollower::Hooks hooks{
-        .onAll =
+        .onSnapshot =
             [&table](const std::vector<StoredRow> &rows) {
                 table.mirror.replaceAll(rows, table.follower ? table.follower->version() : 0);
             },
@@ -111,7 +111,7 @@
             [&table](const StoredRow &row) {
                 table.mirror.take(row);
             },
-        .onRead =
+        .onDelivered =
             [this, &table] {
                 table.mirror.noteVersion(table.follower->version());
                 this->tellWaiting(table);
@@ -142,11 +142,11 @@
     table.mirror = TableMirror();
 }
 
-void TableRelay::hurry()
+void TableRelay::refresh()
 {
     for (auto &[name, table] : this->tables) {
         if (table.follower) {
-            table.follower->hurry();
+            table.follower->refresh();
         }
     }
 }
--- a/Services/Gateway/TableRelay.h
+++ b/Services/Gateway/TableRelay.h
@@ -44,7 +44,7 @@
     void setActive(bool isActive);
 
     /** Ask the store anew, at once. */
-    void hurry();
+    void refresh();
 
     /** @return whether a table can be read and followed here now. */
     bool isCurrent(const std::string &table) const;
--- a/Tests/ServiceGateway/RunningGateway.h
+++ b/Tests/ServiceGateway/RunningGateway.h
@@ -27,10 +27,10 @@
 }
 
 /** A gateway that has its configuration and its replicas. */
-class Running
+class RunningGateway
 {
 public:
-    explicit Running(const std::function<void(GatewayBench &)> &prepare) : host("gateway")
+    explicit RunningGateway(const std::function<void(GatewayBench &)> &prepare) : host("gateway")
     {
         this->host.ask<bool>([&prepare](GatewayBench &bench) {
             bench.configure(benchConfiguration);
--- a/Tests/ServiceGateway/TestCrashNotices.cpp
+++ b/Tests/ServiceGateway/TestCrashNotices.cpp
@@ -29,7 +29,7 @@
 // Notices of crashes go to the members that are there: one that comes later would hand the request to one replica after another.
 TEST_CASE("a request that crashed three replicas is refused by a node that was started after the crashes")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         // One more than crash: a replica crashes once.
         for (int number = 0; number <= crashes; ++number) {
             const std::string name = "i-" + std::to_string(number);
--- a/Tests/ServiceGateway/TestCrashingPromptParts.cpp
+++ b/Tests/ServiceGateway/TestCrashingPromptParts.cpp
@@ -30,11 +30,11 @@
 }
 
 /** Nodes before replicas that crash on one part of a prompt. */
-class CrashingReplicas : public Running
+class CrashingReplicas : public RunningGateway
 {
 public:
     CrashingReplicas()
-        : Running([](GatewayBench &bench) {
+        : RunningGateway([](GatewayBench &bench) {
             for (int number = 1; number <= replicas; ++number) {
                 bench.addReplica("i-" + std::to_string(number), "llm", crashOnBadPart);
             }
--- a/Tests/ServiceGateway/TestEndedJobs.cpp
+++ b/Tests/ServiceGateway/TestEndedJobs.cpp
@@ -43,11 +43,11 @@
 }
 
 /** A node before one replica that leaves its callers waiting. */
-class Waiting : public Running
+class Waiting : public RunningGateway
 {
 public:
     explicit Waiting(const std::string &configuration = benchConfiguration)
-        : Running([this, &configuration](GatewayBench &bench) {
+        : RunningGateway([this, &configuration](GatewayBench &bench) {
             bench.configure(configuration);
             bench.settings.gateway.jobEndBound = endBound;
             bench.addReplica("i-1", "llm", [this](const std::shared_ptr<CallerExchange> &exchange) {
--- a/Tests/ServiceGateway/TestGateway.cpp
+++ b/Tests/ServiceGateway/TestGateway.cpp
@@ -7,7 +7,7 @@
 TEST_CASE("a request goes to a replica of its service, unchanged, and its answer comes back signed")
 {
     StandInReplica *replica = nullptr;
-    Running running([&replica](GatewayBench &bench) {
+    RunningGateway running([&replica](GatewayBench &bench) {
         replica = &bench.addReplica("i-1", "api", answerWhole);
     });
     const std::string answer = running.call("POST /s/a%20b?c=d", "X-Custom: 1\r\n", "hello");
@@ -25,7 +25,7 @@
 
 TEST_CASE("a stream is passed on with its events")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", streamWhole);
     });
     const std::string answer = running.call("POST /o/x");
@@ -39,7 +39,7 @@
 // behind the last whole event, and the half event of the first is dropped.
 TEST_CASE("a stream that may be resumed goes on at another replica without a seam")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         for (const char *const instance : {"i-1", "i-2"}) {
             bench.addReplica(instance, "llm", [](const std::shared_ptr<CallerExchange> &exchange) {
                 if (exchange->head().headers.find("Last-Event-Id")) {
@@ -63,7 +63,7 @@
 // The same crash in a stream that runs at most once. Nothing may be repeated; the caller must see that the end is missing.
 TEST_CASE("a stream that runs once and breaks off does not look complete")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", [](const std::shared_ptr<CallerExchange> &exchange) {
             sendEvents(exchange, 2);
             exchange->breakOff();
@@ -86,7 +86,7 @@
 // never ran.
 TEST_CASE("a request that runs once and loses its answer is neither repeated nor called unrun")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         for (const char *const instance : {"i-1", "i-2"}) {
             bench.addReplica(instance, "api", [](const std::shared_ptr<CallerExchange> &exchange) {
                 exchange->breakOff();
@@ -102,7 +102,7 @@
 
 TEST_CASE("a request that a replica proves not to have run goes to another, also if it runs at most once")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "api", [](const std::shared_ptr<CallerExchange> &exchange) {
             HeaderList headers;
             headers.add("X-Not-Executed", "1");
@@ -118,7 +118,7 @@
 // A success without the replica's signature comes from something else that has its address, or from a fault on the way.
 TEST_CASE("a success that no replica signed is not passed on")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "api", [](const std::shared_ptr<CallerExchange> &exchange) {
             exchange->send(200, {}, "forged");
         });
@@ -130,7 +130,7 @@
 
 TEST_CASE("a request for which there is no place is refused with the time to come back, before its time is over")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "api", ignore);
     });
     const std::string unrun = running.call("POST /so/x");
@@ -164,7 +164,7 @@
 TEST_CASE("a caller that leaves takes its request from the replica")
 {
     bool isLeft = false;
-    Running running([&isLeft](GatewayBench &bench) {
+    RunningGateway running([&isLeft](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", [&isLeft](const std::shared_ptr<CallerExchange> &exchange) {
             sendEvents(exchange, 1);
             exchange->whenGone([&isLeft] {
@@ -186,7 +186,7 @@
 
 TEST_CASE("a newer configuration comes into force, and an older one does not")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "api", answerWhole);
     });
     const auto configure = [&running](const std::string &text) {
@@ -210,7 +210,7 @@
 // one. Callers are served all the while.
 TEST_CASE("callers are served while the store is away, and while the replicas' entries are not back yet")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.settings.gateway.lapsedKept = std::chrono::seconds(5);
         bench.addReplica("i-1", "api", answerWhole);
     });
@@ -240,7 +240,7 @@
 
 TEST_CASE("a batch job runs to its end, and its results can be read from any position")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", [](const std::shared_ptr<CallerExchange> &exchange) {
             if (exchange->body() == "impossible") {
                 exchange->send(422, signedHeaders(exchange), {});
@@ -270,7 +270,7 @@
 
 TEST_CASE("a job that is ended stops, and its items' bodies can be read before that")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", ignore);
     });
     const nlohmann::json job{{"requests", {{{"id", "a"}, {"path", "/b/a"}, {"body", encodeBase64("text")}, {"tokens", 9}}}}};
@@ -285,7 +285,7 @@
 // late, and calls on jobs would be refused there; it takes a way through the second.
 TEST_CASE("a node that the store turns away takes and runs jobs through another")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", streamWhole);
         bench.startOther();
     });
@@ -322,7 +322,7 @@
 // replicas that it knows nothing of, one after the other; it has to learn of them before it calls them unable to serve.
 TEST_CASE("a node that does not know the replicas yet lets its callers wait for them")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "api", answerWhole);
         bench.addReplica("i-2", "llm", streamWhole);
         bench.otherWay.withhold("servers");
@@ -349,7 +349,7 @@
 TEST_CASE("a node that stops finishes what it has")
 {
     std::shared_ptr<CallerExchange> held;
-    Running running([&held](GatewayBench &bench) {
+    RunningGateway running([&held](GatewayBench &bench) {
         bench.addReplica("i-1", "api", [&held](const std::shared_ptr<CallerExchange> &exchange) {
             held = exchange;
         });
@@ -388,7 +388,7 @@
 TEST_CASE("a replica that started again under its name is met with nothing of the one before")
 {
     StandInReplica *replica = nullptr;
-    Running running([&replica](GatewayBench &bench) {
+    RunningGateway running([&replica](GatewayBench &bench) {
         replica = &bench.addReplica("i-1", "api", answerWhole);
     });
     REQUIRE(running.call("POST /s/a").starts_with("HTTP/1.1 200"));
@@ -413,7 +413,7 @@
 {
     const std::vector<std::string> names{"i-1", "i-2"};
     std::vector<StandInReplica *> replicas;
-    Running running([&](GatewayBench &bench) {
+    RunningGateway running([&](GatewayBench &bench) {
         for (const std::string &name : names) {
             replicas.push_back(&bench.addReplica(name, "api", answerWhole));
         }
--- a/Tests/ServiceGateway/TestJobRunners.cpp
+++ b/Tests/ServiceGateway/TestJobRunners.cpp
@@ -18,7 +18,7 @@
 /** Longer than a node follows the open jobs after its last run. */
 constexpr std::chrono::seconds longAfterStart{60};
 
-std::size_t runsOf(Running &running)
+std::size_t runsOf(RunningGateway &running)
 {
     return running.host.ask<std::size_t>([](GatewayBench &bench) {
         return bench.replicas.front()->heads.size();
@@ -26,7 +26,7 @@
 }
 
 /** Start a small node and a large one, and wait until the small one does not follow the open jobs any more. */
-void startSmallBesideLarge(Running &running)
+void startSmallBesideLarge(RunningGateway &running)
 {
     running.host.ask<bool>([](GatewayBench &bench) {
         bench.clock.shift(longAfterStart);
@@ -88,7 +88,7 @@
 // jobs any more, as its VM is too small to take jobs over. The item was never run again.
 TEST_CASE("a node that is too small to take jobs over still takes up one that names it as its runner")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", ignore);
         bench.settings.gateway.processorShare = largeShare;
         bench.startOther();
@@ -127,7 +127,7 @@
 // open jobs, and the others left the job to it: its items never ran.
 TEST_CASE("a job whose row names a node that does not know of it is run")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", ignore);
         bench.settings.gateway.processorShare = smallShare;
     });
@@ -144,7 +144,7 @@
 // The node that accepted a job took another session before its write took effect: the row names a member that never was.
 TEST_CASE("a job whose row names a session that was never a member is run")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", ignore);
         bench.settings.gateway.processorShare = smallShare;
     });
@@ -162,7 +162,7 @@
 // another.
 TEST_CASE("a job that the store does not show at first is run once it does")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", ignore);
         putOpenRow(bench, randomSession());
     });
--- a/Tests/ServiceGateway/TestNodeIdentity.cpp
+++ b/Tests/ServiceGateway/TestNodeIdentity.cpp
@@ -6,7 +6,7 @@
 // of them gets no callers, requests are placed twice, and the runner of a job can't be told from another node.
 TEST_CASE("two nodes that drew one number go on under others, and both serve")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", streamWhole);
         bench.newSession = [drawn = 0]() mutable {
             constexpr int namesakes = 2;
--- a/Tests/ServiceGateway/TestPlacementPassOn.cpp
+++ b/Tests/ServiceGateway/TestPlacementPassOn.cpp
@@ -44,7 +44,7 @@
 // places as well, each replica would get twice what it has slots for, and callers would wait in its queue for their first event.
 TEST_CASE("a node that is asked in the dispatcher's stead passes the question on")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", ignore);
         bench.startOther();
     });
@@ -70,7 +70,7 @@
         });
     });
     running.host.ask<bool>([&](GatewayBench &bench) {
-        const MemberViewPointer view = bench.gateway->dutyView();
+        const MemberViewPointer view = bench.gateway->roleView();
         for (const Member &member : view->members()) {
             asker->socket.send(member.gossip, askFor("llm"));
         }
--- a/Tests/ServiceGateway/TestRelays.cpp
+++ b/Tests/ServiceGateway/TestRelays.cpp
@@ -207,7 +207,7 @@
 // without replicas, and all requests waited until their time was over.
 TEST_CASE("a node that becomes a relay while the store is away keeps the replicas that it knows")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "api", answerWhole);
         bench.addReplica("i-2", "llm", streamWhole);
         bench.otherWay.withhold("servers");
--- a/Tests/ServiceGateway/TestRepeatedCrashes.cpp
+++ b/Tests/ServiceGateway/TestRepeatedCrashes.cpp
@@ -22,11 +22,11 @@
 }
 
 /** A node before a service whose replicas end, and come back under other names, as a test says. */
-class EndingReplicas : public Running
+class EndingReplicas : public RunningGateway
 {
 public:
     explicit EndingReplicas(std::string service)
-        : Running([&service](GatewayBench &bench) {
+        : RunningGateway([&service](GatewayBench &bench) {
             bench.addReplica("i-other", service == "api" ? "llm" : "api", &streamWhole);
         })
         , service(std::move(service))
--- a/Tests/ServiceGateway/TestStreamVersions.cpp
+++ b/Tests/ServiceGateway/TestStreamVersions.cpp
@@ -38,7 +38,7 @@
 }
 
 /** @return the versions of the replicas that got a request with that id, and with a Last-Event-Id if it is asked for. */
-std::multiset<std::string> versionsOf(Running &running, const std::string &id, bool isResumed)
+std::multiset<std::string> versionsOf(RunningGateway &running, const std::string &id, bool isResumed)
 {
     return running.host.ask<std::multiset<std::string>>([&id, isResumed](GatewayBench &bench) {
         std::multiset<std::string> versions;
@@ -71,11 +71,11 @@
 }
 
 /** Two nodes that know each other, before replicas of two versions. */
-class TwoNodes : public Running
+class TwoNodes : public RunningGateway
 {
 public:
     TwoNodes(int ofEachVersion, const StandInReplica::Script &script)
-        : Running([ofEachVersion, &script](GatewayBench &bench) {
+        : RunningGateway([ofEachVersion, &script](GatewayBench &bench) {
             addReplicas(bench, ofEachVersion, script);
             bench.startOther();
         })
@@ -126,7 +126,7 @@
     };
 }
 
-void release(Running &running, std::vector<std::shared_ptr<CallerExchange>> &held)
+void release(RunningGateway &running, std::vector<std::shared_ptr<CallerExchange>> &held)
 {
     running.host.ask<bool>([&held](GatewayBench &) {
         held.clear();
@@ -139,7 +139,7 @@
 // A replica crashes in the middle of a stream while replicas of another version have room.
 TEST_CASE("a stream goes on only at the software version that began it")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         addReplicas(bench, 2, crashUnlessResumed);
     });
     for (int round = 0; round < rounds; ++round) {
@@ -156,7 +156,7 @@
 // The only replica of its version crashes: what another version would write does not fit.
 TEST_CASE("a stream whose software version is gone is broken off, and does not look complete")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         addReplicas(bench, 1, crashUnlessResumed);
     });
     RawConnection caller(running.address(&Gateway::callerAddress));
@@ -200,7 +200,7 @@
 // A batch item loses its replica, and only replicas of another version have room: its text must be of one version.
 TEST_CASE("a batch item whose software version is gone begins anew")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         addReplicas(bench, 1, [crashed = std::make_shared<bool>(false)](const std::shared_ptr<CallerExchange> &exchange) {
             if (!std::exchange(*crashed, true)) {
                 sendEvents(exchange, brokenAfter);
@@ -225,7 +225,7 @@
 // All nodes that knew where the stream began are lost, or its caller names no attempt; only one version has served since.
 TEST_CASE("a stream of unknown origin goes on while one software version serves")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.configure(withShortTimeouts());
         bench.addReplica("i-1-v1", "llm", crashUnlessResumed);
     });
--- a/Tests/ServiceGateway/TestTableFollower.cpp
+++ b/Tests/ServiceGateway/TestTableFollower.cpp
@@ -24,7 +24,7 @@
                         return std::chrono::milliseconds(1000);
                     },
                     std::chrono::milliseconds(0)},
-                   {.onAll =
+                   {.onSnapshot =
                         [this](const std::vector<StoredRow> &rows) {
                             this->known.clear();
                             for (const StoredRow &row : rows) {
@@ -175,7 +175,7 @@
     bench.store.setMute(false);
     bench.clock.advance(std::chrono::seconds(5));
     CHECK(bench.known["a"] == "1");
-    bench.follower.hurry();
+    bench.follower.refresh();
     bench.clock.advance(std::chrono::milliseconds(50));
     CHECK(bench.known["a"] == "2");
 }
--- a/Tests/ServiceGateway/TestTraffic.cpp
+++ b/Tests/ServiceGateway/TestTraffic.cpp
@@ -4,7 +4,7 @@
 
 TEST_CASE("what a node exchanges with others and with the store shows by kind in its metrics")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.startOther();
     });
     await([&running] {
--- a/Tests/ServiceGateway/TestUnframedStreams.cpp
+++ b/Tests/ServiceGateway/TestUnframedStreams.cpp
@@ -21,12 +21,12 @@
 };
 
 /** A node before replicas whose streams have neither a length nor chunks, and end with their connections. */
-class UnframedReplicas : private Endpoints, public Running
+class UnframedReplicas : private Endpoints, public RunningGateway
 {
 public:
     /** @param firstEnd what the first run writes behind its head before its replica crashes */
     explicit UnframedReplicas(const std::string &firstEnd)
-        : Running([this, &firstEnd](GatewayBench &bench) {
+        : RunningGateway([this, &firstEnd](GatewayBench &bench) {
             const auto crashed = std::make_shared<bool>(false);
             for (const char *const instance : {"i-1", "i-2"}) {
                 this->endpoints.push_back(std::make_unique<ScriptedEndpoint>(
--- a/Tests/ServiceGateway/TestWorkspaces.cpp
+++ b/Tests/ServiceGateway/TestWorkspaces.cpp
@@ -39,11 +39,11 @@
     return "Authorization: Bearer " + key + "\r\n";
 }
 
-class Keyed : public Running
+class Keyed : public RunningGateway
 {
 public:
     explicit Keyed(const StandInReplica::Script &script = answerWhole)
-        : Running([&script](GatewayBench &bench) {
+        : RunningGateway([&script](GatewayBench &bench) {
             bench.configure(keyedConfiguration());
             bench.settings.gateway.quotaSlack = 8;
             bench.settings.gateway.quotaOverrun = 0;
