--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -427,13 +427,13 @@
     if (configuration->workspaces) {
         this->quotas.start();
     }
-    this->followServices(this->appliedConfiguration.get(), *configuration);
+    this->updateServices(this->appliedConfiguration.get(), *configuration);
     this->appliedConfiguration = configuration;
     this->updateReadiness();
     this->router.retryHeld();
 }
 
-void Gateway::followServices(const ServingConfiguration *before, const ServingConfiguration &current)
+void Gateway::updateServices(const ServingConfiguration *before, const ServingConfiguration &current)
 {
     for (const Service &service : current.services) {
         const Service *const known = before != nullptr ? before->findService(service.name) : nullptr;
--- a/Services/Gateway/Gateway.h
+++ b/Services/Gateway/Gateway.h
@@ -102,7 +102,7 @@
     void handleDatagram(const Datagram &datagram);
     void applyConfiguration(const ServingConfigurationPointer &configuration);
     void applyReplicaChanges(const ReplicaChanges &changes);
-    void followServices(const ServingConfiguration *before, const ServingConfiguration &current);
+    void updateServices(const ServingConfiguration *before, const ServingConfiguration &current);
     void handleStoreReach(bool isReached);
     std::vector<DispatchReplica> replicasOf(const Service &service) const;
     void updateRelayRole();
--- a/Services/Gateway/PeerNetwork.cpp
+++ b/Services/Gateway/PeerNetwork.cpp
@@ -24,7 +24,7 @@
 constexpr std::chrono::milliseconds announceRetry{500};
 /** The row of a departed node is removed after one or two of these intervals: a node that died can't remove it itself. */
 constexpr std::chrono::seconds cleanInterval{20};
-constexpr std::chrono::milliseconds nodesPace{500};
+constexpr std::chrono::milliseconds nodesInterval{500};
 /** A node that knows no other member reads this many rows of the table of nodes at this interval. */
 constexpr std::chrono::milliseconds discoveryInterval{1000};
 constexpr std::size_t nodeSampleSize = 16;
@@ -303,7 +303,7 @@
                                                [] {
                                                    return nodesFollowWait;
                                                },
-                                               nodesPace},
+                                               nodesInterval},
                         TableFollower::Hooks{
                             .onSnapshot =
                                 [this](const std::vector<StoredRow> &rows) {
--- a/Services/Gateway/PeerNetwork.h
+++ b/Services/Gateway/PeerNetwork.h
@@ -51,8 +51,8 @@
     MemberViewPointer view() const;
 
     /**
-     * @return the members by which roles are assigned. A member that lost the store is marked so there only while the loss is not
-     * shared by most members, see StoreReach.
+     * @return the members by which roles are assigned. A member's loss of the store counts there only once it has lasted for some
+     * time while most members reach the store, see StoreReach.
      */
     MemberViewPointer roleView() const;
 
--- a/Services/Gateway/ReplicaFollower.cpp
+++ b/Services/Gateway/ReplicaFollower.cpp
@@ -15,7 +15,7 @@
 
 /** Entries change with each heartbeat of each replica; handling them in groups saves calls. Far below the time after which a
  * draining replica must get no new requests. */
-constexpr std::chrono::milliseconds changesPace{200};
+constexpr std::chrono::milliseconds changesInterval{200};
 constexpr std::chrono::milliseconds expiryInterval{250};
 /** A store that has not answered for this time is lost. Longer than the wait for a change plus a slow answer. */
 constexpr std::chrono::milliseconds storeLostTimeout{1600};
@@ -131,7 +131,7 @@
                                                   [wait = this->options.storeWait] {
                                                       return wait;
                                                   },
-                                                  changesPace},
+                                                  changesInterval},
                            TableFollower::Hooks{
                                .onSnapshot =
                                    [this](const std::vector<StoredRow> &rows) {
--- a/Services/Gateway/TableFollower.h
+++ b/Services/Gateway/TableFollower.h
@@ -14,8 +14,8 @@
 {
 
 /**
- * Reads a table of the platform's store and then follows its changes until it is destroyed. Guarantees that no change is missed
- * and that the known version never decreases.
+ * Reads a table of the platform's store and then follows its changes until it is destroyed. After a gap in the history it reads
+ * the whole table again, so that no change is missed. The known version never decreases.
  */
 class TableFollower
 {
@@ -51,7 +51,8 @@
     /** Repeats the pending request without delay: it may be waiting on a dead connection. */
     void refresh();
 
-    /** Follows the changes since a version at which another node sent the whole table, without reading the table again. */
+    /** Follows the changes since a version at which another node sent the whole table, without reading the table. Does nothing
+     * if a version is known already. */
     void followFrom(RowVersion version);
 
     /** @return the version up to which changes were delivered; 0: the table has not been read yet. */
@@ -62,7 +63,7 @@
     struct TableRead
     {
         std::vector<StoredRow> rows;
-        /** The version of the first page: later changes are followed from there. */
+        /** The version of the first page; changes are followed from there, including those that later pages show already. */
         RowVersion version = 0;
         /** The key at which the next page begins. */
         std::string from;
--- a/Services/Gateway/TableRelay.cpp
+++ b/Services/Gateway/TableRelay.cpp
@@ -12,7 +12,7 @@
 {
 
 /** Changes are handled in groups: each group costs one answer to every node of the failure domain. */
-constexpr std::chrono::milliseconds changesPace{100};
+constexpr std::chrono::milliseconds changesInterval{100};
 /** The maximum number of rows in one answer. */
 constexpr std::size_t maxRows = 500;
 /** The limit for the wait that a request may state. */
@@ -131,7 +131,7 @@
     };
     const std::uint64_t seed = stableHash(name, this->options.seed);
     table.follower = std::make_unique<TableFollower>(
-        this->scheduler, this->store, seed, TableFollower::Options{name, wait, changesPace}, std::move(hooks));
+        this->scheduler, this->store, seed, TableFollower::Options{name, wait, changesInterval}, std::move(hooks));
 }
 
 void TableRelay::stop(Table &table)
