--- a/Services/Gateway/CoordinatorElections.cpp
+++ b/Services/Gateway/CoordinatorElections.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-/** How often a node that knows no claim asks others for it, and how many: one that has just started is told in two round trips.
- */
-constexpr std::chrono::milliseconds questionInterval{100};
-constexpr std::size_t questionsAtOnce = 3;
+/** A node that knows no claim queries three others at this interval. A node that has just started learns the claim within two
+ * round trips. */
+constexpr std::chrono::milliseconds queryInterval{100};
+constexpr std::size_t queriesAtOnce = 3;
 
 SessionNumber sessionOf(const Member *member)
 {
@@ -24,130 +24,130 @@
 
 } // namespace
 
-DutyKeeper::DutyKeeper(const Clock &clock, PeerNetwork &peers)
-    : clock(clock), peers(peers), view(peers.dutyView()), random(static_cast<std::minstd_rand::result_type>(peers.self().value()))
+CoordinatorElections::CoordinatorElections(const Clock &clock, PeerNetwork &peers)
+    : clock(clock), peers(peers), view(peers.roleView()), random(static_cast<std::minstd_rand::result_type>(peers.self().value()))
 {
 }
 
-void DutyKeeper::follow(const std::string &duty, Moved moved)
+void CoordinatorElections::follow(const std::string &role, ChangeHandler changed)
 {
-    if (this->duties.contains(duty)) {
+    if (this->roles.contains(role)) {
         return;
     }
-    Followed followed{std::make_unique<CoordinatorElection>(this->clock, duty), {}, std::move(moved)};
-    followed.duty->setView(this->peers.self(), this->peers.view(), this->view);
-    followed.holder = sessionOf(followed.duty->coordinator());
-    this->duties.emplace(duty, std::move(followed));
+    RoleState state{std::make_unique<CoordinatorElection>(this->clock, role), {}, std::move(changed)};
+    state.election->setView(this->peers.self(), this->peers.view(), this->view);
+    state.coordinator = sessionOf(state.election->coordinator());
+    this->roles.emplace(role, std::move(state));
 }
 
-const DutyKeeper::Followed *DutyKeeper::find(const std::string &duty) const
+const CoordinatorElections::RoleState *CoordinatorElections::find(const std::string &role) const
 {
-    const auto found = this->duties.find(duty);
-    return found != this->duties.end() ? &found->second : nullptr;
+    const auto found = this->roles.find(role);
+    return found != this->roles.end() ? &found->second : nullptr;
 }
 
-const Member *DutyKeeper::holder(const std::string &duty) const
+const Member *CoordinatorElections::coordinator(const std::string &role) const
 {
-    const Followed *const followed = this->find(duty);
-    return followed != nullptr ? followed->duty->coordinator() : nullptr;
+    const RoleState *const state = this->find(role);
+    return state != nullptr ? state->election->coordinator() : nullptr;
 }
 
-const Member *DutyKeeper::otherHolder(const std::string &duty) const
+const Member *CoordinatorElections::remoteCoordinator(const std::string &role) const
 {
-    const Member *const member = this->holder(duty);
+    const Member *const member = this->coordinator(role);
     return member != nullptr && member->session != this->peers.self() ? member : nullptr;
 }
 
-bool DutyKeeper::isClaimedHere(const std::string &duty) const
+bool CoordinatorElections::isClaimedLocally(const std::string &role) const
 {
-    const Followed *const followed = this->find(duty);
-    return followed != nullptr && followed->duty->claim() && followed->duty->claim()->holder == this->peers.self();
+    const RoleState *const state = this->find(role);
+    return state != nullptr && state->election->claim() && state->election->claim()->holder == this->peers.self();
 }
 
-bool DutyKeeper::isAnyClaimedHere() const
+bool CoordinatorElections::isAnyClaimedLocally() const
 {
-    return std::ranges::any_of(this->duties, [this](const auto &followed) {
-        return this->isClaimedHere(followed.first);
+    return std::ranges::any_of(this->roles, [this](const auto &entry) {
+        return this->isClaimedLocally(entry.first);
     });
 }
 
-bool DutyKeeper::isClaimed(const std::string &duty) const
+bool CoordinatorElections::isClaimed(const std::string &role) const
 {
-    const Followed *const followed = this->find(duty);
-    return followed != nullptr && followed->duty->claim();
+    const RoleState *const state = this->find(role);
+    return state != nullptr && state->election->claim();
 }
 
-const Member *DutyKeeper::successor(const std::string &duty) const
+const Member *CoordinatorElections::successor(const std::string &role) const
 {
-    const Followed *const followed = this->find(duty);
-    return followed != nullptr ? followed->duty->successor() : nullptr;
+    const RoleState *const state = this->find(role);
+    return state != nullptr ? state->election->successor() : nullptr;
 }
 
-void DutyKeeper::suspectHolder(const std::string &duty)
+void CoordinatorElections::suspectCoordinator(const std::string &role)
 {
-    const Member *const suspected = this->otherHolder(duty);
-    const Member *const next = suspected != nullptr ? this->successor(duty) : nullptr;
+    const Member *const suspected = this->remoteCoordinator(role);
+    const Member *const next = suspected != nullptr ? this->successor(role) : nullptr;
     if (next == nullptr) {
         return;
     }
-    const DutySuspicion suspicion{duty, suspected->session, this->peers.self()};
+    const DutySuspicion suspicion{role, suspected->session, this->peers.self()};
     if (next->session == this->peers.self()) {
-        this->duties.at(duty).duty->receiveSuspicion(suspicion);
+        this->roles.at(role).election->receiveSuspicion(suspicion);
     } else {
         this->peers.datagrams().send(next->gossip, suspicion);
     }
 }
 
-void DutyKeeper::probeMembers(const std::string &duty)
+void CoordinatorElections::probeSomeMembers(const std::string &role)
 {
-    if (const Followed *const followed = this->find(duty)) {
-        this->askForClaim(*followed->duty);
+    if (const RoleState *const state = this->find(role)) {
+        this->queryClaim(*state->election);
     }
 }
 
-void DutyKeeper::probe(const Address &node, const std::string &duty)
+void CoordinatorElections::probe(const Address &node, const std::string &role)
 {
-    if (const Followed *const followed = this->find(duty)) {
-        this->peers.datagrams().send(node, followed->duty->claimQuery());
+    if (const RoleState *const state = this->find(role)) {
+        this->peers.datagrams().send(node, state->election->claimQuery());
     }
 }
 
-void DutyKeeper::tellClaim(const Address &to, const std::string &duty)
+void CoordinatorElections::sendClaim(const Address &to, const std::string &role)
 {
-    const Followed *const followed = this->find(duty);
-    if (followed != nullptr && followed->duty->claim()) {
-        this->peers.datagrams().send(to, *followed->duty->claim());
+    const RoleState *const state = this->find(role);
+    if (state != nullptr && state->election->claim()) {
+        this->peers.datagrams().send(to, *state->election->claim());
     }
 }
 
-void DutyKeeper::setView(const MemberViewPointer &view)
+void CoordinatorElections::setView(const MemberViewPointer &view)
 {
     const MemberViewPointer before = std::exchange(this->view, view);
-    for (auto &[name, followed] : this->duties) {
-        followed.duty->setView(this->peers.self(), this->peers.view(), view);
-        this->takeHolder(followed);
-        this->tellNewcomers(*followed.duty, *before);
+    for (auto &[name, state] : this->roles) {
+        state.election->setView(this->peers.self(), this->peers.view(), view);
+        this->updateCoordinator(state);
+        this->sendClaimToNewMembers(*state.election, *before);
     }
 }
 
-void DutyKeeper::takeHolder(Followed &followed, bool isGivenUp)
+void CoordinatorElections::updateCoordinator(RoleState &state, bool isHandedOver)
 {
-    const SessionNumber current = sessionOf(followed.duty->coordinator());
-    const SessionNumber former = std::exchange(followed.holder, current);
+    const SessionNumber current = sessionOf(state.election->coordinator());
+    const SessionNumber former = std::exchange(state.coordinator, current);
     if (former != current) {
-        followed.moved({former, isGivenUp});
+        state.changed({former, isHandedOver});
     }
 }
 
-void DutyKeeper::claim(const std::string &name, Followed &followed)
+void CoordinatorElections::claim(const std::string &role, RoleState &state)
 {
-    const std::optional<DutyClaim> claim = followed.duty->makeClaim();
+    const std::optional<DutyClaim> claim = state.election->makeClaim();
     if (!claim) {
         return;
     }
     log(LogLevel::Info,
         "duty claimed",
-        {{"duty", name},
+        {{"duty", role},
          {"term", static_cast<std::int64_t>(claim->term)},
          {"holder", static_cast<std::int64_t>(claim->holder.value())},
          {"members", static_cast<std::int64_t>(this->view->members().size())}});
@@ -156,36 +156,36 @@
             this->peers.datagrams().send(member.gossip, *claim);
         }
     }
-    this->takeHolder(followed, claim->holder != this->peers.self());
+    this->updateCoordinator(state, claim->holder != this->peers.self());
 }
 
-void DutyKeeper::askForClaim(const CoordinatorElection &duty)
+void CoordinatorElections::queryClaim(const CoordinatorElection &election)
 {
     const auto isOther = [this](const Member &member) {
         return member.session != this->peers.self();
     };
-    for (std::size_t asked = 0; asked < questionsAtOnce; ++asked) {
+    for (std::size_t sent = 0; sent < queriesAtOnce; ++sent) {
         if (const Member *const member = randomMember(*this->view, this->random, isOther)) {
-            this->peers.datagrams().send(member->gossip, duty.claimQuery());
+            this->peers.datagrams().send(member->gossip, election.claimQuery());
         }
     }
 }
 
-void DutyKeeper::tellNewcomers(const CoordinatorElection &duty, const MemberView &before)
+void CoordinatorElections::sendClaimToNewMembers(const CoordinatorElection &election, const MemberView &before)
 {
-    const Member *const holder = duty.coordinator();
-    const bool isOurs = holder != nullptr && holder->session == this->peers.self();
-    if (!isOurs || !duty.claim()) {
+    const Member *const coordinator = election.coordinator();
+    const bool isLocal = coordinator != nullptr && coordinator->session == this->peers.self();
+    if (!isLocal || !election.claim()) {
         return;
     }
     for (const Member &member : this->view->members()) {
         if (before.find(member.session) == nullptr) {
-            this->peers.datagrams().send(member.gossip, *duty.claim());
+            this->peers.datagrams().send(member.gossip, *election.claim());
         }
     }
 }
 
-bool DutyKeeper::receive(const Datagram &datagram)
+bool CoordinatorElections::receive(const Datagram &datagram)
 {
     if (datagram.number == DutyClaim::number) {
         if (const auto claim = decode<DutyClaim>(datagram.payload)) {
@@ -195,55 +195,55 @@
     }
     if (datagram.number == DutySuspicion::number) {
         const auto suspicion = decode<DutySuspicion>(datagram.payload);
-        const auto found = suspicion ? this->duties.find(suspicion->duty) : this->duties.end();
-        if (found != this->duties.end()) {
-            found->second.duty->receiveSuspicion(*suspicion);
+        const auto found = suspicion ? this->roles.find(suspicion->duty) : this->roles.end();
+        if (found != this->roles.end()) {
+            found->second.election->receiveSuspicion(*suspicion);
         }
         return true;
     }
     return false;
 }
 
-void DutyKeeper::receive(const Address &from, const DutyClaim &claim)
+void CoordinatorElections::receive(const Address &from, const DutyClaim &claim)
 {
-    const auto found = this->duties.find(claim.duty);
-    if (found == this->duties.end()) {
+    const auto found = this->roles.find(claim.duty);
+    if (found == this->roles.end()) {
         return;
     }
-    Followed &followed = found->second;
-    const Member *const holder = followed.duty->coordinator();
-    // A question from its address is none of its own: it has started anew, and knows nothing of what it held.
-    const bool isFromHolder = holder != nullptr && holder->gossip == from && claim.term > 0;
-    if (isFromHolder) {
-        followed.duty->recordCoordinatorAlive();
+    RoleState &state = found->second;
+    const Member *const coordinator = state.election->coordinator();
+    // A query (term 0) from the coordinator's address is no sign of life: the node has restarted and lost the role's state.
+    const bool isFromCoordinator = coordinator != nullptr && coordinator->gossip == from && claim.term > 0;
+    if (isFromCoordinator) {
+        state.election->recordCoordinatorAlive();
     }
-    switch (followed.duty->receive(claim)) {
+    switch (state.election->receive(claim)) {
     case CoordinatorElection::ReceiveOutcome::Accepted:
-        this->takeHolder(followed);
+        this->updateCoordinator(state);
         return;
     case CoordinatorElection::ReceiveOutcome::Outdated:
-        this->tellClaim(from, claim.duty);
+        this->sendClaim(from, claim.duty);
         return;
     case CoordinatorElection::ReceiveOutcome::Known:
         return;
     }
 }
 
-void DutyKeeper::tick()
+void CoordinatorElections::tick()
 {
     const SteadyTime now = this->clock.now();
-    const bool isQuestionDue = now >= this->nextQuestion;
-    if (isQuestionDue) {
-        this->nextQuestion = now + questionInterval;
+    const bool isQueryDue = now >= this->nextQuery;
+    if (isQueryDue) {
+        this->nextQuery = now + queryInterval;
     }
-    for (auto &[name, followed] : this->duties) {
-        if (isQuestionDue && followed.duty->isQuerying()) {
-            this->askForClaim(*followed.duty);
+    for (auto &[name, state] : this->roles) {
+        if (isQueryDue && state.election->isQuerying()) {
+            this->queryClaim(*state.election);
         }
-        if (const Member *const suspected = followed.duty->suspectedCoordinator()) {
-            this->peers.datagrams().send(suspected->gossip, followed.duty->claimQuery());
+        if (const Member *const suspected = state.election->suspectedCoordinator()) {
+            this->peers.datagrams().send(suspected->gossip, state.election->claimQuery());
         }
-        this->claim(name, followed);
+        this->claim(name, state);
     }
 }
 
--- a/Services/Gateway/PlacementClient.h
+++ b/Services/Gateway/PlacementClient.h
@@ -65,7 +65,7 @@
     PlacementClient(EventLoop &loop,
                     const Clock &clock,
                     PeerNetwork &peers,
-                    DutyKeeper &duties,
+                    CoordinatorElections &duties,
                     FailureDomain own,
                     PlacementServer::Describe describe);
     ~PlacementClient();
--- a/Services/Gateway/TableRelay.cpp
+++ b/Services/Gateway/TableRelay.cpp
@@ -11,12 +11,12 @@
 namespace
 {
 
-/** Changes are taken in groups: each costs every node of the failure domain an answer. */
-constexpr std::chrono::milliseconds changesPace{100};
-/** Rows of one answer. */
-constexpr std::size_t mostRows = 500;
-/** Nobody waits for longer, whatever it asks for. */
-constexpr std::chrono::milliseconds longestWait{10000};
+/** Changes are handled in groups: each group costs one answer to every node of the failure domain. */
+constexpr std::chrono::milliseconds changesInterval{100};
+/** The maximum number of rows in one answer. */
+constexpr std::size_t maxRows = 500;
+/** The limit for the wait that a request may state. */
+constexpr std::chrono::milliseconds maxWait{10000};
 
 FollowResult failed()
 {
@@ -83,7 +83,7 @@
         respond(this->answer(request));
     });
     server.handle<FeedFollowRequest>([this](const FeedFollowRequest &request, const auto &respond) {
-        this->follow(request.table, request.since, std::min(request.wait, longestWait), [respond](const FollowResult &result) {
+        this->follow(request.table, request.since, std::min(request.wait, maxWait), [respond](const FollowResult &result) {
             respond(encodeFeed(result));
         });
     });
@@ -103,7 +103,7 @@
 void TableRelay::start(const std::string &name, Table &table)
 {
     TableFollower::Hooks hooks{
-        .onAll =
+        .onSnapshot =
             [&table](const std::vector<StoredRow> &rows) {
                 table.mirror.replaceAll(rows, table.follower ? table.follower->version() : 0);
             },
@@ -111,19 +111,19 @@
             [&table](const StoredRow &row) {
                 table.mirror.take(row);
             },
-        .onRead =
+        .onDelivered =
             [this, &table] {
                 table.mirror.noteVersion(table.follower->version());
-                this->tellWaiting(table);
+                this->notifyWaiters(table);
             },
         .onAnswer =
             [&table] {
-                table.isAnswered = true;
+                table.isStoreAnswering = true;
             },
         .onFailure =
             [this, &table] {
-                table.isAnswered = false;
-                this->tellWaiting(table);
+                table.isStoreAnswering = false;
+                this->notifyWaiters(table);
             },
     };
     const auto wait = [wait = this->options.storeWait] {
@@ -131,22 +131,22 @@
     };
     const std::uint64_t seed = stableHash(name, this->options.seed);
     table.follower = std::make_unique<TableFollower>(
-        this->scheduler, this->store, seed, TableFollower::Options{name, wait, changesPace}, std::move(hooks));
+        this->scheduler, this->store, seed, TableFollower::Options{name, wait, changesInterval}, std::move(hooks));
 }
 
 void TableRelay::stop(Table &table)
 {
     table.follower.reset();
-    table.isAnswered = false;
-    this->tellWaiting(table);
+    table.isStoreAnswering = false;
+    this->notifyWaiters(table);
     table.mirror = TableMirror();
 }
 
-void TableRelay::hurry()
+void TableRelay::refresh()
 {
     for (auto &[name, table] : this->tables) {
         if (table.follower) {
-            table.follower->hurry();
+            table.follower->refresh();
         }
     }
 }
@@ -154,7 +154,7 @@
 bool TableRelay::isCurrent(const std::string &table) const
 {
     const auto found = this->tables.find(table);
-    return found != this->tables.end() && found->second.isAnswered && found->second.mirror.isRead();
+    return found != this->tables.end() && found->second.isStoreAnswering && found->second.mirror.isRead();
 }
 
 RowRangeResult TableRelay::read(const RowRange &range) const
@@ -162,7 +162,7 @@
     if (!this->isCurrent(range.table)) {
         return {};
     }
-    return this->tables.at(range.table).mirror.read(range.part, range.from, mostRows);
+    return this->tables.at(range.table).mirror.read(range.part, range.from, maxRows);
 }
 
 FeedAnswer TableRelay::answer(const FeedReadRequest &request) const
@@ -189,33 +189,33 @@
         done(changes);
         return;
     }
-    const WaitingId id = ++this->lastWaiting;
+    const WaiterId id = ++this->lastWaiter;
     const TimerId timer = this->scheduler.schedule(wait, [this, &followed, id] {
-        this->end(followed, id, followed.mirror.changesSince(followed.waiting.at(id).since));
+        this->complete(followed, id, followed.mirror.changesSince(followed.waiters.at(id).since));
     });
-    followed.waiting.emplace(id, Waiting{since, std::move(done), timer});
+    followed.waiters.emplace(id, Waiter{since, std::move(done), timer});
 }
 
-void TableRelay::tellWaiting(Table &table)
+void TableRelay::notifyWaiters(Table &table)
 {
-    std::vector<std::pair<WaitingId, FollowResult>> told;
-    for (const auto &[id, waiting] : table.waiting) {
-        FollowResult result = table.isAnswered ? table.mirror.changesSince(waiting.since) : failed();
+    std::vector<std::pair<WaiterId, FollowResult>> ready;
+    for (const auto &[id, waiter] : table.waiters) {
+        FollowResult result = table.isStoreAnswering ? table.mirror.changesSince(waiter.since) : failed();
         if (result.outcome != FollowOutcome::Followed || !result.rows.empty()) {
-            told.emplace_back(id, std::move(result));
+            ready.emplace_back(id, std::move(result));
         }
     }
-    for (const auto &[id, result] : told) {
-        this->end(table, id, result);
+    for (const auto &[id, result] : ready) {
+        this->complete(table, id, result);
     }
 }
 
-void TableRelay::end(Table &table, WaitingId id, const FollowResult &result)
+void TableRelay::complete(Table &table, WaiterId id, const FollowResult &result)
 {
-    auto waiting = table.waiting.extract(id);
-    if (!waiting.empty()) {
-        this->scheduler.cancel(waiting.mapped().timer);
-        waiting.mapped().done(result);
+    auto waiter = table.waiters.extract(id);
+    if (!waiter.empty()) {
+        this->scheduler.cancel(waiter.mapped().timer);
+        waiter.mapped().done(result);
     }
 }
 
--- a/Tests/ServiceGateway/TestTraffic.cpp
+++ b/Tests/ServiceGateway/TestTraffic.cpp
@@ -2,9 +2,9 @@
 
 using namespace Dogwoodkeel;
 
-TEST_CASE("what a node exchanges with others and with the store shows by kind in its metrics")
+TEST_CASE("the metrics count the traffic with other nodes and with the store by kind of message")
 {
-    Running running([](GatewayBench &bench) {
+    RunningGateway running([](GatewayBench &bench) {
         bench.startOther();
     });
     await([&running] {
