--- a/Services/Gateway/CrashExchange.cpp
+++ b/Services/Gateway/CrashExchange.cpp
@@ -51,7 +51,7 @@
 {
 }
 
-void CrashExchange::judgeBreaks()
+void CrashExchange::classifyDisconnects()
 {
     for (const JudgedBreak &judged : this->crashes.judgeBreaks()) {
         const BrokenRun &run = judged.run;
@@ -142,7 +142,7 @@
     }
 }
 
-void CrashExchange::noteServed(const std::vector<PromptPart> &served)
+void CrashExchange::recordPromptServed(const std::vector<PromptPart> &served)
 {
     const std::vector<PromptPart> suspected = this->parts.noteServed(served);
     if (!suspected.empty()) {
@@ -150,7 +150,7 @@
     }
 }
 
-void CrashExchange::noteRequestServed(std::uint64_t fingerprint)
+void CrashExchange::recordRequestServed(std::uint64_t fingerprint)
 {
     if (this->crashes.noteServed(fingerprint)) {
         this->peers.broadcast(RequestServed{fingerprint});
--- a/Services/Gateway/CrashExchange.h
+++ b/Services/Gateway/CrashExchange.h
@@ -36,13 +36,13 @@
      * Judge the connections that broke, and tell the others of the crashes. Where connections to several replicas broke at once,
      * each of these replicas is asked whether it is still there.
      */
-    void judgeBreaks();
+    void classifyDisconnects();
 
     /** A replica has served a prompt with these parts. */
-    void noteServed(const std::vector<PromptPart> &served);
+    void recordPromptServed(const std::vector<PromptPart> &served);
 
     /** A replica has answered a request whole. */
-    void noteRequestServed(std::uint64_t fingerprint);
+    void recordRequestServed(std::uint64_t fingerprint);
 
     /** Ask when it is time to; called often. */
     void tick();
--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -157,10 +157,10 @@
                   this->noteBreak(run);
               },
               [this](const std::vector<PromptPart> &served) {
-                  this->crashExchange.noteServed(served);
+                  this->crashExchange.recordPromptServed(served);
               },
               [this](std::uint64_t fingerprint) {
-                  this->crashExchange.noteRequestServed(fingerprint);
+                  this->crashExchange.recordRequestServed(fingerprint);
               },
               this->random}
     , relayedStore(loop, clock, this->store, this->peers, this->storeClock, this->random())
@@ -385,7 +385,7 @@
     // Each break has a timer of its own: a later one is judged later.
     this->loop.schedule(CrashMemory::judgeAfter, [this, alive = std::weak_ptr<bool>(this->alive)] {
         if (!alive.expired()) {
-            this->crashExchange.judgeBreaks();
+            this->crashExchange.classifyDisconnects();
         }
     });
 }
--- a/Services/Gateway/GatewayContext.h
+++ b/Services/Gateway/GatewayContext.h
@@ -30,25 +30,25 @@
     /** By it the ages of jobs are told. */
     const StoreClock &storeClock;
     /** Connections to replicas. */
-    OutboundPool &replicas;
+    OutboundPool &replicaConnections;
     PlacementClient &placements;
     QuotaService &quotas;
-    ReplicaFollower &listed;
+    ReplicaFollower &replicaList;
     GatewayMetrics &metrics;
-    CrashMemory &crashes;
+    CrashMemory &crashHistory;
     StreamOriginExchange &origins;
-    PromptPartGuard &promptParts;
+    PromptPartGuard &promptPartBlocklist;
     WaitingRequests &waiting;
     /** A connection broke while a request ran on it: if its replica crashed, all nodes are told. */
-    std::function<void(const BrokenRun &)> noteBreak;
+    std::function<void(const BrokenRun &)> recordDisconnect;
     /** A replica has served a prompt with these parts. */
-    std::function<void(const std::vector<PromptPart> &)> notePromptServed;
+    std::function<void(const std::vector<PromptPart> &)> recordPromptServed;
     /** A replica has answered the request with this fingerprint whole. */
-    std::function<void(std::uint64_t)> noteRequestServed;
+    std::function<void(std::uint64_t)> recordRequestServed;
     std::minstd_rand &random;
     /** By service, learned from this node's requests. */
     std::map<ServiceName, FirstEventEstimate> firstEvents{};
-    std::map<ServiceName, ItemEstimate> itemRuns{};
+    std::map<ServiceName, ItemEstimate> itemEstimates{};
 };
 
 } // namespace Dogwoodkeel
--- a/Services/Gateway/ItemAttempt.cpp
+++ b/Services/Gateway/ItemAttempt.cpp
@@ -117,12 +117,12 @@
     query.priority = this->target.priority;
     query.arrived = this->context.clock.now();
     // Until then it has to have a place to be done when its job is due.
-    query.due = this->due - this->context.itemRuns[this->target.service].remaining(this->lastEvent.value_or(0));
+    query.due = this->due - this->context.itemEstimates[this->target.service].remaining(this->lastEvent.value_or(0));
     query.deadline = query.arrived + std::chrono::hours(1);
     query.avoided = this->avoided;
     query.connected = connectedReplicas(this->context, query.service, longestIdle);
     query.version = this->version;
-    this->ticket = this->context.placements.ask(query, [self = this->shared_from_this()](const Placement &placement) {
+    this->ticket = this->context.placements.requestSlot(query, [self = this->shared_from_this()](const Placement &placement) {
         self->takePlacement(placement);
     });
 }
@@ -142,8 +142,8 @@
 
 bool ItemAttempt::isHeldBack() const
 {
-    return this->context.crashes.isHeld(this->fingerprint)
-        || this->context.promptParts.isBlocked(promptParts(this->target.service, this->sharedParts));
+    return this->context.crashHistory.isHeld(this->fingerprint)
+        || this->context.promptPartBlocklist.isBlocked(promptParts(this->target.service, this->sharedParts));
 }
 
 std::uint64_t ItemAttempt::eventsOfRun() const
@@ -153,12 +153,12 @@
 
 void ItemAttempt::noteBreak()
 {
-    this->context.noteBreak({this->fingerprint,
-                             this->replica->instance,
-                             this->replica->address,
-                             this->target.service,
-                             this->sharedParts,
-                             static_cast<std::uint32_t>(this->eventsOfRun())});
+    this->context.recordDisconnect({this->fingerprint,
+                                    this->replica->instance,
+                                    this->replica->address,
+                                    this->target.service,
+                                    this->sharedParts,
+                                    static_cast<std::uint32_t>(this->eventsOfRun())});
 }
 
 void ItemAttempt::confirmBeforeAsking()
@@ -229,7 +229,7 @@
 
 void ItemAttempt::takeConfirmation(const Placement &placement, std::chrono::milliseconds age)
 {
-    const std::optional<ServingReplica> found = this->context.listed.resolve(placedReplica(placement, this->target.service));
+    const std::optional<ServingReplica> found = this->context.replicaList.resolve(placedReplica(placement, this->target.service));
     const std::optional<Target> current = this->hooks.target();
     if (!found || !current || current->service != this->target.service) {
         this->goOn(PlacementVerdict::Finished, "the replica is leaving or not listed any more, or the route has moved");
@@ -265,11 +265,11 @@
          {"version", replica.version.value()},
          {"last_event", static_cast<std::int64_t>(this->run.after)},
          {"open_confirmed_ms", confirmedAge.count()}});
-    this->call = this->context.replicas.start(std::move(outbound), hooksFor(this->shared_from_this()));
+    this->call = this->context.replicaConnections.start(std::move(outbound), hooksFor(this->shared_from_this()));
     this->armSilence();
 }
 
-void ItemAttempt::takeHead(const MessageHead &head)
+void ItemAttempt::handleHead(const MessageHead &head)
 {
     const ReplicaAnswer read = decodeReplicaAnswer(head);
     this->answer = head;
@@ -285,11 +285,11 @@
         this->finish(End::Failed);
     } else {
         // The dispatcher waits for it: until the replica of the first item has said what it runs, it gets no second one.
-        this->context.placements.noteBegun(this->ticket, read.stated.value_or(StatedLoad()).load);
+        this->context.placements.reportStarted(this->ticket, read.stated.value_or(StatedLoad()).load);
     }
 }
 
-void ItemAttempt::takeBody(std::string_view data)
+void ItemAttempt::handleBody(std::string_view data)
 {
     if (!this->replica || this->isOver) {
         return;
@@ -310,7 +310,7 @@
         this->lastEvent = event.id;
     }
     if (this->eventsOfRun() >= eventsOfServedPrompt && !std::exchange(this->isPromptServed, true)) {
-        this->context.notePromptServed(promptParts(this->target.service, this->sharedParts));
+        this->context.recordPromptServed(promptParts(this->target.service, this->sharedParts));
     }
     if (this->splitter.isBroken()) {
         this->goOn(PlacementVerdict::Broken, "an event is too large");
@@ -319,7 +319,7 @@
     }
 }
 
-void ItemAttempt::takeEnd(CallEnd end)
+void ItemAttempt::handleEnd(CallEnd end)
 {
     this->call = 0;
     if (this->isOver || !this->replica) {
@@ -344,10 +344,10 @@
     this->context.loop.cancel(std::exchange(this->silenceTimer, 0));
     if (this->replica) {
         const std::uint64_t generated = this->lastEvent.value_or(0) - this->run.after;
-        this->context.itemRuns[this->target.service].noteRun(generated, this->context.clock.now() - this->sent);
+        this->context.itemEstimates[this->target.service].noteRun(generated, this->context.clock.now() - this->sent);
     }
     if (this->call != 0) {
-        this->context.replicas.cancel(std::exchange(this->call, 0));
+        this->context.replicaConnections.cancel(std::exchange(this->call, 0));
     }
     if (this->ticket != 0) {
         this->context.placements.end(std::exchange(this->ticket, 0), verdict);
@@ -392,8 +392,8 @@
 {
     this->leave(PlacementVerdict::Finished);
     if (end == End::Completed) {
-        this->context.noteRequestServed(this->fingerprint);
-        this->context.itemRuns[this->target.service].noteCompleted(this->lastEvent.value_or(0));
+        this->context.recordRequestServed(this->fingerprint);
+        this->context.itemEstimates[this->target.service].noteCompleted(this->lastEvent.value_or(0));
     }
     const std::function<void(End, std::string)> ended = this->hooks.ended;
     ended(end, std::move(this->output));
--- a/Services/Gateway/ItemAttempt.h
+++ b/Services/Gateway/ItemAttempt.h
@@ -17,7 +17,7 @@
 {
 
 /** Runs one batch item to its end: at one replica after the other, each going on where the one before stopped. */
-class ItemAttempt final : public ReplicaAnswerTaker, public std::enable_shared_from_this<ItemAttempt>
+class ItemAttempt final : public ReplicaAnswerHandler, public std::enable_shared_from_this<ItemAttempt>
 {
 public:
     /** How an item left the replicas. */
@@ -84,9 +84,9 @@
     void takePlacement(const Placement &placement);
     void takeConfirmation(const Placement &placement, std::chrono::milliseconds age);
     void send(const ServingReplica &replica, std::chrono::milliseconds confirmedAge);
-    void takeHead(const MessageHead &head) override;
-    void takeBody(std::string_view data) override;
-    void takeEnd(CallEnd end) override;
+    void handleHead(const MessageHead &head) override;
+    void handleBody(std::string_view data) override;
+    void handleEnd(CallEnd end) override;
     void leave(PlacementVerdict verdict);
     void goOn(PlacementVerdict verdict, std::string_view reason);
     void armSilence();
--- a/Services/Gateway/OnlineCall.cpp
+++ b/Services/Gateway/OnlineCall.cpp
@@ -123,10 +123,10 @@
 
 std::optional<std::string_view> OnlineCall::crashReason() const
 {
-    if (this->context.crashes.isRefused(this->fingerprint)) {
+    if (this->context.crashHistory.isRefused(this->fingerprint)) {
         return "it crashed the replicas that ran it";
     }
-    if (this->context.promptParts.isBlocked(promptParts(this->service, this->traits.sharedPromptParts))) {
+    if (this->context.promptPartBlocklist.isBlocked(promptParts(this->service, this->traits.sharedPromptParts))) {
         return "replicas crashed under a part of its prompt";
     }
     return std::nullopt;
@@ -173,18 +173,18 @@
 
 void OnlineCall::noteBreak()
 {
-    this->context.noteBreak({this->fingerprint,
-                             this->replica->instance,
-                             this->replica->address,
-                             this->service,
-                             this->traits.sharedPromptParts,
-                             this->eventsPassed - this->eventsBefore});
+    this->context.recordDisconnect({this->fingerprint,
+                                    this->replica->instance,
+                                    this->replica->address,
+                                    this->service,
+                                    this->traits.sharedPromptParts,
+                                    this->eventsPassed - this->eventsBefore});
 }
 
 void OnlineCall::notePromptServed()
 {
     if (!std::exchange(this->isPromptServed, true)) {
-        this->context.notePromptServed(promptParts(this->service, this->traits.sharedPromptParts));
+        this->context.recordPromptServed(promptParts(this->service, this->traits.sharedPromptParts));
     }
 }
 
@@ -281,12 +281,12 @@
     if (this->endIfCrashing()) {
         return;
     }
-    if (this->context.crashes.isLastCrashInDoubt(this->fingerprint)) {
+    if (this->context.crashHistory.isLastCrashInDoubt(this->fingerprint)) {
         this->beginToWait(Stage::Judging);
         return;
     }
     this->beginToWait(Stage::Placing);
-    if (!this->context.listed.isKnown()) {
+    if (!this->context.replicaList.isKnown()) {
         // A dispatcher at another node would give places at replicas whose addresses this one does not have.
         this->awaitReplicas();
         return;
@@ -305,8 +305,8 @@
     query.connected = connectedReplicas(this->context, this->service, this->longestIdle());
     query.version = this->begunVersion;
     query.soleVersionFor = this->soleVersionFor;
-    query.knowsAllReplicas = this->context.listed.isWhole() && this->context.listed.age() <= freshListAge;
-    this->ticket = this->context.placements.ask(query, [self = this->shared_from_this()](const Placement &placement) {
+    query.knowsAllReplicas = this->context.replicaList.isWhole() && this->context.replicaList.age() <= freshListAge;
+    this->ticket = this->context.placements.requestSlot(query, [self = this->shared_from_this()](const Placement &placement) {
         self->takePlacement(placement);
     });
 }
@@ -325,8 +325,8 @@
     }
     this->context.metrics.countPlacement(this->service.value(), this->now() - this->asked);
     this->isOwnChoice = placement.isOwnChoice;
-    this->listAge = this->context.listed.age();
-    const std::optional<ServingReplica> found = this->context.listed.resolve(placedReplica(placement, this->service));
+    this->listAge = this->context.replicaList.age();
+    const std::optional<ServingReplica> found = this->context.replicaList.resolve(placedReplica(placement, this->service));
     if (!found) {
         this->avoided.push_back(placement.replica);
         this->retryUnrun(PlacementVerdict::Finished, "the replica is not listed any more, or is leaving");
@@ -364,11 +364,11 @@
     outbound.body = this->exchange->body();
     outbound.longestIdle = this->longestIdle();
     outbound.isAnswer = isAnswerTo(this->traits.id);
-    this->call = this->context.replicas.start(std::move(outbound), hooksFor(this->shared_from_this()));
+    this->call = this->context.replicaConnections.start(std::move(outbound), hooksFor(this->shared_from_this()));
     this->armSilence();
 }
 
-void OnlineCall::takeHead(const MessageHead &head)
+void OnlineCall::handleHead(const MessageHead &head)
 {
     this->stage = Stage::Receiving;
     // Of a stream that goes on elsewhere, the caller has the head already.
@@ -379,12 +379,12 @@
     const bool isGood = isSuccess(read.status);
     // Only what the dispatcher would not expect: a datagram for each request would tell it what it knows.
     if (isGood && read.stated && (read.stated->load.waiting > 0 || read.stated->load.running >= read.stated->slots)) {
-        this->context.placements.noteBegun(this->ticket, read.stated->load);
+        this->context.placements.reportStarted(this->ticket, read.stated->load);
     }
     if (read.isNotExecuted) {
         const PlacementVerdict verdict
             = read.status == statusUnavailable ? PlacementVerdict::Rejected : PlacementVerdict::Unreachable;
-        this->context.replicas.cancel(std::exchange(this->call, 0));
+        this->context.replicaConnections.cancel(std::exchange(this->call, 0));
         this->retryUnrun(verdict, "the replica did not run it");
         return;
     }
@@ -401,7 +401,7 @@
     }
 }
 
-void OnlineCall::takeBody(std::string_view data)
+void OnlineCall::handleBody(std::string_view data)
 {
     if (this->stage != Stage::Receiving) {
         return;
@@ -466,7 +466,7 @@
     this->context.origins.note(first, {this->service, this->begunVersion}, lifetime);
 }
 
-void OnlineCall::takeEnd(CallEnd end)
+void OnlineCall::handleEnd(CallEnd end)
 {
     this->call = 0;
     if (this->stage == Stage::Over || !this->replica) {
@@ -492,7 +492,7 @@
 void OnlineCall::completeWhole()
 {
     this->notePromptServed();
-    this->context.noteRequestServed(this->fingerprint);
+    this->context.recordRequestServed(this->fingerprint);
     this->leaveReplica(PlacementVerdict::Finished);
     if (this->exchange->isBegun()) {
         this->exchange->breakOff();
@@ -518,7 +518,7 @@
         return;
     }
     this->notePromptServed();
-    this->context.noteRequestServed(this->fingerprint);
+    this->context.recordRequestServed(this->fingerprint);
     this->leaveReplica(PlacementVerdict::Finished);
     this->exchange->begin(this->answer.status, this->answer.headers.forwarded());
     this->exchange->end();
@@ -570,7 +570,7 @@
 {
     this->context.loop.cancel(std::exchange(this->silenceTimer, 0));
     if (this->call != 0) {
-        this->context.replicas.cancel(std::exchange(this->call, 0));
+        this->context.replicaConnections.cancel(std::exchange(this->call, 0));
     }
     if (this->ticket != 0) {
         this->context.placements.end(std::exchange(this->ticket, 0), verdict);
--- a/Services/Gateway/OnlineCall.h
+++ b/Services/Gateway/OnlineCall.h
@@ -24,7 +24,7 @@
  * repeated only if it is idempotent, or a stream that may be resumed, and then the caller sees one stream without a seam.
  * Every other loss is told as a failure that promises nothing; a refusal is only given for what never ran.
  */
-class OnlineCall final : public ReplicaAnswerTaker, public std::enable_shared_from_this<OnlineCall>
+class OnlineCall final : public ReplicaAnswerHandler, public std::enable_shared_from_this<OnlineCall>
 {
 public:
     /** @param access by the configuration; with a route */
@@ -74,10 +74,10 @@
     void noteBreak();
     void notePromptServed();
     void send(const ServingReplica &replica);
-    void takeHead(const MessageHead &head) override;
-    void takeBody(std::string_view data) override;
+    void handleHead(const MessageHead &head) override;
+    void handleBody(std::string_view data) override;
     void takeEvents(std::string_view data);
-    void takeEnd(CallEnd end) override;
+    void handleEnd(CallEnd end) override;
     void completeWhole();
     bool isEmptyUnframed() const;
     void completeStream();
--- a/Services/Gateway/PlacementClient.cpp
+++ b/Services/Gateway/PlacementClient.cpp
@@ -90,7 +90,7 @@
     this->server.updateReplicas(service, update);
 }
 
-PlacementClient::Ticket PlacementClient::ask(const PlacementQuery &query, Decided decided)
+PlacementClient::Ticket PlacementClient::requestSlot(const PlacementQuery &query, Decided decided)
 {
     const Ticket ticket = ++this->lastTicket;
     Asked &asked = this->tickets.emplace(ticket, Asked{.query = query, .decided = std::move(decided)}).first->second;
@@ -205,7 +205,7 @@
     this->tellDispatcher(service, PlacementEnd{this->peers.self(), ticket, service.value(), verdict, false});
 }
 
-void PlacementClient::noteBegun(Ticket ticket, const ReportedLoad &load)
+void PlacementClient::reportStarted(Ticket ticket, const ReportedLoad &load)
 {
     const auto found = this->tickets.find(ticket);
     if (found == this->tickets.end() || !found->second.replica) {
--- a/Services/Gateway/PlacementClient.h
+++ b/Services/Gateway/PlacementClient.h
@@ -79,13 +79,13 @@
     void updateService(const ServiceName &service, const ReplicaUpdate &update);
 
     /** Ask for a place. The answer never comes from inside this call. */
-    Ticket ask(const PlacementQuery &query, Decided decided);
+    Ticket requestSlot(const PlacementQuery &query, Decided decided);
 
     /** The request is over, or wants no place any more. */
     void end(Ticket ticket, PlacementVerdict verdict);
 
     /** A placed request's replica has begun to answer, and said how much it has. */
-    void noteBegun(Ticket ticket, const ReportedLoad &load);
+    void reportStarted(Ticket ticket, const ReportedLoad &load);
 
     /** The members changed. */
     void setView(const MemberViewPointer &view);
--- a/Services/Gateway/ReplicaCall.cpp
+++ b/Services/Gateway/ReplicaCall.cpp
@@ -7,20 +7,20 @@
 namespace Dogwoodkeel
 {
 
-CallHooks hooksFor(const std::shared_ptr<ReplicaAnswerTaker> &taker)
+CallHooks hooksFor(const std::shared_ptr<ReplicaAnswerHandler> &taker)
 {
     return {
         .onHead =
             [taker](const MessageHead &head) {
-                taker->takeHead(head);
+                taker->handleHead(head);
             },
         .onBody =
             [taker](std::string_view data) {
-                taker->takeBody(data);
+                taker->handleBody(data);
             },
         .onEnd =
             [taker](CallEnd end) {
-                taker->takeEnd(end);
+                taker->handleEnd(end);
             },
     };
 }
@@ -37,8 +37,8 @@
 connectedReplicas(const GatewayContext &context, const ServiceName &service, std::chrono::milliseconds longestIdle)
 {
     std::vector<std::uint32_t> marks;
-    for (const Address &address : context.replicas.connectedAddresses(longestIdle)) {
-        const ServingReplica *const replica = context.listed.findAt(address);
+    for (const Address &address : context.replicaConnections.connectedAddresses(longestIdle)) {
+        const ServingReplica *const replica = context.replicaList.findAt(address);
         if (replica != nullptr && replica->service == service) {
             marks.push_back(markOf(replica->instance));
         }
--- a/Services/Gateway/ReplicaCall.h
+++ b/Services/Gateway/ReplicaCall.h
@@ -14,21 +14,21 @@
 {
 
 /** Whoever has sent a request to a replica and takes its answer. */
-class ReplicaAnswerTaker
+class ReplicaAnswerHandler
 {
 public:
-    virtual ~ReplicaAnswerTaker() = default;
+    virtual ~ReplicaAnswerHandler() = default;
 
     /** The answer's head has come. */
-    virtual void takeHead(const MessageHead &head) = 0;
+    virtual void handleHead(const MessageHead &head) = 0;
     /** A part of its body has come. */
-    virtual void takeBody(std::string_view data) = 0;
+    virtual void handleBody(std::string_view data) = 0;
     /** Nothing more comes. */
-    virtual void takeEnd(CallEnd end) = 0;
+    virtual void handleEnd(CallEnd end) = 0;
 };
 
 /** @return hooks that pass an answer on to the taker, and keep it as long as the call lasts. */
-CallHooks hooksFor(const std::shared_ptr<ReplicaAnswerTaker> &taker);
+CallHooks hooksFor(const std::shared_ptr<ReplicaAnswerHandler> &taker);
 
 /**
  * @param id of the request that was sent
