--- a/Services/Gateway/CallerRouter.cpp
+++ b/Services/Gateway/CallerRouter.cpp
@@ -17,26 +17,29 @@
 namespace
 {
 
-/** Of a caller that does not say how long it waits. */
+/** Timeout of a caller that states none. */
 constexpr std::chrono::milliseconds defaultTimeout{900};
-/** A peer sends its configuration in some tens of milliseconds; without one by then, another node serves the caller sooner. */
-constexpr std::chrono::milliseconds longestHeld{300};
-constexpr std::chrono::milliseconds heldLook{20};
-/** Bounds memory while many callers come with keys that nobody knows. */
-constexpr std::size_t mostHeld = 500;
-/** Told to who is refused by a node that is behind: the next node that it tries is most likely not. */
-constexpr std::chrono::milliseconds behindRetryAfter{50};
+/** A peer sends its configuration within some tens of milliseconds; if none arrives by then, another node serves the caller
+ * sooner. */
+constexpr std::chrono::milliseconds maxHoldTime{300};
+constexpr std::chrono::milliseconds holdCheckInterval{20};
+/** Bounds the memory used while many callers send unknown keys. */
+constexpr std::size_t maxHeldRequests = 500;
+/** Sent with a refusal by a node whose configuration is outdated: the next node that the caller tries most likely has a newer
+ * one. */
+constexpr std::chrono::milliseconds outdatedRetryAfter{50};
 
 /**
- * When the platform answers again can't be known. Callers come back once or twice: who returns soon finds the same, with most of
- * its time unused, so it is told the longest that it would wait.
+ * Returns the delay after which a caller retries during an outage. It cannot be known when the platform answers again. Callers
+ * retry once or twice; one that retried early would find the outage unchanged with most of its time unused, so it is given the
+ * longest delay that it accepts.
  */
 std::chrono::milliseconds retryAfterOutage(const RequestTraits &traits)
 {
     return traits.timeout.value_or(defaultTimeout) / returnShare;
 }
 
-/** @return the challenge of an answer that asks for a key (RFC 6750, section 3). */
+/** @return the header with the challenge of an answer that requires a key (RFC 6750, section 3). */
 HeaderList challenge(AccessOutcome outcome)
 {
     std::string text = "Bearer realm=\"dogwoodkeel\"";
@@ -69,20 +72,20 @@
 
 void CallerRouter::handle(const std::shared_ptr<CallerExchange> &exchange)
 {
-    this->consider({exchange, credentialsOf(exchange->head().headers), this->context.clock.now() + longestHeld});
+    this->process({exchange, credentialsOf(exchange->head().headers), this->context.clock.now() + maxHoldTime});
 }
 
-void CallerRouter::consider(const Held &request)
+void CallerRouter::process(const HeldRequest &request)
 {
     const Access access = this->decide(*request.exchange, request.credentials);
     if (access.outcome == AccessOutcome::Granted) {
         this->route(request.exchange, access);
     } else if (!access.mayChange() || !this->configuration.isBehind()) {
         this->refuse(*request.exchange, access);
-    } else if (this->held.size() < mostHeld) {
+    } else if (this->heldRequests.size() < maxHeldRequests) {
         this->hold(request);
     } else {
-        this->refuseUnknown(*request.exchange, behindRetryAfter, "this node's configuration is behind");
+        this->refuseTemporarily(*request.exchange, outdatedRetryAfter, "this node's configuration is behind");
     }
 }
 
@@ -107,51 +110,51 @@
     }
 }
 
-void CallerRouter::hold(const Held &request)
+void CallerRouter::hold(const HeldRequest &request)
 {
     log(LogLevel::Info,
         "request waits for a newer configuration",
         {{"request", decodeTraits(request.exchange->head().headers).id},
          {"configuration", static_cast<std::int64_t>(this->configuration.version())}});
-    this->held.push_back(request);
+    this->heldRequests.push_back(request);
     this->configuration.catchUp();
     if (this->timer == 0) {
-        this->look();
+        this->expireHeld();
     }
 }
 
 void CallerRouter::retryHeld()
 {
-    for (const Held &request : std::exchange(this->held, {})) {
+    for (const HeldRequest &request : std::exchange(this->heldRequests, {})) {
         if (!request.exchange->isOver()) {
-            this->consider(request);
+            this->process(request);
         }
     }
 }
 
-void CallerRouter::look()
+void CallerRouter::expireHeld()
 {
     const SteadyTime now = this->context.clock.now();
-    std::vector<Held> over;
-    std::erase_if(this->held, [&over, now](const Held &request) {
-        const bool isOver = now >= request.until || request.exchange->isOver();
-        if (isOver) {
-            over.push_back(request);
+    std::vector<HeldRequest> expired;
+    std::erase_if(this->heldRequests, [&expired, now](const HeldRequest &request) {
+        const bool isExpired = now >= request.until || request.exchange->isOver();
+        if (isExpired) {
+            expired.push_back(request);
         }
-        return isOver;
+        return isExpired;
     });
-    for (const Held &request : over) {
-        this->refuseUnknown(*request.exchange, behindRetryAfter, "this node's configuration is behind");
+    for (const HeldRequest &request : expired) {
+        this->refuseTemporarily(*request.exchange, outdatedRetryAfter, "this node's configuration is behind");
     }
-    this->timer = this->held.empty() ? 0 : this->context.loop.schedule(heldLook, [this] {
-        this->look();
+    this->timer = this->heldRequests.empty() ? 0 : this->context.loop.schedule(holdCheckInterval, [this] {
+        this->expireHeld();
     });
 }
 
 void CallerRouter::refuse(CallerExchange &exchange, const Access &access)
 {
     if (access.outcome == AccessOutcome::NoConfiguration) {
-        this->refuseUnknown(exchange, retryAfterOutage(decodeTraits(exchange.head().headers)), nameOf(access.outcome));
+        this->refuseTemporarily(exchange, retryAfterOutage(decodeTraits(exchange.head().headers)), nameOf(access.outcome));
     } else if (access.outcome == AccessOutcome::NoRoute) {
         this->reject(exchange, statusNotFound, {}, nameOf(access.outcome));
     } else {
@@ -159,7 +162,7 @@
     }
 }
 
-void CallerRouter::refuseUnknown(CallerExchange &exchange, std::chrono::milliseconds retryAfter, std::string_view reason)
+void CallerRouter::refuseTemporarily(CallerExchange &exchange, std::chrono::milliseconds retryAfter, std::string_view reason)
 {
     this->reject(exchange, statusUnavailable, retryHeaders(retryAfter), reason);
 }
--- a/Services/Gateway/CallerRouter.h
+++ b/Services/Gateway/CallerRouter.h
@@ -14,10 +14,10 @@
 {
 
 /**
- * Takes each request of a caller, decides by the configuration in force whether it is served, and passes it on.
+ * Decides by the configuration in force whether a caller's request is served, and passes it to the class that serves it.
  *
- * What this node's configuration refuses may be allowed by a newer one of which other nodes tell. Such a request waits for that
- * configuration for a bounded time; a refusal by a configuration that is known to be out of date would not be true.
+ * A request that this node's configuration refuses may be allowed by a newer one that other nodes have announced. Such a request
+ * is held for a bounded time until that configuration arrives, as a refusal by an outdated configuration may be wrong.
  */
 class CallerRouter
 {
@@ -27,15 +27,15 @@
     CallerRouter(const CallerRouter &) = delete;
     CallerRouter &operator=(const CallerRouter &) = delete;
 
-    /** A request has come. */
+    /** Handles a new request. */
     void handle(const std::shared_ptr<CallerExchange> &exchange);
 
-    /** A newer configuration is in force. */
+    /** Decides the held requests again, after a newer configuration has come into force. */
     void retryHeld();
 
 private:
     /** A request that the configuration in force refuses and a newer one may allow. */
-    struct Held
+    struct HeldRequest
     {
         std::shared_ptr<CallerExchange> exchange;
         Credentials credentials;
@@ -44,17 +44,17 @@
 
     Access decide(const CallerExchange &exchange, const Credentials &credentials) const;
     void route(const std::shared_ptr<CallerExchange> &exchange, const Access &access);
-    void consider(const Held &request);
-    void hold(const Held &request);
-    void look();
+    void process(const HeldRequest &request);
+    void hold(const HeldRequest &request);
+    void expireHeld();
     void refuse(CallerExchange &exchange, const Access &access);
-    void refuseUnknown(CallerExchange &exchange, std::chrono::milliseconds retryAfter, std::string_view reason);
+    void refuseTemporarily(CallerExchange &exchange, std::chrono::milliseconds retryAfter, std::string_view reason);
     void reject(CallerExchange &exchange, int status, const HeaderList &headers, std::string_view reason);
 
     GatewayContext &context;
     ConfigurationFollower &configuration;
     JobApi &jobs;
-    std::vector<Held> held;
+    std::vector<HeldRequest> heldRequests;
     TimerId timer = 0;
 };
 
--- a/Services/Gateway/GatewayContext.h
+++ b/Services/Gateway/GatewayContext.h
@@ -22,12 +22,12 @@
 namespace Dogwoodkeel
 {
 
-/** What the parts of a gateway node that handle requests share. All live on one event loop. */
+/** Objects and callbacks that the classes of a gateway node share to handle requests. All run on one event loop. */
 struct GatewayContext
 {
     EventLoop &loop;
     const Clock &clock;
-    /** By it the ages of jobs are told. */
+    /** Clock of the store, from which the ages of jobs are computed. */
     const StoreClock &storeClock;
     /** Connections to replicas. */
     OutboundPool &replicaConnections;
@@ -36,18 +36,18 @@
     ReplicaFollower &replicaList;
     GatewayMetrics &metrics;
     CrashMemory &crashHistory;
-    StreamOriginExchange &origins;
+    StreamOriginExchange &streamOrigins;
     PromptPartGuard &promptPartBlocklist;
-    WaitingRequests &waiting;
-    /** A connection broke while a request ran on it: if its replica crashed, all nodes are told. */
+    WaitingRequests &waitingRequests;
+    /** Records that the connection of a running request was lost. If its replica crashed, all nodes are notified. */
     std::function<void(const BrokenRun &)> recordDisconnect;
-    /** A replica has served a prompt with these parts. */
+    /** Records that a replica has served a prompt with these parts. */
     std::function<void(const std::vector<PromptPart> &)> recordPromptServed;
-    /** A replica has answered the request with this fingerprint whole. */
+    /** Records that a replica has answered the request with this fingerprint completely. */
     std::function<void(std::uint64_t)> recordRequestServed;
     std::minstd_rand &random;
-    /** By service, learned from this node's requests. */
-    std::map<ServiceName, FirstEventEstimate> firstEvents{};
+    /** Estimates by service, learned from this node's requests. */
+    std::map<ServiceName, FirstEventEstimate> firstEventEstimates{};
     std::map<ServiceName, ItemEstimate> itemEstimates{};
 };
 
--- a/Services/Gateway/GatewayMetrics.cpp
+++ b/Services/Gateway/GatewayMetrics.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** From a call's round trip to a long stream, in seconds. */
+/** Upper bounds in seconds, from the round trip of a call to a long stream. */
 const prometheus::Histogram::BucketBoundaries buckets{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 5, 10, 20};
 
 double secondsOf(std::chrono::nanoseconds time)
--- a/Services/Gateway/GatewayMetrics.h
+++ b/Services/Gateway/GatewayMetrics.h
@@ -18,28 +18,28 @@
 namespace Dogwoodkeel
 {
 
-/** Counters and histograms of a gateway node, in the text format that Prometheus reads. */
+/** Collects counters, gauges and histograms of a gateway node and writes them in the text format of Prometheus. */
 class GatewayMetrics
 {
 public:
     GatewayMetrics();
 
-    /** A request of a caller was answered, or ended without an answer (status 0). */
+    /** Counts a request of a caller that was answered, or that ended without an answer (status 0). */
     void countRequest(const std::string &route, int status, std::chrono::nanoseconds took);
 
-    /** The first event, or the whole answer, went to the caller. */
+    /** Records the time until the first event, or the whole answer, was sent to the caller. */
     void countFirstByte(const std::string &route, std::chrono::nanoseconds took);
 
-    /** A request waited for a place. */
+    /** Records how long a request waited for a slot. */
     void countPlacement(const std::string &service, std::chrono::nanoseconds took);
 
-    /** Something happened that is only counted, such as "retry" or "batch item stopped". */
+    /** Counts an event that has no measured value, such as "request repeated" or "batch item stopped". */
     void countEvent(const std::string &event);
 
-    /** Set a value that goes up and down. */
+    /** Sets a value that may rise and fall. */
     void setGauge(const std::string &name, double value);
 
-    /** Set what was exchanged with others of a kind since the start. */
+    /** Sets how many messages and bytes of a kind were exchanged with other nodes and the store since the start. */
     void setTraffic(const TrafficMeter::Kind &kind, const TrafficMeter::Total &total);
 
     /** @return all metrics as text. */
--- a/Services/Gateway/OnlineCall.cpp
+++ b/Services/Gateway/OnlineCall.cpp
@@ -13,28 +13,28 @@
 namespace
 {
 
-/** A caller that does not say how long it waits gets this long. */
+/** Timeout of a caller that states none. */
 constexpr std::chrono::seconds defaultTimeout{60};
-/** Replicas that may turn a request away unrun before it is refused: enough to pass by all that are just full. */
-constexpr std::uint32_t mostUnrunAttempts = 6;
-/** A stream that may be resumed goes on elsewhere after so many of its longest pauses without an event. */
-constexpr int silentPauses = 2;
-constexpr std::chrono::milliseconds shortestSilence{400};
-/** How long an idle connection may have been idle for a request that runs at most once: if the replica closes it just
- * then, nobody can tell whether the request ran. */
-constexpr std::chrono::milliseconds longestIdleOnce{500};
-constexpr std::chrono::milliseconds longestIdleIdempotent{10000};
-/** Answer this long before the caller stops waiting, so that the answer still reaches it. */
+/** Replicas that may reject a request without running it before it is refused: enough to skip those that happen to be full. */
+constexpr std::uint32_t maxUnexecutedAttempts = 6;
+/** A resumable stream continues at another replica after this many times its longest pause without an event. */
+constexpr int stallPauses = 2;
+constexpr std::chrono::milliseconds minStallTimeout{400};
+/** How long a connection may have been idle to be used for a request that runs at most once: if the replica closes it at that
+ * moment, it cannot be known whether the request ran. */
+constexpr std::chrono::milliseconds maxIdleOnce{500};
+constexpr std::chrono::milliseconds maxIdleRepeatable{10000};
+/** The answer is sent this long before the caller stops waiting, so that it still arrives in time. */
 constexpr std::chrono::milliseconds answerMargin{20};
-/** After a refusal for want of a replica or a configuration, about how long it takes until there may be one. */
-constexpr std::chrono::milliseconds refusalPause{300};
-/** A node that has just started learns the replicas from the store or another node in about 0.2 s; after this, something
- * else is wrong, and another node may serve the caller sooner. */
+/** Sent with a refusal for lack of a replica or a configuration: about the time until there may be one. */
+constexpr std::chrono::milliseconds refusalRetryAfter{300};
+/** A node that has just started reads the replicas from the store or another node in about 0.2 s. After this time something else
+ * is wrong, and another node may serve the caller sooner. */
 constexpr std::chrono::milliseconds listTimeout{1000};
-constexpr std::chrono::milliseconds listLook{20};
-/** A list that was not told for so long may lack a version that other nodes know. */
-constexpr std::chrono::milliseconds freshListAge{2000};
-/** A stream's origin is remembered for so long after its caller's time is over: the caller's clock is not this node's. */
+constexpr std::chrono::milliseconds listCheckInterval{20};
+/** A list of replicas that is older than this may lack a version that other nodes know. */
+constexpr std::chrono::milliseconds maxFreshListAge{2000};
+/** A stream's origin is kept this long after its caller's timeout, as the caller's clock differs from this node's. */
 constexpr std::chrono::milliseconds originMargin{1000};
 
 std::int64_t millisecondsBetween(SteadyTime from, SteadyTime to)
@@ -81,12 +81,12 @@
     return this->route.kind == RouteKind::Idempotent || (this->isStream() && this->route.isResumable);
 }
 
-std::chrono::milliseconds OnlineCall::longestIdle() const
+std::chrono::milliseconds OnlineCall::maxConnectionIdle() const
 {
-    return this->mayRepeat() ? longestIdleIdempotent : longestIdleOnce;
+    return this->mayRepeat() ? maxIdleRepeatable : maxIdleOnce;
 }
 
-std::optional<WorkspaceName> OnlineCall::sender() const
+std::optional<WorkspaceName> OnlineCall::senderWorkspace() const
 {
     if (!this->configuration->workspaces) {
         return std::nullopt;
@@ -98,7 +98,7 @@
 {
     const std::shared_ptr<OnlineCall> self = this->shared_from_this();
     this->exchange->whenGone([self] {
-        self->onGone();
+        self->onCallerDisconnected();
     });
     const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(this->deadline - this->now()) - answerMargin;
     this->deadlineTimer = this->context.loop.schedule(std::max(remaining, std::chrono::milliseconds(0)), [self] {
@@ -107,7 +107,7 @@
     std::uniform_real_distribution<double> point(0, 1);
     const RouteTarget *const target = chooseTarget(this->route, point(this->context.random));
     if (target == nullptr) {
-        this->refuse(statusUnavailable, refusalPause, "the route has no service");
+        this->refuse(statusUnavailable, refusalRetryAfter, "the route has no service");
         return;
     }
     this->service = target->service;
@@ -115,9 +115,9 @@
         return;
     }
     if (this->isStream() && this->lastEvent.value_or(0) > 0) {
-        this->askForOrigin();
+        this->queryOrigin();
     } else {
-        this->askForQuota();
+        this->requestQuota();
     }
 }
 
@@ -139,19 +139,19 @@
         return false;
     }
     if (this->attempts > 0) {
-        this->leaveReplica(PlacementVerdict::Finished);
+        this->releaseReplica(PlacementVerdict::Finished);
         this->fail(*reason);
     } else {
-        this->refuse(statusUnavailable, refusalPause, *reason);
+        this->refuse(statusUnavailable, refusalRetryAfter, *reason);
     }
     return true;
 }
 
-void OnlineCall::beginToWait(Stage stage)
+void OnlineCall::startWaiting(Stage stage)
 {
     this->stage = stage;
-    if (this->waiting == 0) {
-        this->waiting = this->context.waiting.add([call = this->weak_from_this()] {
+    if (this->waitingTicket == 0) {
+        this->waitingTicket = this->context.waitingRequests.add([call = this->weak_from_this()] {
             if (const std::shared_ptr<OnlineCall> self = call.lock()) {
                 self->recheck();
             }
@@ -161,50 +161,50 @@
 
 void OnlineCall::recheck()
 {
-    if (!this->endIfCrashing() && this->stage == Stage::Judging) {
-        this->askForPlace();
+    if (!this->endIfCrashing() && this->stage == Stage::ClassifyingCrash) {
+        this->requestPlacement();
     }
 }
 
 void OnlineCall::stopWaiting()
 {
-    this->context.waiting.remove(std::exchange(this->waiting, 0));
+    this->context.waitingRequests.remove(std::exchange(this->waitingTicket, 0));
 }
 
-void OnlineCall::noteBreak()
+void OnlineCall::recordDisconnect()
 {
     this->context.recordDisconnect({this->fingerprint,
                                     this->replica->instance,
                                     this->replica->address,
                                     this->service,
                                     this->traits.sharedPromptParts,
-                                    this->eventsPassed - this->eventsBefore});
+                                    this->eventsForwarded - this->eventsBeforeAttempt});
 }
 
-void OnlineCall::notePromptServed()
+void OnlineCall::recordPromptServed()
 {
     if (!std::exchange(this->isPromptServed, true)) {
         this->context.recordPromptServed(promptParts(this->service, this->traits.sharedPromptParts));
     }
 }
 
-void OnlineCall::askForOrigin()
+void OnlineCall::queryOrigin()
 {
-    this->stage = Stage::Locating;
-    // The answer may come from inside the call.
-    const StreamOriginExchange::Ticket asked = this->context.origins.find(
+    this->stage = Stage::QueryingOrigin;
+    // The answer may arrive from inside the call.
+    const StreamOriginExchange::Ticket ticket = this->context.streamOrigins.find(
         this->traits.resumedId, [self = this->shared_from_this()](const std::optional<StreamOrigin> &origin) {
-            self->takeOrigin(origin);
+            self->handleOrigin(origin);
         });
-    if (this->stage == Stage::Locating) {
-        this->originTicket = asked;
+    if (this->stage == Stage::QueryingOrigin) {
+        this->originTicket = ticket;
     }
 }
 
-void OnlineCall::takeOrigin(const std::optional<StreamOrigin> &origin)
+void OnlineCall::handleOrigin(const std::optional<StreamOrigin> &origin)
 {
     this->originTicket = 0;
-    if (this->stage != Stage::Locating) {
+    if (this->stage != Stage::QueryingOrigin) {
         return;
     }
     this->context.metrics.countEvent(origin ? "stream taken up" : "stream of unknown origin taken up");
@@ -216,44 +216,44 @@
          {"is_origin_known", origin.has_value()},
          {"version", origin ? origin->version.value() : std::string()}});
     if (origin) {
-        this->begunVersion = origin->version;
+        this->startedVersion = origin->version;
         const bool isStillTarget = std::ranges::any_of(this->route.targets, [&origin](const RouteTarget &target) {
             return target.service == origin->service && target.weight > 0;
         });
         this->service = isStillTarget ? origin->service : this->service;
     } else {
-        // It may have begun before its caller's time was as short as it is now.
+        // The stream may have started when its caller had more time left than now, so the request's own timeout does not bound its age.
         this->soleVersionFor = this->route.timeout.count() > 0 ? this->route.timeout : defaultTimeout;
     }
-    this->stage = Stage::Counting;
-    this->askForQuota();
+    this->stage = Stage::RequestingQuota;
+    this->requestQuota();
 }
 
-void OnlineCall::askForQuota()
+void OnlineCall::requestQuota()
 {
     if (this->workspace == nullptr || !this->workspace->quota.isLimited()) {
-        this->askForPlace();
+        this->requestPlacement();
         return;
     }
-    // The answer may come from inside the call.
-    const QuotaAsker::Ticket asked = this->context.quotas.ask(
+    // The answer may arrive from inside the call.
+    const QuotaAsker::Ticket ticket = this->context.quotas.ask(
         *this->workspace, this->configuration->version, [self = this->shared_from_this()](const QuotaDecision &decision) {
-            self->takeQuota(decision);
+            self->handleQuota(decision);
         });
-    if (this->stage == Stage::Counting) {
-        this->quotaTicket = asked;
+    if (this->stage == Stage::RequestingQuota) {
+        this->quotaTicket = ticket;
     }
 }
 
-void OnlineCall::takeQuota(const QuotaDecision &decision)
+void OnlineCall::handleQuota(const QuotaDecision &decision)
 {
     this->quotaTicket = 0;
-    if (this->stage != Stage::Counting) {
+    if (this->stage != Stage::RequestingQuota) {
         return;
     }
     switch (decision.kind) {
     case QuotaDecision::Kind::Granted:
-        this->askForPlace();
+        this->requestPlacement();
         return;
     case QuotaDecision::Kind::OverLimit:
         this->refuse(statusTooManyRequests, decision.retryAfter, "its workspace is over its limit");
@@ -267,78 +267,78 @@
 void OnlineCall::awaitReplicas()
 {
     if (this->now() - this->arrived > listTimeout) {
-        this->refuse(statusUnavailable, refusalPause, "this node does not know the replicas yet");
+        this->refuse(statusUnavailable, refusalRetryAfter, "this node does not know the replicas yet");
         return;
     }
-    this->listTimer = this->context.loop.schedule(listLook, [self = this->shared_from_this()] {
+    this->listTimer = this->context.loop.schedule(listCheckInterval, [self = this->shared_from_this()] {
         self->listTimer = 0;
-        self->askForPlace();
+        self->requestPlacement();
     });
 }
 
-void OnlineCall::askForPlace()
+void OnlineCall::requestPlacement()
 {
     if (this->endIfCrashing()) {
         return;
     }
     if (this->context.crashHistory.isLastCrashInDoubt(this->fingerprint)) {
-        this->beginToWait(Stage::Judging);
+        this->startWaiting(Stage::ClassifyingCrash);
         return;
     }
-    this->beginToWait(Stage::Placing);
+    this->startWaiting(Stage::Placing);
     if (!this->context.replicaList.isKnown()) {
-        // A dispatcher at another node would give places at replicas whose addresses this one does not have.
+        // A dispatcher on another node would place the request at a replica whose address this node does not know.
         this->awaitReplicas();
         return;
     }
-    this->asked = this->now();
+    this->placementRequested = this->now();
     PlacementQuery query;
     query.service = this->service;
     query.priority = priorityOf(this->route, this->workspace);
     query.arrived = this->arrived;
-    query.due = this->isStream() ? this->context.firstEvents[this->service].placeBy(this->arrived, this->route.objective)
+    query.due = this->isStream() ? this->context.firstEventEstimates[this->service].placeBy(this->arrived, this->route.objective)
                                  : this->arrived + this->route.objective;
     query.deadline = this->deadline;
     query.content = this->fingerprint;
     query.mayRefuse = this->attempts == 0 && !this->exchange->isBegun();
     query.avoided = this->avoided;
-    query.connected = connectedReplicas(this->context, this->service, this->longestIdle());
-    query.version = this->begunVersion;
+    query.connected = connectedReplicas(this->context, this->service, this->maxConnectionIdle());
+    query.version = this->startedVersion;
     query.soleVersionFor = this->soleVersionFor;
-    query.knowsAllReplicas = this->context.replicaList.isWhole() && this->context.replicaList.age() <= freshListAge;
-    this->ticket = this->context.placements.requestSlot(query, [self = this->shared_from_this()](const Placement &placement) {
-        self->takePlacement(placement);
+    query.knowsAllReplicas = this->context.replicaList.isWhole() && this->context.replicaList.age() <= maxFreshListAge;
+    this->placementTicket = this->context.placements.requestSlot(query, [self = this->shared_from_this()](const Placement &placement) {
+        self->handlePlacement(placement);
     });
 }
 
-void OnlineCall::takePlacement(const Placement &placement)
+void OnlineCall::handlePlacement(const Placement &placement)
 {
     if (this->stage != Stage::Placing) {
         return;
     }
     if (placement.decision == PlacementDecision::Refused) {
-        this->takeRefusal(placement.retryAfter);
+        this->handleRefusal(placement.retryAfter);
         return;
     }
     if (this->endIfCrashing()) {
         return;
     }
-    this->context.metrics.countPlacement(this->service.value(), this->now() - this->asked);
-    this->isOwnChoice = placement.isOwnChoice;
+    this->context.metrics.countPlacement(this->service.value(), this->now() - this->placementRequested);
+    this->isPlacedLocally = placement.isPlacedLocally;
     this->listAge = this->context.replicaList.age();
     const std::optional<ServingReplica> found = this->context.replicaList.resolve(placedReplica(placement, this->service));
     if (!found) {
         this->avoided.push_back(placement.replica);
-        this->retryUnrun(PlacementVerdict::Finished, "the replica is not listed any more, or is leaving");
+        this->retryUnexecuted(PlacementVerdict::Finished, "the replica is no longer listed, or is leaving");
         return;
     }
     this->send(*found);
 }
 
-void OnlineCall::takeRefusal(std::chrono::milliseconds retryAfter)
+void OnlineCall::handleRefusal(std::chrono::milliseconds retryAfter)
 {
-    const bool needsVersion = !this->begunVersion.value().empty() || this->soleVersionFor.count() > 0;
-    const std::string_view reason = needsVersion ? "no replica of the version that began the stream" : "there is no room in time";
+    const bool needsVersion = !this->startedVersion.value().empty() || this->soleVersionFor.count() > 0;
+    const std::string_view reason = needsVersion ? "no replica of the version that began the stream" : "no replica has capacity in time";
     if (this->attempts > 0) {
         this->fail(reason);
         return;
@@ -355,45 +355,45 @@
     this->sent = this->now();
     ++this->attempts;
     this->body.clear();
-    this->eventsBefore = this->eventsPassed;
+    this->eventsBeforeAttempt = this->eventsForwarded;
     this->splitter = EventSplitter(largestStreamEvent);
     const auto remaining = std::chrono::floor<std::chrono::milliseconds>(this->deadline - this->now());
     OutboundCall outbound;
     outbound.address = replica.address;
-    outbound.head = encodeReplicaRequest(this->exchange->head(), this->sender(), replica, remaining, this->lastEvent);
+    outbound.head = encodeReplicaRequest(this->exchange->head(), this->senderWorkspace(), replica, remaining, this->lastEvent);
     outbound.body = this->exchange->body();
-    outbound.longestIdle = this->longestIdle();
+    outbound.longestIdle = this->maxConnectionIdle();
     outbound.isAnswer = isAnswerTo(this->traits.id);
     this->call = this->context.replicaConnections.start(std::move(outbound), hooksFor(this->shared_from_this()));
-    this->armSilence();
+    this->armStallTimer();
 }
 
 void OnlineCall::handleHead(const MessageHead &head)
 {
     this->stage = Stage::Receiving;
-    // Of a stream that goes on elsewhere, the caller has the head already.
-    if (this->eventsPassed == 0) {
+    // If the stream continues at another replica, the caller already has the head.
+    if (this->eventsForwarded == 0) {
         this->answer = head;
     }
     const ReplicaAnswer read = decodeReplicaAnswer(head);
     const bool isGood = isSuccess(read.status);
-    // Only what the dispatcher would not expect: a datagram for each request would tell it what it knows.
+    // Reports only a load that the dispatcher does not expect; a datagram for each request would repeat what it knows.
     if (isGood && read.stated && (read.stated->load.waiting > 0 || read.stated->load.running >= read.stated->slots)) {
-        this->context.placements.reportStarted(this->ticket, read.stated->load);
+        this->context.placements.reportStarted(this->placementTicket, read.stated->load);
     }
     if (read.isNotExecuted) {
         const PlacementVerdict verdict
             = read.status == statusUnavailable ? PlacementVerdict::Rejected : PlacementVerdict::Unreachable;
         this->context.replicaConnections.cancel(std::exchange(this->call, 0));
-        this->retryUnrun(verdict, "the replica did not run it");
+        this->retryUnexecuted(verdict, "the replica did not run the request");
         return;
     }
     if (isGood && !read.isSigned) {
         this->recover(PlacementVerdict::Broken, "an answer without the replica's signature");
         return;
     }
-    if (!isGood && this->eventsPassed > 0) {
-        this->recover(PlacementVerdict::Broken, "the replica refused to go on with the stream");
+    if (!isGood && this->eventsForwarded > 0) {
+        this->recover(PlacementVerdict::Broken, "the replica refused to resume the stream");
         return;
     }
     if (!isGood && this->mayRepeat() && this->attempts < this->route.maxAttempts && read.status >= statusServerError) {
@@ -408,13 +408,13 @@
     }
     const bool isGood = isSuccess(this->answer.status);
     if (this->isStream() && isGood) {
-        this->takeEvents(data);
+        this->handleEvents(data);
         return;
     }
     this->body.append(data);
 }
 
-void OnlineCall::takeEvents(std::string_view data)
+void OnlineCall::handleEvents(std::string_view data)
 {
     const std::vector<StreamEvent> events = this->splitter.feed(data);
     std::string passed;
@@ -428,17 +428,17 @@
         if (event.id) {
             this->lastEvent = event.id;
         }
-        if (this->eventsPassed++ == 0) {
-            this->noteOrigin();
+        if (this->eventsForwarded++ == 0) {
+            this->recordOrigin();
             this->exchange->begin(this->answer.status, this->answer.headers.forwarded());
             this->context.metrics.countFirstByte(this->route.name, this->now() - this->arrived);
-            this->context.firstEvents[this->service].note(this->now() - this->sent);
+            this->context.firstEventEstimates[this->service].note(this->now() - this->sent);
         }
         passed.append(event.text);
     }
     this->exchange->write(passed);
-    if (this->eventsPassed - this->eventsBefore >= eventsOfServedPrompt) {
-        this->notePromptServed();
+    if (this->eventsForwarded - this->eventsBeforeAttempt >= eventsOfServedPrompt) {
+        this->recordPromptServed();
     }
     if (this->stage == Stage::Over) {
         return;
@@ -448,22 +448,22 @@
         return;
     }
     if (!events.empty()) {
-        this->armSilence();
+        this->armStallTimer();
     }
 }
 
-void OnlineCall::noteOrigin()
+void OnlineCall::recordOrigin()
 {
-    const bool isNews = this->begunVersion.value().empty();
-    this->begunVersion = this->replica->version;
+    const bool isStreamStart = this->startedVersion.value().empty();
+    this->startedVersion = this->replica->version;
     this->soleVersionFor = std::chrono::milliseconds(0);
-    if (!isNews || !this->route.isResumable) {
+    if (!isStreamStart || !this->route.isResumable) {
         return;
     }
-    // The caller names the attempt that brought the first event, however often it takes the stream up.
+    // The caller names the attempt that brought the first event, no matter how often it resumes the stream.
     const std::string &first = this->traits.resumedId.empty() ? this->traits.id : this->traits.resumedId;
     const auto lifetime = this->traits.timeout.value_or(defaultTimeout) + originMargin;
-    this->context.origins.note(first, {this->service, this->begunVersion}, lifetime);
+    this->context.streamOrigins.note(first, {this->service, this->startedVersion}, lifetime);
 }
 
 void OnlineCall::handleEnd(CallEnd end)
@@ -473,11 +473,11 @@
         return;
     }
     if (end == CallEnd::NotSent) {
-        this->retryUnrun(PlacementVerdict::Unreachable, "no connection to the replica");
+        this->retryUnexecuted(PlacementVerdict::Unreachable, "no connection to the replica");
         return;
     }
     if (end == CallEnd::Broken) {
-        this->noteBreak();
+        this->recordDisconnect();
         this->recover(PlacementVerdict::Broken, "the connection to the replica broke");
         return;
     }
@@ -491,12 +491,12 @@
 
 void OnlineCall::completeWhole()
 {
-    this->notePromptServed();
+    this->recordPromptServed();
     this->context.recordRequestServed(this->fingerprint);
-    this->leaveReplica(PlacementVerdict::Finished);
+    this->releaseReplica(PlacementVerdict::Finished);
     if (this->exchange->isBegun()) {
         this->exchange->breakOff();
-        this->finish(0, "the stream could not go on");
+        this->finish(0, "the stream could not be resumed");
         return;
     }
     this->context.metrics.countFirstByte(this->route.name, this->now() - this->arrived);
@@ -506,20 +506,20 @@
 
 bool OnlineCall::isEmptyUnframed() const
 {
-    // A replica that crashes as it begins to write ends its connection as after a whole stream.
-    return this->answer.framing == BodyFraming::UntilClose && this->eventsPassed == 0 && !this->lastEvent;
+    // A replica that crashes when it starts to write closes its connection just as after a complete stream.
+    return this->answer.framing == BodyFraming::UntilClose && this->eventsForwarded == 0 && !this->lastEvent;
 }
 
 void OnlineCall::completeStream()
 {
     if (this->splitter.hasRest() || this->isEmptyUnframed()) {
-        this->noteBreak();
+        this->recordDisconnect();
         this->recover(PlacementVerdict::Broken, "the stream ended inside an event");
         return;
     }
-    this->notePromptServed();
+    this->recordPromptServed();
     this->context.recordRequestServed(this->fingerprint);
-    this->leaveReplica(PlacementVerdict::Finished);
+    this->releaseReplica(PlacementVerdict::Finished);
     this->exchange->begin(this->answer.status, this->answer.headers.forwarded());
     this->exchange->end();
     this->finish(this->answer.status, "answered");
@@ -527,7 +527,7 @@
 
 void OnlineCall::recover(PlacementVerdict verdict, std::string_view reason)
 {
-    this->leaveReplica(verdict);
+    this->releaseReplica(verdict);
     const bool hasTime = this->deadline - this->now() > answerMargin * 2;
     if (!this->mayRepeat() || this->attempts >= this->route.maxAttempts || !hasTime) {
         this->fail(reason);
@@ -541,39 +541,39 @@
          {"reason", std::string(reason)},
          {"last_event", static_cast<std::int64_t>(this->lastEvent.value_or(0))}});
     this->context.metrics.countEvent("request repeated");
-    this->askForPlace();
+    this->requestPlacement();
 }
 
-void OnlineCall::retryUnrun(PlacementVerdict verdict, std::string_view reason)
+void OnlineCall::retryUnexecuted(PlacementVerdict verdict, std::string_view reason)
 {
     const bool wasSent = this->replica.has_value();
     this->context.metrics.countEvent("request was not run at its place");
-    this->leaveReplica(verdict);
+    this->releaseReplica(verdict);
     this->attempts -= wasSent ? 1 : 0;
     log(LogLevel::Info,
         "request was not run, trying another replica",
         {{"request", this->traits.id},
          {"replica", this->avoided.empty() ? std::string() : this->avoided.back().value()},
          {"reason", std::string(reason)}});
-    if (++this->unrunAttempts >= mostUnrunAttempts) {
+    if (++this->unexecutedAttempts >= maxUnexecutedAttempts) {
         if (this->attempts == 0) {
-            this->refuse(statusUnavailable, refusalPause, "all replicas turned it away");
+            this->refuse(statusUnavailable, refusalRetryAfter, "all replicas turned it away");
         } else {
             this->fail("all replicas turned it away");
         }
         return;
     }
-    this->askForPlace();
+    this->requestPlacement();
 }
 
-void OnlineCall::leaveReplica(PlacementVerdict verdict)
+void OnlineCall::releaseReplica(PlacementVerdict verdict)
 {
-    this->context.loop.cancel(std::exchange(this->silenceTimer, 0));
+    this->context.loop.cancel(std::exchange(this->stallTimer, 0));
     if (this->call != 0) {
         this->context.replicaConnections.cancel(std::exchange(this->call, 0));
     }
-    if (this->ticket != 0) {
-        this->context.placements.end(std::exchange(this->ticket, 0), verdict);
+    if (this->placementTicket != 0) {
+        this->context.placements.end(std::exchange(this->placementTicket, 0), verdict);
     }
     if (this->replica) {
         this->avoided.push_back(this->replica->instance);
@@ -581,24 +581,24 @@
     }
 }
 
-void OnlineCall::armSilence()
+void OnlineCall::armStallTimer()
 {
     if (!this->isStream() || !this->mayRepeat() || this->attempts >= this->route.maxAttempts) {
         return;
     }
-    // Before its first event a stream waits for its prompt to be read, and perhaps in the replica's queue.
-    const auto pause = std::max(this->eventsPassed > 0 ? this->route.longestPause : this->route.objective, shortestSilence);
-    this->context.loop.cancel(this->silenceTimer);
-    this->silenceTimer = this->context.loop.schedule(pause * silentPauses, [self = this->shared_from_this()] {
-        self->onSilence();
+    // Before the first event the replica processes the prompt, and the request may wait in the replica's queue.
+    const auto pause = std::max(this->eventsForwarded > 0 ? this->route.longestPause : this->route.objective, minStallTimeout);
+    this->context.loop.cancel(this->stallTimer);
+    this->stallTimer = this->context.loop.schedule(pause * stallPauses, [self = this->shared_from_this()] {
+        self->onStall();
     });
 }
 
-void OnlineCall::onSilence()
+void OnlineCall::onStall()
 {
-    this->silenceTimer = 0;
+    this->stallTimer = 0;
     if (this->stage == Stage::Sending || this->stage == Stage::Receiving) {
-        this->recover(PlacementVerdict::Broken, "the replica fell silent");
+        this->recover(PlacementVerdict::Broken, "the replica is unresponsive");
     }
 }
 
@@ -609,7 +609,7 @@
         return;
     }
     const bool mayHaveRun = this->attempts > 0;
-    this->leaveReplica(PlacementVerdict::Finished);
+    this->releaseReplica(PlacementVerdict::Finished);
     if (this->exchange->isBegun()) {
         this->exchange->breakOff();
         this->finish(0, "time is up");
@@ -617,22 +617,22 @@
         this->exchange->send(statusGatewayTimeout, {}, {});
         this->finish(statusGatewayTimeout, "time is up");
     } else {
-        this->refuse(statusUnavailable, refusalPause, "no place in time");
+        this->refuse(statusUnavailable, refusalRetryAfter, "no place in time");
     }
 }
 
-void OnlineCall::onGone()
+void OnlineCall::onCallerDisconnected()
 {
     if (this->stage == Stage::Over) {
         return;
     }
-    this->leaveReplica(PlacementVerdict::Finished);
-    this->finish(0, "the caller left");
+    this->releaseReplica(PlacementVerdict::Finished);
+    this->finish(0, "the caller disconnected");
 }
 
 void OnlineCall::refuse(int status, std::chrono::milliseconds retryAfter, std::string_view reason)
 {
-    this->leaveReplica(PlacementVerdict::Finished);
+    this->releaseReplica(PlacementVerdict::Finished);
     this->exchange->send(status, retryHeaders(retryAfter), {});
     this->finish(status, reason);
 }
@@ -654,11 +654,11 @@
         return;
     }
     this->context.loop.cancel(this->deadlineTimer);
-    this->context.loop.cancel(this->silenceTimer);
+    this->context.loop.cancel(this->stallTimer);
     this->context.loop.cancel(this->listTimer);
     this->stopWaiting();
     this->context.quotas.cancel(std::exchange(this->quotaTicket, 0));
-    this->context.origins.cancel(std::exchange(this->originTicket, 0));
+    this->context.streamOrigins.cancel(std::exchange(this->originTicket, 0));
     const SteadyTime ended = this->now();
     this->context.metrics.countRequest(this->route.name, status, ended - this->arrived);
     log(LogLevel::Info,
@@ -667,17 +667,17 @@
          {"route", this->route.name},
          {"service", this->service.value()},
          {"fingerprint", std::to_string(this->fingerprint)},
-         {"workspace", this->sender().value_or(WorkspaceName()).value()},
+         {"workspace", this->senderWorkspace().value_or(WorkspaceName()).value()},
          {"configuration", static_cast<std::int64_t>(this->configuration->version)},
          {"status", status},
          {"reason", std::string(reason)},
          {"attempts", static_cast<std::int64_t>(this->attempts)},
-         {"turned_away", static_cast<std::int64_t>(this->unrunAttempts)},
-         {"events", static_cast<std::int64_t>(this->eventsPassed)},
+         {"turned_away", static_cast<std::int64_t>(this->unexecutedAttempts)},
+         {"events", static_cast<std::int64_t>(this->eventsForwarded)},
          {"replica", this->avoided.empty() ? std::string() : this->avoided.back().value()},
          {"version", this->version.value()},
          {"resumes", this->traits.resumedId},
-         {"placed_by", this->isOwnChoice ? "own counts" : "dispatcher"},
+         {"placed_by", this->isPlacedLocally ? "own counts" : "dispatcher"},
          {"list_age_ms", static_cast<std::int64_t>(this->listAge.count())},
          {"sent_after_ms", this->sent > this->arrived ? millisecondsBetween(this->arrived, this->sent) : -1},
          {"took_ms", millisecondsBetween(this->arrived, ended)}});
--- a/Services/Gateway/OnlineCall.h
+++ b/Services/Gateway/OnlineCall.h
@@ -18,11 +18,12 @@
 {
 
 /**
- * One request of a caller, from its arrival to the end of its answer.
+ * Serves one online request of a caller, from its arrival to the end of its answer.
  *
- * It is sent to one replica at a time. What is proved not to have run goes to another replica; what may have run is
- * repeated only if it is idempotent, or a stream that may be resumed, and then the caller sees one stream without a seam.
- * Every other loss is told as a failure that promises nothing; a refusal is only given for what never ran.
+ * The request is sent to one replica at a time. If it provably did not run, it goes to another replica. If it may have run, it is
+ * repeated only if it is idempotent or a resumable stream; the caller then receives a single stream, without missing or repeated
+ * events. Any other loss is answered as a failure that leaves open whether the request ran. A request is refused only if it never
+ * ran.
  */
 class OnlineCall final : public ReplicaAnswerHandler, public std::enable_shared_from_this<OnlineCall>
 {
@@ -37,57 +38,57 @@
 
 private:
     enum class Stage {
-        /** Where its stream began is asked for. */
-        Locating,
-        /** Its workspace's quota is asked for. */
-        Counting,
+        /** Queries which software version started the stream. */
+        QueryingOrigin,
+        /** Requests quota of its workspace. */
+        RequestingQuota,
         Placing,
-        /** Whether its last replica crashed is judged: it may have been one too many. */
-        Judging,
+        /** Waits until it is decided whether its last replica crashed: after that crash the request may have to be refused. */
+        ClassifyingCrash,
         Sending,
-        /** The replica's answer has begun. */
+        /** The replica has started to answer. */
         Receiving,
         Over,
     };
 
     bool isStream() const;
     bool mayRepeat() const;
-    std::chrono::milliseconds longestIdle() const;
-    std::optional<WorkspaceName> sender() const;
-    void askForOrigin();
-    void takeOrigin(const std::optional<StreamOrigin> &origin);
-    void noteOrigin();
-    void askForQuota();
-    void takeQuota(const QuotaDecision &decision);
+    std::chrono::milliseconds maxConnectionIdle() const;
+    std::optional<WorkspaceName> senderWorkspace() const;
+    void queryOrigin();
+    void handleOrigin(const std::optional<StreamOrigin> &origin);
+    void recordOrigin();
+    void requestQuota();
+    void handleQuota(const QuotaDecision &decision);
     void awaitReplicas();
-    void askForPlace();
-    void takePlacement(const Placement &placement);
-    void takeRefusal(std::chrono::milliseconds retryAfter);
-    /** @return why it must not be sent: replicas crash under it, or under a part of its prompt. */
+    void requestPlacement();
+    void handlePlacement(const Placement &placement);
+    void handleRefusal(std::chrono::milliseconds retryAfter);
+    /** @return why it must not be sent: replicas crash when they run it, or a prompt that shares a part with its own. */
     std::optional<std::string_view> crashReason() const;
-    /** End it if it must not be sent. @return whether it was ended */
+    /** Ends the request if it must not be sent. @return whether it was ended */
     bool endIfCrashing();
-    /** Be asked again when more is known of crashes. */
-    void beginToWait(Stage stage);
+    /** Enters a stage in which recheck() is called when more becomes known about crashes. */
+    void startWaiting(Stage stage);
     void recheck();
     void stopWaiting();
-    void noteBreak();
-    void notePromptServed();
+    void recordDisconnect();
+    void recordPromptServed();
     void send(const ServingReplica &replica);
     void handleHead(const MessageHead &head) override;
     void handleBody(std::string_view data) override;
-    void takeEvents(std::string_view data);
+    void handleEvents(std::string_view data);
     void handleEnd(CallEnd end) override;
     void completeWhole();
     bool isEmptyUnframed() const;
     void completeStream();
     void recover(PlacementVerdict verdict, std::string_view reason);
-    void retryUnrun(PlacementVerdict verdict, std::string_view reason);
-    void leaveReplica(PlacementVerdict verdict);
-    void armSilence();
-    void onSilence();
+    void retryUnexecuted(PlacementVerdict verdict, std::string_view reason);
+    void releaseReplica(PlacementVerdict verdict);
+    void armStallTimer();
+    void onStall();
     void onDeadline();
-    void onGone();
+    void onCallerDisconnected();
     void refuse(int status, std::chrono::milliseconds retryAfter, std::string_view reason);
     void fail(std::string_view reason);
     void finish(int status, std::string_view reason);
@@ -95,9 +96,9 @@
 
     GatewayContext &context;
     ServingConfigurationPointer configuration;
-    /** Kept by the configuration. */
+    /** Owned by the configuration. */
     const Route &route;
-    /** Whose request it is, kept by the configuration; null if nobody's. */
+    /** The workspace that sent the request, owned by the configuration; null if it belongs to none. */
     const Workspace *workspace;
     std::shared_ptr<CallerExchange> exchange;
     RequestTraits traits;
@@ -105,44 +106,45 @@
     ServiceName service;
     SteadyTime arrived;
     SteadyTime deadline;
-    Stage stage = Stage::Counting;
-    /** Replicas that may have run it. */
+    Stage stage = Stage::RequestingQuota;
+    /** Replicas that may have run the request. */
     std::uint32_t attempts = 0;
-    std::uint32_t unrunAttempts = 0;
+    /** Replicas that did not run the request. */
+    std::uint32_t unexecutedAttempts = 0;
     std::vector<EndpointName> avoided;
-    /** Until its quota is decided. */
+    /** Set until the quota is decided. */
     QuotaAsker::Ticket quotaTicket = 0;
-    PlacementClient::Ticket ticket = 0;
-    /** While it waits for a place. */
-    WaitingRequests::Ticket waiting = 0;
-    SteadyTime asked{};
-    /** Whether this node chose the last replica by its own counts. */
-    bool isOwnChoice = false;
-    /** How old the list of replicas was at that choice. */
+    PlacementClient::Ticket placementTicket = 0;
+    /** Set while the request waits for a slot. */
+    WaitingRequests::Ticket waitingTicket = 0;
+    SteadyTime placementRequested{};
+    /** Whether this node selected the last replica by its own counts. */
+    bool isPlacedLocally = false;
+    /** Age of the list of replicas when the last one was selected. */
     std::chrono::milliseconds listAge{0};
     SteadyTime sent{};
     std::optional<ServingReplica> replica;
-    /** Of the replica that it was sent to last. */
+    /** Software version of the replica to which the request was sent last. */
     SoftwareVersion version;
-    /** Of the replica that began the stream, once the caller has an event of it; empty before. */
-    SoftwareVersion begunVersion;
-    /** See PlacementTraits. */
+    /** Software version that started the stream. Empty until the caller has received an event or the origin was found. */
+    SoftwareVersion startedVersion;
+    /** See PlacementQuery. */
     std::chrono::milliseconds soleVersionFor{0};
-    /** Until it is known where the stream began. */
+    /** Set until the query for the origin of the stream is answered. */
     StreamOriginExchange::Ticket originTicket = 0;
     OutboundPool::CallId call = 0;
     MessageHead answer;
     std::string body;
     EventSplitter splitter;
     std::optional<std::uint64_t> lastEvent;
-    std::uint32_t eventsPassed = 0;
-    /** Those of them that came before it was sent last. */
-    std::uint32_t eventsBefore = 0;
-    /** Whether it was noted that a replica has served its prompt. */
+    std::uint32_t eventsForwarded = 0;
+    /** Those of them that were forwarded before the last attempt. */
+    std::uint32_t eventsBeforeAttempt = 0;
+    /** Whether it was recorded that a replica has served the prompt. */
     bool isPromptServed = false;
     TimerId deadlineTimer = 0;
     TimerId listTimer = 0;
-    TimerId silenceTimer = 0;
+    TimerId stallTimer = 0;
 };
 
 } // namespace Dogwoodkeel
--- a/Services/Gateway/ReplicaCall.cpp
+++ b/Services/Gateway/ReplicaCall.cpp
@@ -7,20 +7,20 @@
 namespace Dogwoodkeel
 {
 
-CallHooks hooksFor(const std::shared_ptr<ReplicaAnswerHandler> &taker)
+CallHooks hooksFor(const std::shared_ptr<ReplicaAnswerHandler> &handler)
 {
     return {
         .onHead =
-            [taker](const MessageHead &head) {
-                taker->handleHead(head);
+            [handler](const MessageHead &head) {
+                handler->handleHead(head);
             },
         .onBody =
-            [taker](std::string_view data) {
-                taker->handleBody(data);
+            [handler](std::string_view data) {
+                handler->handleBody(data);
             },
         .onEnd =
-            [taker](CallEnd end) {
-                taker->handleEnd(end);
+            [handler](CallEnd end) {
+                handler->handleEnd(end);
             },
     };
 }
@@ -34,10 +34,10 @@
 }
 
 std::vector<std::uint32_t>
-connectedReplicas(const GatewayContext &context, const ServiceName &service, std::chrono::milliseconds longestIdle)
+connectedReplicas(const GatewayContext &context, const ServiceName &service, std::chrono::milliseconds maxIdle)
 {
     std::vector<std::uint32_t> marks;
-    for (const Address &address : context.replicaConnections.connectedAddresses(longestIdle)) {
+    for (const Address &address : context.replicaConnections.connectedAddresses(maxIdle)) {
         const ServingReplica *const replica = context.replicaList.findAt(address);
         if (replica != nullptr && replica->service == service) {
             marks.push_back(markOf(replica->instance));
--- a/Services/Gateway/ReplicaCall.h
+++ b/Services/Gateway/ReplicaCall.h
@@ -13,37 +13,38 @@
 namespace Dogwoodkeel
 {
 
-/** Whoever has sent a request to a replica and takes its answer. */
+/** Handles the answer to a request that was sent to a replica. */
 class ReplicaAnswerHandler
 {
 public:
     virtual ~ReplicaAnswerHandler() = default;
 
-    /** The answer's head has come. */
+    /** Handles the head of the answer. */
     virtual void handleHead(const MessageHead &head) = 0;
-    /** A part of its body has come. */
+    /** Handles the next chunk of the body. */
     virtual void handleBody(std::string_view data) = 0;
-    /** Nothing more comes. */
+    /** Handles the end of the call. No other function is called after this one. */
     virtual void handleEnd(CallEnd end) = 0;
 };
 
-/** @return hooks that pass an answer on to the taker, and keep it as long as the call lasts. */
-CallHooks hooksFor(const std::shared_ptr<ReplicaAnswerHandler> &taker);
+/** @return hooks that pass an answer on to the handler, and keep the handler alive until the call ends. */
+CallHooks hooksFor(const std::shared_ptr<ReplicaAnswerHandler> &handler);
 
 /**
- * @param id of the request that was sent
- * @return whether a head answers it; an answer that names another request was left on the connection by it
+ * @param id the id of the request that was sent
+ * @return a predicate that is true for the head of an answer to this request. An answer that names another request is a late one
+ *         that was still on the connection
  */
 std::function<bool(const MessageHead &)> isAnswerTo(std::string id);
 
 /**
- * @param longestIdle how long a connection may have been idle to be of use for the request
- * @return marks of the replicas of a service to which this node has an open connection
+ * @param maxIdle how long a connection may have been idle to be usable for the request
+ * @return the marks of the replicas of a service to which this node has a usable open connection, see markOf()
  */
 std::vector<std::uint32_t>
-connectedReplicas(const GatewayContext &context, const ServiceName &service, std::chrono::milliseconds longestIdle);
+connectedReplicas(const GatewayContext &context, const ServiceName &service, std::chrono::milliseconds maxIdle);
 
-/** @return the replica of a place as the dispatcher told it. */
+/** @return the replica of a placement, as far as the dispatcher described it. */
 ServingReplica placedReplica(const Placement &placement, const ServiceName &service);
 
 } // namespace Dogwoodkeel
--- a/Services/Gateway/WaitingRequests.cpp
+++ b/Services/Gateway/WaitingRequests.cpp
@@ -22,7 +22,7 @@
     const Ticket last = this->lastTicket;
     for (auto next = this->waiting.begin(); next != this->waiting.end() && next->first <= last;) {
         const Ticket ticket = next->first;
-        // Held beside the map: it may remove itself, or others.
+        // A copy, as the function may remove its own entry or others from the map.
         const std::function<void()> recheck = next->second;
         recheck();
         next = this->waiting.upper_bound(ticket);
--- a/Services/Gateway/WaitingRequests.h
+++ b/Services/Gateway/WaitingRequests.h
@@ -7,19 +7,26 @@
 namespace Dogwoodkeel
 {
 
-/** The requests of a node that wait for a place. What becomes known of crashes meanwhile may mean that one must not be sent. */
+/**
+ * Keeps the requests of a node that wait for a slot, and lets them be checked again when more becomes known about crashes: a
+ * request that crashes replicas must not be sent.
+ */
 class WaitingRequests
 {
 public:
     using Ticket = std::uint64_t;
 
-    /** A request begins to wait. @param recheck asks it whether it may still be sent; it may stop waiting from inside */
+    /**
+     * Adds a request that starts to wait.
+     * @param recheck checks whether the request may still be sent; it may remove this and other requests
+     * @return the ticket by which the request is removed, never 0
+     */
     Ticket add(std::function<void()> recheck);
 
-    /** It waits no longer. A ticket of 0 is nobody's. */
+    /** Removes a request that no longer waits. A ticket of 0 has no effect. */
     void remove(Ticket ticket);
 
-    /** Ask each of them. */
+    /** Calls the recheck function of each request that waits. */
     void recheckAll();
 
 private:
