--- a/Services/Gateway/CrashExchange.cpp
+++ b/Services/Gateway/CrashExchange.cpp
@@ -12,14 +12,14 @@
 namespace
 {
 
-/** A member that has just come back asks several others before it counts on the platform as one that has been there. */
-constexpr std::chrono::milliseconds questionInterval{1000};
-/** A replica that is there answers within a round trip. */
+/** Short enough that a member that has just returned queries several others before the platform counts it as present. */
+constexpr std::chrono::milliseconds queryInterval{1000};
+/** A replica that still runs answers within a round trip. */
 constexpr std::chrono::milliseconds probeTimeout{300};
-/** What one datagram carries whole. */
-constexpr std::size_t mostCounts = 30;
-constexpr std::size_t mostReplicas = 60;
-constexpr std::size_t mostBlocked = 20;
+/** Bounds for an answer that fits into one datagram. */
+constexpr std::size_t maxCounts = 30;
+constexpr std::size_t maxReplicas = 60;
+constexpr std::size_t maxBlocked = 20;
 
 std::string joined(const std::vector<std::string> &texts)
 {
@@ -36,7 +36,7 @@
                              PeerNetwork &peers,
                              GatewayMetrics &metrics,
                              CrashMemory &crashes,
-                             PromptPartGuard &parts,
+                             PromptPartGuard &blocklist,
                              WaitingRequests &waiting,
                              ConnectProbe &probe,
                              std::uint64_t seed)
@@ -44,7 +44,7 @@
     , peers(peers)
     , metrics(metrics)
     , crashes(crashes)
-    , parts(parts)
+    , blocklist(blocklist)
     , waiting(waiting)
     , probe(probe)
     , random(static_cast<std::minstd_rand::result_type>(seed))
@@ -53,62 +53,62 @@
 
 void CrashExchange::classifyDisconnects()
 {
-    for (const JudgedBreak &judged : this->crashes.judgeBreaks()) {
-        const BrokenRun &run = judged.run;
+    for (const JudgedBreak &classified : this->crashes.judgeBreaks()) {
+        const BrokenRun &run = classified.run;
         log(LogLevel::Info,
-            judged.isCrash ? "a request met the crash of a replica" : "connections to several replicas broke at once",
+            classified.isCrash ? "a request met the crash of a replica" : "connections to several replicas broke at once",
             {{"fingerprint", std::to_string(run.fingerprint)},
              {"replica", run.replica.value()},
              {"prompt_parts", joined(run.promptParts)},
              {"events", static_cast<std::int64_t>(run.events)},
              {"crashes", static_cast<std::int64_t>(this->crashes.crashesOf(run.fingerprint))},
-             {"other_replica", judged.otherReplica.value()},
-             {"apart_ms", static_cast<std::int64_t>(judged.apart.count())}});
-        if (judged.isCrash) {
+             {"other_replica", classified.otherReplica.value()},
+             {"apart_ms", static_cast<std::int64_t>(classified.apart.count())}});
+        if (classified.isCrash) {
             this->metrics.countEvent("request met a crash");
-            this->takeCrash(run);
+            this->publishCrash(run);
         } else {
-            this->askReplica(run);
+            this->probeReplica(run);
         }
     }
     this->waiting.recheckAll();
 }
 
-void CrashExchange::askReplica(const BrokenRun &run)
+void CrashExchange::probeReplica(const BrokenRun &run)
 {
-    std::vector<BrokenRun> &runs = this->doubtful[run.replica];
+    std::vector<BrokenRun> &runs = this->uncertainRuns[run.replica];
     runs.push_back(run);
     if (runs.size() == 1) {
         this->probe.start(run.address, probeTimeout, [this, replica = run.replica](ConnectOutcome outcome) {
-            this->takeOutcome(replica, outcome);
+            this->handleProbeOutcome(replica, outcome);
         });
     }
 }
 
-void CrashExchange::takeOutcome(const EndpointName &replica, ConnectOutcome outcome)
+void CrashExchange::handleProbeOutcome(const EndpointName &replica, ConnectOutcome outcome)
 {
-    const std::vector<BrokenRun> runs = std::move(this->doubtful.extract(replica).mapped());
-    const bool isGone = outcome == ConnectOutcome::Refused;
+    const std::vector<BrokenRun> runs = std::move(this->uncertainRuns.extract(replica).mapped());
+    const bool hasCrashed = outcome == ConnectOutcome::Refused;
     log(LogLevel::Info,
-        isGone ? "a replica crashed as others did" : "a replica outlived its connections",
+        hasCrashed ? "a replica crashed as others did" : "a replica outlived its connections",
         {{"replica", replica.value()},
          {"requests", static_cast<std::int64_t>(runs.size())},
          {"is_answering", outcome == ConnectOutcome::Connected}});
     for (const BrokenRun &run : runs) {
-        this->metrics.countEvent(isGone ? "request met a crash" : "request met a broken connection");
-        if (isGone) {
+        this->metrics.countEvent(hasCrashed ? "request met a crash" : "request met a broken connection");
+        if (hasCrashed) {
             this->crashes.noteCrash(run.fingerprint, run.replica);
-            this->takeCrash(run);
+            this->publishCrash(run);
         }
     }
     this->waiting.recheckAll();
 }
 
-void CrashExchange::takeNotice(const CrashNotice &notice)
+void CrashExchange::handleNotice(const CrashNotice &notice)
 {
     this->crashes.noteCrash(notice.fingerprint, notice.replica);
     const int known = this->crashes.crashesOf(notice.fingerprint);
-    // Most requests meet one crash by chance.
+    // A request meets a single crash mostly by chance.
     if (known > 1) {
         log(LogLevel::Info,
             "another node reported the crash of a replica",
@@ -116,25 +116,25 @@
              {"replica", notice.replica.value()},
              {"crashes", static_cast<std::int64_t>(known)}});
     }
-    this->noteCrash(notice);
+    this->recordPartCrash(notice);
     this->waiting.recheckAll();
 }
 
-void CrashExchange::takeCrash(const BrokenRun &run)
+void CrashExchange::publishCrash(const BrokenRun &run)
 {
     CrashNotice notice{run.fingerprint, run.replica, {}};
     if (run.events < eventsOfServedPrompt) {
         notice.promptParts = promptParts(run.service, run.promptParts);
-        this->noteCrash(notice);
+        this->recordPartCrash(notice);
     }
     this->peers.broadcast(notice);
 }
 
-void CrashExchange::noteCrash(const CrashNotice &notice)
+void CrashExchange::recordPartCrash(const CrashNotice &notice)
 {
-    const std::size_t before = this->parts.blocked(mostBlocked).size();
-    this->parts.noteCrash(notice.replica, notice.promptParts);
-    const std::vector<PromptPartGuard::Blocked> blocked = this->parts.blocked(mostBlocked);
+    const std::size_t before = this->blocklist.blocked(maxBlocked).size();
+    this->blocklist.noteCrash(notice.replica, notice.promptParts);
+    const std::vector<PromptPartGuard::Blocked> blocked = this->blocklist.blocked(maxBlocked);
     if (blocked.size() > before) {
         log(LogLevel::Warning,
             "parts of prompts blocked",
@@ -144,7 +144,7 @@
 
 void CrashExchange::recordPromptServed(const std::vector<PromptPart> &served)
 {
-    const std::vector<PromptPart> suspected = this->parts.noteServed(served);
+    const std::vector<PromptPart> suspected = this->blocklist.noteServed(served);
     if (!suspected.empty()) {
         this->peers.broadcast(PromptPartsServed{suspected});
     }
@@ -160,7 +160,7 @@
 void CrashExchange::tick()
 {
     const SteadyTime now = this->clock.now();
-    if (now < this->nextQuestion) {
+    if (now < this->nextQuery) {
         return;
     }
     const MemberViewPointer view = this->peers.view();
@@ -168,7 +168,7 @@
         return candidate.session != this->peers.self() && !candidate.isLeaving;
     });
     if (member != nullptr) {
-        this->nextQuestion = now + questionInterval;
+        this->nextQuery = now + queryInterval;
         this->peers.datagrams().send(member->gossip, CrashQuestion{this->peers.self()});
     }
 }
@@ -177,18 +177,18 @@
 {
     if (datagram.number == CrashNotice::number) {
         if (const auto notice = decode<CrashNotice>(datagram.payload)) {
-            this->takeNotice(*notice);
+            this->handleNotice(*notice);
         }
     } else if (datagram.number == PromptPartsServed::number) {
         if (const auto served = decode<PromptPartsServed>(datagram.payload)) {
-            this->parts.noteServed(served->promptParts);
+            this->blocklist.noteServed(served->promptParts);
         }
     } else if (datagram.number == RequestServed::number) {
         if (const auto served = decode<RequestServed>(datagram.payload)) {
             this->crashes.noteServed(served->fingerprint);
         }
     } else if (datagram.number == CrashQuestion::number) {
-        this->answer(datagram.from);
+        this->answerQuery(datagram.from);
     } else if (datagram.number == CrashCounts::number) {
         if (const auto reported = decode<CrashCounts>(datagram.payload)) {
             this->merge(*reported);
@@ -205,27 +205,27 @@
         this->crashes.merge({count.fingerprint, count.replicas, count.age});
     }
     for (const BlockedPromptPart &blocked : reported.blocked) {
-        this->parts.merge({blocked.promptPart, blocked.age, blocked.times});
+        this->blocklist.merge({blocked.promptPart, blocked.age, blocked.times});
     }
     this->waiting.recheckAll();
 }
 
-void CrashExchange::answer(const Address &asker) const
+void CrashExchange::answerQuery(const Address &recipient) const
 {
     CrashCounts answer;
     std::size_t replicas = 0;
-    for (const CrashMemory::Known &known : this->crashes.known(mostCounts)) {
+    for (const CrashMemory::Known &known : this->crashes.known(maxCounts)) {
         replicas += known.replicas.size();
-        if (replicas > mostReplicas) {
+        if (replicas > maxReplicas) {
             break;
         }
         answer.counts.push_back({known.fingerprint, known.replicas, known.age});
     }
-    for (const PromptPartGuard::Blocked &blocked : this->parts.blocked(mostBlocked)) {
+    for (const PromptPartGuard::Blocked &blocked : this->blocklist.blocked(maxBlocked)) {
         answer.blocked.push_back({blocked.part, blocked.age, blocked.times});
     }
     if (!answer.counts.empty() || !answer.blocked.empty()) {
-        this->peers.datagrams().send(asker, answer);
+        this->peers.datagrams().send(recipient, answer);
     }
 }
 
--- a/Services/Gateway/CrashExchange.h
+++ b/Services/Gateway/CrashExchange.h
@@ -16,9 +16,11 @@
 {
 
 /**
- * Nodes tell each other of crashes of replicas, and ask each other for those that they know. The notice of a crash goes once to
- * the members that are there; a node that was started later, or that no datagram reached, would hand the request, or others with
- * the same part of their prompts, to one replica after another.
+ * Exchanges crashes of replicas between nodes.
+ *
+ * A crash is published once, to the members present. Nodes also query each other for the crashes that they know: otherwise a node
+ * that started later, or missed the datagram, would send the request, or others with the same part of their prompts, to one
+ * replica after another.
  */
 class CrashExchange
 {
@@ -27,49 +29,49 @@
                   PeerNetwork &peers,
                   GatewayMetrics &metrics,
                   CrashMemory &crashes,
-                  PromptPartGuard &parts,
+                  PromptPartGuard &blocklist,
                   WaitingRequests &waiting,
                   ConnectProbe &probe,
                   std::uint64_t seed);
 
     /**
-     * Judge the connections that broke, and tell the others of the crashes. Where connections to several replicas broke at once,
-     * each of these replicas is asked whether it is still there.
+     * Classifies the lost connections, and notifies the other nodes of the crashes. If connections to several replicas were lost
+     * at once, each of these replicas is probed to find out whether it still runs.
      */
     void classifyDisconnects();
 
-    /** A replica has served a prompt with these parts. */
+    /** Records that a replica has served a prompt with these parts. */
     void recordPromptServed(const std::vector<PromptPart> &served);
 
-    /** A replica has answered a request whole. */
+    /** Records that a replica has answered a request completely. */
     void recordRequestServed(std::uint64_t fingerprint);
 
-    /** Ask when it is time to; called often. */
+    /** Queries a member for its crashes once per interval; must be called often. */
     void tick();
 
-    /** @return whether the datagram was for this class. */
+    /** Handles a datagram. @return whether it was for this class */
     bool receive(const Datagram &datagram);
 
 private:
-    void askReplica(const BrokenRun &run);
-    void takeOutcome(const EndpointName &replica, ConnectOutcome outcome);
-    void takeCrash(const BrokenRun &run);
-    void takeNotice(const CrashNotice &notice);
-    void noteCrash(const CrashNotice &notice);
-    void answer(const Address &asker) const;
+    void probeReplica(const BrokenRun &run);
+    void handleProbeOutcome(const EndpointName &replica, ConnectOutcome outcome);
+    void publishCrash(const BrokenRun &run);
+    void handleNotice(const CrashNotice &notice);
+    void recordPartCrash(const CrashNotice &notice);
+    void answerQuery(const Address &recipient) const;
     void merge(const CrashCounts &reported);
 
     const Clock &clock;
     PeerNetwork &peers;
     GatewayMetrics &metrics;
     CrashMemory &crashes;
-    PromptPartGuard &parts;
+    PromptPartGuard &blocklist;
     WaitingRequests &waiting;
     ConnectProbe &probe;
-    /** By replica: runs that broke together with runs at other replicas, until it is known whether the replica is there. */
-    std::map<EndpointName, std::vector<BrokenRun>> doubtful;
+    /** By replica: runs interrupted together with runs at other replicas, until it is known whether the replica still runs. */
+    std::map<EndpointName, std::vector<BrokenRun>> uncertainRuns;
     std::minstd_rand random;
-    SteadyTime nextQuestion{};
+    SteadyTime nextQuery{};
 };
 
 } // namespace Dogwoodkeel
--- a/Services/Gateway/OnlineCall.cpp
+++ b/Services/Gateway/OnlineCall.cpp
@@ -222,7 +222,7 @@
         });
         this->service = isStillTarget ? origin->service : this->service;
     } else {
-        // The stream may have started when its caller had more time left than now, so the request's own timeout does not bound its age.
+        // The stream may be older than the time that its caller has left now, so the route's timeout bounds its age.
         this->soleVersionFor = this->route.timeout.count() > 0 ? this->route.timeout : defaultTimeout;
     }
     this->stage = Stage::RequestingQuota;
@@ -463,7 +463,7 @@
     // The caller names the attempt that brought the first event, no matter how often it resumes the stream.
     const std::string &first = this->traits.resumedId.empty() ? this->traits.id : this->traits.resumedId;
     const auto lifetime = this->traits.timeout.value_or(defaultTimeout) + originMargin;
-    this->context.streamOrigins.note(first, {this->service, this->startedVersion}, lifetime);
+    this->context.streamOrigins.record(first, {this->service, this->startedVersion}, lifetime);
 }
 
 void OnlineCall::handleEnd(CallEnd end)
--- a/Services/Gateway/OnlineCall.h
+++ b/Services/Gateway/OnlineCall.h
@@ -64,7 +64,7 @@
     void requestPlacement();
     void handlePlacement(const Placement &placement);
     void handleRefusal(std::chrono::milliseconds retryAfter);
-    /** @return why it must not be sent: replicas crash when they run it, or a prompt that shares a part with its own. */
+    /** @return why it must not be sent: replicas crash when they run it, or prompts that share a part with its own. */
     std::optional<std::string_view> crashReason() const;
     /** Ends the request if it must not be sent. @return whether it was ended */
     bool endIfCrashing();
@@ -109,7 +109,7 @@
     Stage stage = Stage::RequestingQuota;
     /** Replicas that may have run the request. */
     std::uint32_t attempts = 0;
-    /** Replicas that did not run the request. */
+    /** Attempts after which it is known that the replica did not run the request. */
     std::uint32_t unexecutedAttempts = 0;
     std::vector<EndpointName> avoided;
     /** Set until the quota is decided. */
--- a/Services/Gateway/PlacementClient.cpp
+++ b/Services/Gateway/PlacementClient.cpp
@@ -13,17 +13,17 @@
 namespace
 {
 
-/** A datagram that was lost is sent again after this: several round trips between failure domains. */
-constexpr std::chrono::milliseconds askRepeat{20};
-/** A dispatcher that has not answered by then is away. A fifth of the shortest objective that callers have. */
-constexpr std::chrono::milliseconds askTimeout{60};
-/** While a request waits, it is asked for again this often; the answer may have been lost. Under overload hundreds wait, and
- * each question takes some of the dispatcher's processor. */
-constexpr std::chrono::milliseconds waitRepeat{200};
-constexpr std::chrono::milliseconds batchWaitRepeat{1000};
-/** A dispatcher that does not say any more that a request waits is away. */
-constexpr std::chrono::milliseconds waitTimeout{500};
-/** How long a dispatcher that did not answer is not waited for; then one request tries it again. */
+/** An unanswered datagram is sent again after this: several round trips between failure domains. */
+constexpr std::chrono::milliseconds resendInterval{20};
+/** A dispatcher that has not answered by then is considered unavailable. A fifth of the shortest objective that callers have. */
+constexpr std::chrono::milliseconds answerTimeout{60};
+/** While a request waits, it is sent again at this interval, as the answer may have been lost. Under overload hundreds of
+ * requests wait, and each message takes processor time of the dispatcher. */
+constexpr std::chrono::milliseconds waitingResendInterval{200};
+constexpr std::chrono::milliseconds batchResendInterval{1000};
+/** A dispatcher that no longer confirms that a request waits is considered unavailable after this. */
+constexpr std::chrono::milliseconds waitingTimeout{500};
+/** How long requests are not sent to a dispatcher that did not answer; then one request tries it again. */
 constexpr std::chrono::milliseconds suspicionTime{400};
 constexpr std::chrono::milliseconds reportInterval{200};
 
@@ -38,26 +38,26 @@
 PlacementClient::PlacementClient(EventLoop &loop,
                                  const Clock &clock,
                                  PeerNetwork &peers,
-                                 DutyKeeper &duties,
-                                 FailureDomain own,
-                                 PlacementServer::Describe describe)
+                                 DutyKeeper &elections,
+                                 FailureDomain ownDomain,
+                                 PlacementServer::FindReplica findReplica)
     : loop(loop)
     , clock(clock)
     , peers(peers)
-    , own(std::move(own))
+    , ownDomain(std::move(ownDomain))
     , server(loop,
              clock,
              peers,
-             duties,
-             {.answerOwn =
+             elections,
+             {.answerLocal =
                   [this](const PlacementAnswer &answer) {
-                      this->takeAnswer(answer);
+                      this->handleAnswer(answer);
                   },
-              .moved =
+              .dispatcherChanged =
                   [this](const ServiceName &service) {
-                      this->takeDispatcher(service);
+                      this->handleDispatcherChange(service);
                   },
-              .describe = std::move(describe)})
+              .findReplica = std::move(findReplica)})
 {
 }
 
@@ -90,47 +90,48 @@
     this->server.updateReplicas(service, update);
 }
 
-PlacementClient::Ticket PlacementClient::requestSlot(const PlacementQuery &query, Decided decided)
+PlacementClient::Ticket PlacementClient::requestSlot(const PlacementQuery &query, DecisionHandler decided)
 {
     const Ticket ticket = ++this->lastTicket;
-    Asked &asked = this->tickets.emplace(ticket, Asked{.query = query, .decided = std::move(decided)}).first->second;
+    OpenRequest &request
+        = this->requests.emplace(ticket, OpenRequest{.query = query, .decided = std::move(decided)}).first->second;
     ServiceState &state = this->stateOf(query.service);
-    asked.firstSent = this->clock.now();
+    request.firstSent = this->clock.now();
     const bool isSuspected = this->clock.now() < state.suspectedUntil && query.work == WorkClass::Online;
     if (!state.isDispatched || isSuspected) {
-        this->placeLocally(ticket, asked);
+        this->placeLocally(ticket, request);
         return ticket;
     }
-    this->sendAsk(ticket, asked);
+    this->sendRequest(ticket, request);
     return ticket;
 }
 
-void PlacementClient::sendAsk(Ticket ticket, Asked &asked)
+void PlacementClient::sendRequest(Ticket ticket, OpenRequest &request)
 {
     const SteadyTime now = this->clock.now();
-    asked.sent = now;
-    const PlacementQuery &query = asked.query;
-    PlacementAsk ask;
-    ask.from = this->peers.self();
-    ask.ticket = ticket;
-    ask.service = query.service.value();
-    ask.isBatch = query.work == WorkClass::Batch;
-    ask.priority = query.priority;
-    ask.waited = millisecondsOf(now - query.arrived);
-    ask.objective = millisecondsOf(query.due - query.arrived);
-    ask.timeout = millisecondsOf(query.deadline - now);
-    ask.failureDomain = this->own;
-    ask.content = query.content;
-    ask.mayRefuse = query.mayRefuse;
-    ask.avoided = query.avoided;
-    ask.connected = query.connected;
-    ask.version = query.version;
-    ask.soleVersionFor = query.soleVersionFor;
-    this->tellDispatcher(query.service, ask);
+    request.lastSent = now;
+    const PlacementQuery &query = request.query;
+    PlacementAsk slotRequest;
+    slotRequest.from = this->peers.self();
+    slotRequest.ticket = ticket;
+    slotRequest.service = query.service.value();
+    slotRequest.isBatch = query.work == WorkClass::Batch;
+    slotRequest.priority = query.priority;
+    slotRequest.waited = millisecondsOf(now - query.arrived);
+    slotRequest.objective = millisecondsOf(query.due - query.arrived);
+    slotRequest.timeout = millisecondsOf(query.deadline - now);
+    slotRequest.failureDomain = this->ownDomain;
+    slotRequest.content = query.content;
+    slotRequest.mayRefuse = query.mayRefuse;
+    slotRequest.avoided = query.avoided;
+    slotRequest.connected = query.connected;
+    slotRequest.version = query.version;
+    slotRequest.soleVersionFor = query.soleVersionFor;
+    this->sendToDispatcher(query.service, slotRequest);
 }
 
 template <typename Message>
-void PlacementClient::tellDispatcher(const ServiceName &service, const Message &message)
+void PlacementClient::sendToDispatcher(const ServiceName &service, const Message &message)
 {
     const Member *const other = this->server.otherDispatcher(service);
     if (other != nullptr) {
@@ -140,10 +141,10 @@
     this->server.take(message);
 }
 
-void PlacementClient::placeLocally(Ticket ticket, Asked &asked)
+void PlacementClient::placeLocally(Ticket ticket, OpenRequest &request)
 {
-    ServiceState &state = this->stateOf(asked.query.service);
-    PlacementQuery &query = asked.query;
+    ServiceState &state = this->stateOf(request.query.service);
+    PlacementQuery &query = request.query;
     if (query.soleVersionFor.count() > 0) {
         const std::optional<SoftwareVersion> sole
             = query.knowsAllReplicas ? this->server.soleVersion(query.service, query.soleVersionFor) : std::nullopt;
@@ -154,18 +155,18 @@
         query.version = *sole;
         query.soleVersionFor = std::chrono::milliseconds(0);
     }
-    const std::optional<EndpointName> chosen = state.local.choose(this->own, query);
-    if (!chosen) {
+    const std::optional<EndpointName> selected = state.local.choose(this->ownDomain, query);
+    if (!selected) {
         if (!state.isDispatched && !query.version.value().empty()) {
             this->refuseLater(ticket, query);
         }
         return;
     }
-    asked.isLocal = true;
-    asked.replica = *chosen;
-    state.local.begin(*chosen);
+    request.isLocal = true;
+    request.replica = *selected;
+    state.local.begin(*selected);
     this->fallbackCount += state.isDispatched ? 1 : 0;
-    this->decideLater(ticket, {.decision = PlacementDecision::Placed, .replica = *chosen, .isOwnChoice = true});
+    this->decideLater(ticket, {.decision = PlacementDecision::Placed, .replica = *selected, .isPlacedLocally = true});
 }
 
 void PlacementClient::refuseLater(Ticket ticket, const PlacementQuery &query)
@@ -185,69 +186,69 @@
 
 void PlacementClient::end(Ticket ticket, PlacementVerdict verdict)
 {
-    const auto found = this->tickets.find(ticket);
-    if (found == this->tickets.end()) {
+    const auto found = this->requests.find(ticket);
+    if (found == this->requests.end()) {
         return;
     }
-    const Asked asked = std::move(found->second);
-    this->tickets.erase(found);
-    ServiceState &state = this->stateOf(asked.query.service);
-    if (asked.isLocal) {
-        state.local.end(*asked.replica, verdict);
+    const OpenRequest request = std::move(found->second);
+    this->requests.erase(found);
+    ServiceState &state = this->stateOf(request.query.service);
+    if (request.isLocal) {
+        state.local.end(*request.replica, verdict);
     }
     if (state.isDispatched) {
-        this->sendEnd(ticket, asked.query.service, verdict);
+        this->sendEnd(ticket, request.query.service, verdict);
     }
 }
 
 void PlacementClient::sendEnd(Ticket ticket, const ServiceName &service, PlacementVerdict verdict)
 {
-    this->tellDispatcher(service, PlacementEnd{this->peers.self(), ticket, service.value(), verdict, false});
+    this->sendToDispatcher(service, PlacementEnd{this->peers.self(), ticket, service.value(), verdict, false});
 }
 
 void PlacementClient::reportStarted(Ticket ticket, const ReportedLoad &load)
 {
-    const auto found = this->tickets.find(ticket);
-    if (found == this->tickets.end() || !found->second.replica) {
+    const auto found = this->requests.find(ticket);
+    if (found == this->requests.end() || !found->second.replica) {
         return;
     }
     const ServiceName &service = found->second.query.service;
     if (!this->stateOf(service).isDispatched) {
         return;
     }
-    this->tellDispatcher(service, PlacementBegun{service.value(), *found->second.replica, load, false});
+    this->sendToDispatcher(service, PlacementBegun{service.value(), *found->second.replica, load, false});
 }
 
 void PlacementClient::decide(Ticket ticket, const Placement &placement)
 {
-    const auto found = this->tickets.find(ticket);
-    if (found == this->tickets.end()) {
+    const auto found = this->requests.find(ticket);
+    if (found == this->requests.end()) {
         return;
     }
-    const Decided decided = found->second.decided;
+    const DecisionHandler decided = found->second.decided;
     decided(placement);
 }
 
-void PlacementClient::takeAnswer(const PlacementAnswer &answer)
+void PlacementClient::handleAnswer(const PlacementAnswer &answer)
 {
     const ServiceName service(answer.service);
     this->stateOf(service).suspectedUntil = {};
-    const auto found = this->tickets.find(answer.ticket);
-    if (found == this->tickets.end()) {
-        // The request ended while this was on its way: the slot is given back.
+    const auto found = this->requests.find(answer.ticket);
+    if (found == this->requests.end()) {
+        // The request ended while the answer was in transit: the slot is released.
         if (answer.decision == PlacementDecision::Placed) {
             this->sendEnd(answer.ticket, service, PlacementVerdict::Finished);
         }
         return;
     }
-    Asked &asked = found->second;
-    asked.received = this->clock.now();
+    OpenRequest &request = found->second;
+    request.lastAnswer = this->clock.now();
     switch (answer.decision) {
     case PlacementDecision::Waiting:
         return;
     case PlacementDecision::Placed:
-        if (!asked.replica) {
-            asked.replica = answer.replica;
+        if (!request.replica) {
+            request.replica = answer.replica;
             this->decide(answer.ticket,
                          {.decision = PlacementDecision::Placed,
                           .replica = answer.replica,
@@ -257,12 +258,12 @@
         }
         return;
     case PlacementDecision::Refused:
-        if (!asked.replica) {
+        if (!request.replica) {
             this->decide(answer.ticket, {.decision = PlacementDecision::Refused, .retryAfter = answer.retryAfter});
         }
         return;
     case PlacementDecision::Stopped:
-        if (asked.replica) {
+        if (request.replica) {
             this->decide(answer.ticket, {.decision = PlacementDecision::Stopped});
         }
         return;
@@ -272,74 +273,74 @@
 void PlacementClient::tick()
 {
     std::vector<Ticket> open;
-    for (const auto &[ticket, asked] : this->tickets) {
-        if (!asked.replica) {
+    for (const auto &[ticket, request] : this->requests) {
+        if (!request.replica) {
             open.push_back(ticket);
         }
     }
     for (const Ticket ticket : open) {
-        const auto found = this->tickets.find(ticket);
-        if (found != this->tickets.end()) {
-            this->tickTicket(ticket, found->second);
+        const auto found = this->requests.find(ticket);
+        if (found != this->requests.end()) {
+            this->tickRequest(ticket, found->second);
         }
     }
     this->server.tick();
     for (auto &[service, state] : this->services) {
         if (state.isDispatched && this->clock.now() - state.lastReport >= reportInterval) {
-            this->report(service, state);
+            this->reportRunning(service, state);
         }
     }
 }
 
-void PlacementClient::tickTicket(Ticket ticket, Asked &asked)
+void PlacementClient::tickRequest(Ticket ticket, OpenRequest &request)
 {
-    ServiceState &state = this->stateOf(asked.query.service);
+    ServiceState &state = this->stateOf(request.query.service);
     const SteadyTime now = this->clock.now();
     if (!state.isDispatched) {
-        this->placeLocally(ticket, asked);
+        this->placeLocally(ticket, request);
         return;
     }
-    const bool isUnanswered = !asked.received && now - asked.firstSent > askTimeout;
-    const bool isSilent = asked.received && now - *asked.received > waitTimeout;
-    if ((isUnanswered || isSilent) && asked.query.work == WorkClass::Online) {
+    const bool isUnanswered = !request.lastAnswer && now - request.firstSent > answerTimeout;
+    const bool isUnresponsive = request.lastAnswer && now - *request.lastAnswer > waitingTimeout;
+    if ((isUnanswered || isUnresponsive) && request.query.work == WorkClass::Online) {
         if (now >= state.suspectedUntil) {
             log(LogLevel::Warning,
                 "dispatcher does not answer, placing by own counts",
-                {{"service", asked.query.service.value()}, {"waited_ms", millisecondsOf(now - asked.firstSent).count()}});
-            this->server.suspectDispatcher(asked.query.service);
+                {{"service", request.query.service.value()}, {"waited_ms", millisecondsOf(now - request.firstSent).count()}});
+            this->server.suspectDispatcher(request.query.service);
         }
         state.suspectedUntil = now + suspicionTime;
-        this->placeLocally(ticket, asked);
-        if (asked.replica) {
+        this->placeLocally(ticket, request);
+        if (request.replica) {
             return;
         }
-        // This node knows no replica that will do; whoever dispatches next may.
+        // This node knows no suitable replica; the next dispatcher may know one.
     }
-    const bool isBatch = asked.query.work == WorkClass::Batch;
-    const std::chrono::milliseconds answeredRepeat = isBatch ? batchWaitRepeat : waitRepeat;
-    if (now - asked.sent >= (asked.received ? answeredRepeat : askRepeat)) {
-        this->sendAsk(ticket, asked);
+    const bool isBatch = request.query.work == WorkClass::Batch;
+    const std::chrono::milliseconds answeredResendInterval = isBatch ? batchResendInterval : waitingResendInterval;
+    if (now - request.lastSent >= (request.lastAnswer ? answeredResendInterval : resendInterval)) {
+        this->sendRequest(ticket, request);
     }
 }
 
-void PlacementClient::report(const ServiceName &service, ServiceState &state)
+void PlacementClient::reportRunning(const ServiceName &service, ServiceState &state)
 {
     state.lastReport = this->clock.now();
     PlacementsRunning running;
     running.from = this->peers.self();
     running.service = service.value();
     running.lastTicket = this->lastTicket;
-    for (const auto &[ticket, asked] : this->tickets) {
-        if (asked.query.service == service && asked.replica) {
-            running.running.push_back({ticket, *asked.replica, asked.query.work == WorkClass::Batch});
+    for (const auto &[ticket, request] : this->requests) {
+        if (request.query.service == service && request.replica) {
+            running.running.push_back({ticket, *request.replica, request.query.work == WorkClass::Batch});
         }
     }
-    const bool isNews = !running.running.empty() || state.hadRunning;
+    const bool isReportNeeded = !running.running.empty() || state.hadRunning;
     state.hadRunning = !running.running.empty();
-    if (!isNews) {
+    if (!isReportNeeded) {
         return;
     }
-    this->tellDispatcher(service, running);
+    this->sendToDispatcher(service, running);
 }
 
 void PlacementClient::setView(const MemberViewPointer &view)
@@ -347,7 +348,7 @@
     this->server.setView(view);
 }
 
-void PlacementClient::takeDispatcher(const ServiceName &service)
+void PlacementClient::handleDispatcherChange(const ServiceName &service)
 {
     ServiceState &state = this->stateOf(service);
     if (!state.isDispatched) {
@@ -358,8 +359,8 @@
         "dispatcher changed",
         {{"service", service.value()}, {"dispatcher_vm", dispatcher != nullptr ? dispatcher->vm.value() : std::string()}});
     state.suspectedUntil = {};
-    // The new one has to know what runs before it fills the replicas a second time.
-    this->report(service, state);
+    // The new dispatcher has to know which requests run, or it would fill the replicas a second time.
+    this->reportRunning(service, state);
 }
 
 void PlacementClient::receive(const Datagram &datagram)
@@ -369,7 +370,7 @@
         return;
     }
     if (const auto answer = decode<PlacementAnswer>(datagram.payload)) {
-        this->takeAnswer(*answer);
+        this->handleAnswer(*answer);
     }
 }
 
--- a/Services/Gateway/PlacementClient.h
+++ b/Services/Gateway/PlacementClient.h
@@ -19,103 +19,103 @@
 namespace Dogwoodkeel
 {
 
-/** Where a request was placed, or why not. */
+/** The decision on a slot request. */
 struct Placement
 {
     PlacementDecision decision = PlacementDecision::Placed;
-    /** With Placed. */
+    /** Set for Placed. */
     EndpointName replica;
-    /** With Placed, where a dispatcher gave the place: of that replica, which this node may not know. */
+    /** Set for Placed if a dispatcher selected the replica: its attributes, as this node may not know it. */
     EndpointName registeredName{};
     Address address{};
     SoftwareVersion version{};
-    /** With Refused. */
+    /** Set for Refused. */
     std::chrono::milliseconds retryAfter{0};
-    /** Whether this node chose by its own counts, because it heard of no dispatcher. */
-    bool isOwnChoice = false;
+    /** Whether this node selected the replica by its own counts, without a dispatcher. */
+    bool isPlacedLocally = false;
 };
 
-/** A request that wants a place, as its node knows it. */
+/** A request that needs a slot at a replica. */
 struct PlacementQuery : PlacementTraits
 {
     ServiceName service;
     /**
-     * Of a stream whose version nobody knows: it may have begun so long ago. It goes on only if the service has had one version
-     * since. Else 0.
+     * For a stream whose version is unknown: how long ago it may have started. It is resumed only if the service has had a
+     * single version since then. Else 0.
      */
     std::chrono::milliseconds soleVersionFor{0};
-    /** Whether this node knows all replicas, and so their versions, also without a dispatcher. */
+    /** Whether this node knows all replicas, and thus their versions, without a dispatcher. */
     bool knowsAllReplicas = false;
 };
 
 /**
- * Gets places at replicas for the requests of this node.
+ * Requests slots at replicas for the requests of this node.
  *
- * A node that gets no answer from a service's dispatcher in some tens of milliseconds places its online requests by its own
- * counts: a dispatcher that is lost, paused or cut off delays callers by no more than that. Batch items wait.
+ * If a service's dispatcher does not answer within some tens of milliseconds, this node places its online requests by its own
+ * counts. A dispatcher that is lost, paused or cut off thus delays callers by no more than that. Batch items wait.
  */
 class PlacementClient
 {
 public:
     using Ticket = std::uint64_t;
-    /** Told Placed or Refused once; and Stopped after Placed if a batch item has to make room. */
-    using Decided = std::function<void(const Placement &)>;
+    /** Called once with Placed or Refused, and after Placed with Stopped if a batch item has to release its slot. */
+    using DecisionHandler = std::function<void(const Placement &)>;
 
-    /** @param describe see PlacementServer::Hooks */
+    /** @param findReplica see PlacementServer::Hooks */
     PlacementClient(EventLoop &loop,
                     const Clock &clock,
                     PeerNetwork &peers,
-                    DutyKeeper &duties,
-                    FailureDomain own,
-                    PlacementServer::Describe describe);
+                    DutyKeeper &elections,
+                    FailureDomain ownDomain,
+                    PlacementServer::FindReplica findReplica);
     ~PlacementClient();
     PlacementClient(const PlacementClient &) = delete;
     PlacementClient &operator=(const PlacementClient &) = delete;
 
-    /** The replicas of a service, and whether places are given by a dispatcher or by each node itself. */
+    /** Sets the replicas of a service, and whether a dispatcher or each node itself places its requests. */
     void setService(const ServiceName &service, const std::vector<DispatchReplica> &replicas, bool isDispatched);
 
-    /** What changed among the replicas of a service that was set. */
+    /** Applies changes to the replicas of a service that was set. */
     void updateService(const ServiceName &service, const ReplicaUpdate &update);
 
-    /** Ask for a place. The answer never comes from inside this call. */
-    Ticket requestSlot(const PlacementQuery &query, Decided decided);
+    /** Requests a slot. The handler is never called from inside this call. */
+    Ticket requestSlot(const PlacementQuery &query, DecisionHandler decided);
 
-    /** The request is over, or wants no place any more. */
+    /** Ends a request that is complete or no longer needs a slot. */
     void end(Ticket ticket, PlacementVerdict verdict);
 
-    /** A placed request's replica has begun to answer, and said how much it has. */
+    /** Reports to the dispatcher that the replica of a placed request has started to answer, and the load that it stated. */
     void reportStarted(Ticket ticket, const ReportedLoad &load);
 
-    /** The members changed. */
+    /** Sets the members after a change. */
     void setView(const MemberViewPointer &view);
 
-    /** Look after what time brings, several times in the time that a dispatcher has to answer. */
+    /** Resends requests, handles timeouts and reports running requests. Must be called several times per answer timeout. */
     void tick();
 
-    /** A datagram about placements. */
+    /** Handles a datagram about placements. */
     void receive(const Datagram &datagram);
 
-    /** @return what this node's dispatcher for a service has, or nothing if there is none. */
+    /** @return the load of this node's dispatcher for a service, or nothing if this node has none. */
     std::optional<Dispatcher::Load> dispatcherLoad(const ServiceName &service) const;
 
-    /** @return who dispatches a service, or null if nobody does. */
+    /** @return the member that dispatches a service, or null if there is none. */
     const Member *dispatcherOf(const ServiceName &service) const;
 
-    /** @return requests that this node placed by itself because the dispatcher did not answer. */
+    /** @return how many requests this node placed by its own counts because the dispatcher did not answer. */
     std::uint64_t fallbacks() const;
 
 private:
-    struct Asked
+    struct OpenRequest
     {
         PlacementQuery query;
-        Decided decided;
-        SteadyTime sent{};
+        DecisionHandler decided;
+        SteadyTime lastSent{};
         SteadyTime firstSent{};
-        /** When the dispatcher last said that it waits. */
-        std::optional<SteadyTime> received;
+        /** When the dispatcher last answered. */
+        std::optional<SteadyTime> lastAnswer;
         std::optional<EndpointName> replica;
-        /** Placed by this node alone. */
+        /** Whether this node placed it by its own counts. */
         bool isLocal = false;
     };
 
@@ -123,33 +123,33 @@
     {
         bool isDispatched = false;
         LocalPlacement local;
-        /** Until then the dispatcher is taken to be away. */
+        /** Until then the dispatcher is considered unavailable. */
         SteadyTime suspectedUntil{};
         SteadyTime lastReport{};
         bool hadRunning = false;
     };
 
     ServiceState &stateOf(const ServiceName &service);
-    void sendAsk(Ticket ticket, Asked &asked);
-    /** Tell whoever dispatches the service; this node itself if there is no other. */
+    void sendRequest(Ticket ticket, OpenRequest &request);
+    /** Sends a message to the dispatcher of a service, or handles it on this node if no other one dispatches. */
     template <typename Message>
-    void tellDispatcher(const ServiceName &service, const Message &message);
+    void sendToDispatcher(const ServiceName &service, const Message &message);
     void sendEnd(Ticket ticket, const ServiceName &service, PlacementVerdict verdict);
-    void placeLocally(Ticket ticket, Asked &asked);
+    void placeLocally(Ticket ticket, OpenRequest &request);
     void decide(Ticket ticket, const Placement &placement);
     void decideLater(Ticket ticket, const Placement &placement);
     void refuseLater(Ticket ticket, const PlacementQuery &query);
-    void tickTicket(Ticket ticket, Asked &asked);
-    void report(const ServiceName &service, ServiceState &state);
-    void takeAnswer(const PlacementAnswer &answer);
-    void takeDispatcher(const ServiceName &service);
+    void tickRequest(Ticket ticket, OpenRequest &request);
+    void reportRunning(const ServiceName &service, ServiceState &state);
+    void handleAnswer(const PlacementAnswer &answer);
+    void handleDispatcherChange(const ServiceName &service);
 
     EventLoop &loop;
     const Clock &clock;
     PeerNetwork &peers;
-    FailureDomain own;
+    FailureDomain ownDomain;
     std::map<ServiceName, ServiceState> services;
-    std::map<Ticket, Asked> tickets;
+    std::map<Ticket, OpenRequest> requests;
     Ticket lastTicket = 0;
     std::uint64_t fallbackCount = 0;
     PlacementServer server;
--- a/Services/Gateway/PlacementServer.cpp
+++ b/Services/Gateway/PlacementServer.cpp
@@ -11,23 +11,23 @@
 namespace
 {
 
-/** How long a dispatcher that this node should not be is kept after it was asked last: by then its placements are forgotten. */
-constexpr std::chrono::milliseconds strayKept{2000};
+/** How long a dispatcher that this node should not run is kept after the last request: by then its placements have expired. */
+constexpr std::chrono::milliseconds strayRetention{2000};
 
-/** How often a dispatcher tells what it has: often enough to see a burst, and a line a second for each service of a fleet. */
-constexpr std::chrono::milliseconds loadLineInterval{1000};
+/** How often a dispatcher logs its load: often enough to show a burst, and one line a second for each service of the fleet. */
+constexpr std::chrono::milliseconds loadLogInterval{1000};
 
-/** @return where the node is that asks or reports; another one may have passed it on. */
+/** @return the address of the node that sent a request or report, which another node may have forwarded. */
 template <typename Message>
-Address askerOf(const Datagram &datagram, const Message &message)
+Address clientAddress(const Datagram &datagram, const Message &message)
 {
     return message.replyTo != Address() ? message.replyTo : datagram.from;
 }
 
 } // namespace
 
-PlacementServer::PlacementServer(EventLoop &loop, const Clock &clock, PeerNetwork &peers, DutyKeeper &duties, Hooks hooks)
-    : loop(loop), clock(clock), peers(peers), duties(duties), hooks(std::move(hooks)), view(peers.dutyView())
+PlacementServer::PlacementServer(EventLoop &loop, const Clock &clock, PeerNetwork &peers, DutyKeeper &elections, Hooks hooks)
+    : loop(loop), clock(clock), peers(peers), elections(elections), hooks(std::move(hooks)), view(peers.dutyView())
 {
 }
 
@@ -40,8 +40,8 @@
 {
     const auto [state, isNew] = this->services.try_emplace(service, this->clock);
     if (isNew) {
-        this->duties.follow(service.value(), [this, service](const DutyKeeper::Move &move) {
-            this->takeMove(service, move.former);
+        this->elections.follow(service.value(), [this, service](const DutyKeeper::Move &move) {
+            this->handleDispatcherChange(service, move.former);
         });
     }
     return state->second;
@@ -87,160 +87,161 @@
 {
     this->view = view;
     for (auto &[service, state] : this->services) {
-        this->dropGoneAskers(state);
+        this->dropDepartedClients(state);
     }
 }
 
-void PlacementServer::takeMove(const ServiceName &service, SessionNumber former)
+void PlacementServer::handleDispatcherChange(const ServiceName &service, SessionNumber former)
 {
     if (former == this->peers.self()) {
-        // What it knew is told to the new one by those who ask and run; kept, it would go on to give places away.
+        // The nodes report their requests to the new dispatcher. If this one were kept, it would continue to assign slots.
         ServiceState &state = this->stateOf(service);
         state.dispatcher.reset();
-        state.askers.clear();
+        state.clients.clear();
     }
-    this->hooks.moved(service);
+    this->hooks.dispatcherChanged(service);
 }
 
 void PlacementServer::suspectDispatcher(const ServiceName &service)
 {
-    this->duties.suspectHolder(service.value());
+    this->elections.suspectHolder(service.value());
 }
 
 const Member *PlacementServer::dispatcherOf(const ServiceName &service) const
 {
-    return this->duties.holder(service.value());
+    return this->elections.holder(service.value());
 }
 
 const Member *PlacementServer::otherDispatcher(const ServiceName &service) const
 {
-    return this->duties.otherHolder(service.value());
+    return this->elections.otherHolder(service.value());
 }
 
-void PlacementServer::dropGoneAskers(ServiceState &state)
+void PlacementServer::dropDepartedClients(ServiceState &state)
 {
     if (!state.dispatcher) {
         return;
     }
-    std::erase_if(state.askers, [this, &state](const auto &asker) {
-        const bool isGone = asker.first != this->peers.self() && this->view->find(asker.first) == nullptr;
-        if (isGone) {
-            state.dispatcher->dropNode(asker.first);
+    std::erase_if(state.clients, [this, &state](const auto &client) {
+        const bool hasDeparted = client.first != this->peers.self() && this->view->find(client.first) == nullptr;
+        if (hasDeparted) {
+            state.dispatcher->dropNode(client.first);
         }
-        return isGone;
+        return hasDeparted;
     });
 }
 
 void PlacementServer::receive(const Datagram &datagram)
 {
     if (datagram.number == PlacementAsk::number) {
-        const auto ask = decode<PlacementAsk>(datagram.payload);
-        if (ask && !this->passOn(datagram, *ask)) {
-            this->take(*ask, askerOf(datagram, *ask));
+        const auto slotRequest = decode<PlacementAsk>(datagram.payload);
+        if (slotRequest && !this->forward(datagram, *slotRequest)) {
+            this->handle(*slotRequest, clientAddress(datagram, *slotRequest));
         }
     } else if (datagram.number == PlacementEnd::number) {
         if (const auto end = decode<PlacementEnd>(datagram.payload)) {
-            this->passOn(*end);
-            // Until a moment ago the dispatcher may have been here.
-            this->take(*end);
+            this->forward(*end);
+            // This node may have been the dispatcher until a moment ago.
+            this->handle(*end);
         }
     } else if (datagram.number == PlacementBegun::number) {
-        const auto begun = decode<PlacementBegun>(datagram.payload);
-        if (begun && !this->passOn(*begun)) {
-            this->take(*begun);
+        const auto started = decode<PlacementBegun>(datagram.payload);
+        if (started && !this->forward(*started)) {
+            this->handle(*started);
         }
     } else if (datagram.number == PlacementsRunning::number) {
         const auto report = decode<PlacementsRunning>(datagram.payload);
-        if (report && !this->passOn(datagram, *report)) {
-            this->take(*report, askerOf(datagram, *report));
+        if (report && !this->forward(datagram, *report)) {
+            this->handle(*report, clientAddress(datagram, *report));
         }
     }
 }
 
-// A node that still holds this one for the dispatcher has not heard of a newer member. What it sends is passed on, once: were it
-// served here, two dispatchers would each fill all replicas, and what is over their slots would wait in their queues.
+// Forwards, once, a message of a node that does not know the current dispatcher yet and takes this node for it. If it were
+// handled here, two dispatchers would each fill all replicas, and the requests beyond their slots would wait in the replicas'
+// queues.
 template <typename Message>
-bool PlacementServer::passOn(const Datagram &datagram, const Message &message)
+bool PlacementServer::forward(const Datagram &datagram, const Message &message)
 {
-    const bool isPassedOn = message.replyTo != Address();
-    const Member *const dispatcher = isPassedOn ? nullptr : this->otherDispatcher(ServiceName(message.service));
+    const bool isForwarded = message.replyTo != Address();
+    const Member *const dispatcher = isForwarded ? nullptr : this->otherDispatcher(ServiceName(message.service));
     if (dispatcher == nullptr) {
         return false;
     }
-    Message passed = message;
-    passed.replyTo = datagram.from;
-    this->peers.datagrams().send(dispatcher->gossip, passed);
-    this->duties.tellClaim(datagram.from, message.service);
+    Message forwarded = message;
+    forwarded.replyTo = datagram.from;
+    this->peers.datagrams().send(dispatcher->gossip, forwarded);
+    this->elections.tellClaim(datagram.from, message.service);
     return true;
 }
 
-// As above, of messages that nobody answers.
+// The same for messages that are not answered.
 template <typename Message>
-bool PlacementServer::passOn(const Message &message)
+bool PlacementServer::forward(const Message &message)
 {
     const Member *const dispatcher = message.isPassedOn ? nullptr : this->otherDispatcher(ServiceName(message.service));
     if (dispatcher == nullptr) {
         return false;
     }
-    Message passed = message;
-    passed.isPassedOn = true;
-    this->peers.datagrams().send(dispatcher->gossip, passed);
+    Message forwarded = message;
+    forwarded.isPassedOn = true;
+    this->peers.datagrams().send(dispatcher->gossip, forwarded);
     return true;
 }
 
-void PlacementServer::take(const PlacementEnd &end)
+void PlacementServer::handle(const PlacementEnd &end)
 {
     if (Dispatcher *const dispatcher = this->findDispatcher(ServiceName(end.service))) {
         dispatcher->end({end.from, end.ticket}, end.verdict);
     }
 }
 
-void PlacementServer::take(const PlacementBegun &begun)
+void PlacementServer::handle(const PlacementBegun &started)
 {
-    if (Dispatcher *const dispatcher = this->findDispatcher(ServiceName(begun.service))) {
-        dispatcher->noteLoad(begun.replica, begun.load);
+    if (Dispatcher *const dispatcher = this->findDispatcher(ServiceName(started.service))) {
+        dispatcher->noteLoad(started.replica, started.load);
     }
 }
 
-void PlacementServer::take(const PlacementAsk &ask, const Address &asker)
+void PlacementServer::handle(const PlacementAsk &slotRequest, const Address &client)
 {
-    const ServiceName service(ask.service);
+    const ServiceName service(slotRequest.service);
     Dispatcher &dispatcher = this->dispatcherFor(service);
-    this->stateOf(service).lastAsked = this->clock.now();
-    this->stateOf(service).askers.insert_or_assign(ask.from, asker);
+    this->stateOf(service).lastRequest = this->clock.now();
+    this->stateOf(service).clients.insert_or_assign(slotRequest.from, client);
     const SteadyTime now = this->clock.now();
     PlacementRequest request;
-    request.id = {ask.from, ask.ticket};
-    request.work = ask.isBatch ? WorkClass::Batch : WorkClass::Online;
-    request.priority = ask.priority;
-    request.arrived = now - ask.waited;
-    request.due = request.arrived + ask.objective;
-    request.deadline = now + ask.timeout;
-    request.failureDomain = ask.failureDomain;
-    request.content = ask.content;
-    request.mayRefuse = ask.mayRefuse;
-    request.avoided = ask.avoided;
-    request.connected = ask.connected;
-    request.version = ask.version;
-    if (ask.soleVersionFor.count() > 0) {
-        const std::optional<SoftwareVersion> sole = this->soleVersion(service, ask.soleVersionFor);
+    request.id = {slotRequest.from, slotRequest.ticket};
+    request.work = slotRequest.isBatch ? WorkClass::Batch : WorkClass::Online;
+    request.priority = slotRequest.priority;
+    request.arrived = now - slotRequest.waited;
+    request.due = request.arrived + slotRequest.objective;
+    request.deadline = now + slotRequest.timeout;
+    request.failureDomain = slotRequest.failureDomain;
+    request.content = slotRequest.content;
+    request.mayRefuse = slotRequest.mayRefuse;
+    request.avoided = slotRequest.avoided;
+    request.connected = slotRequest.connected;
+    request.version = slotRequest.version;
+    if (slotRequest.soleVersionFor.count() > 0) {
+        const std::optional<SoftwareVersion> sole = this->soleVersion(service, slotRequest.soleVersionFor);
         if (!sole) {
-            const std::chrono::milliseconds retryAfter = ask.timeout / returnShare;
-            this->answer(service, request.id, {ask.ticket, ask.service, PlacementDecision::Refused, {}, retryAfter, {}, {}, {}});
+            const std::chrono::milliseconds retryAfter = slotRequest.timeout / returnShare;
+            this->answer(service, request.id, {slotRequest.ticket, slotRequest.service, PlacementDecision::Refused, {}, retryAfter, {}, {}, {}});
             return;
         }
         request.version = *sole;
     }
     if (!dispatcher.ask(request)) {
-        this->answer(service, request.id, {ask.ticket, ask.service, PlacementDecision::Waiting, {}, {}, {}, {}, {}});
+        this->answer(service, request.id, {slotRequest.ticket, slotRequest.service, PlacementDecision::Waiting, {}, {}, {}, {}, {}});
     }
 }
 
-void PlacementServer::take(const PlacementsRunning &report, const Address &asker)
+void PlacementServer::handle(const PlacementsRunning &report, const Address &client)
 {
     const ServiceName service(report.service);
     Dispatcher &dispatcher = this->dispatcherFor(service);
-    this->stateOf(service).askers.insert_or_assign(report.from, asker);
+    this->stateOf(service).clients.insert_or_assign(report.from, client);
     dispatcher.reconcile(report.from, report.lastTicket, report.running);
 }
 
@@ -282,7 +283,7 @@
 void PlacementServer::answerPlaced(const ServiceName &service, TicketId id, const EndpointName &instance)
 {
     PlacementAnswer placed{id.number, service.value(), PlacementDecision::Placed, instance, {}, {}, {}, {}};
-    if (const ServingReplica *const replica = this->hooks.describe(instance)) {
+    if (const ServingReplica *const replica = this->hooks.findReplica(instance)) {
         placed.address = replica->address;
         placed.registeredName = replica->registeredName;
         placed.version = replica->version;
@@ -295,15 +296,15 @@
     if (id.node == this->peers.self()) {
         this->loop.post([this, answer, alive = this->alive] {
             if (*alive) {
-                this->hooks.answerOwn(answer);
+                this->hooks.answerLocal(answer);
             }
         });
         return;
     }
     const ServiceState &state = this->stateOf(service);
-    const auto asker = state.askers.find(id.node);
-    if (asker != state.askers.end()) {
-        this->peers.datagrams().send(asker->second, answer);
+    const auto client = state.clients.find(id.node);
+    if (client != state.clients.end()) {
+        this->peers.datagrams().send(client->second, answer);
     }
 }
 
@@ -319,15 +320,15 @@
     if (!state.dispatcher) {
         return;
     }
-    const bool isOurs = this->otherDispatcher(service) == nullptr;
-    if (!isOurs && this->clock.now() - state.lastAsked > strayKept) {
-        // Made for what was passed on here by a node that named this one too early.
+    const bool isDispatchedHere = this->otherDispatcher(service) == nullptr;
+    if (!isDispatchedHere && this->clock.now() - state.lastRequest > strayRetention) {
+        // It was created for a message that was forwarded here by a node that took this one for the dispatcher too early.
         state.dispatcher.reset();
-        state.askers.clear();
+        state.clients.clear();
         return;
     }
     state.dispatcher->tick();
-    if (isOurs) {
+    if (isDispatchedHere) {
         this->logLoad(service, state);
     }
 }
@@ -335,10 +336,10 @@
 void PlacementServer::logLoad(const ServiceName &service, ServiceState &state)
 {
     const SteadyTime now = this->clock.now();
-    if (now < state.nextLoadLine) {
+    if (now < state.nextLoadLog) {
         return;
     }
-    state.nextLoadLine = now + loadLineInterval;
+    state.nextLoadLog = now + loadLogInterval;
     const Dispatcher::Load load = state.dispatcher->load();
     log(LogLevel::Info,
         "dispatcher load",
@@ -353,8 +354,8 @@
 std::optional<Dispatcher::Load> PlacementServer::load(const ServiceName &service) const
 {
     const auto found = this->services.find(service);
-    const bool hasOne = found != this->services.end() && found->second.dispatcher;
-    return hasOne ? std::optional(found->second.dispatcher->load()) : std::nullopt;
+    const bool hasDispatcher = found != this->services.end() && found->second.dispatcher;
+    return hasDispatcher ? std::optional(found->second.dispatcher->load()) : std::nullopt;
 }
 
 } // namespace Dogwoodkeel
--- a/Services/Gateway/PlacementServer.h
+++ b/Services/Gateway/PlacementServer.h
@@ -21,68 +21,69 @@
 {
 
 /**
- * Holds the dispatchers that this node is for all nodes, and brings to them what nodes say, its own included.
+ * Runs the dispatchers of this node, and delivers the messages of all nodes to them, including those of this node itself.
  *
- * Who dispatches a service keeps on doing so as long as it can, see ClaimedDuty. Nodes may name different ones for a moment: what
- * comes here for another dispatcher is passed on to it, once, and who sent it is told of the claim.
+ * A node that dispatches a service continues to do so as long as it can, see CoordinatorElection. For a moment, nodes may
+ * disagree about which one it is: a message for another dispatcher is forwarded to it, once, and its sender is notified of the
+ * claim.
  */
 class PlacementServer
 {
 public:
-    /** @return the replica of an instance, which whoever gets a place there is told of, or null if it is not known. */
-    using Describe = std::function<const ServingReplica *(const EndpointName &)>;
+    /** @return the replica of an instance, whose attributes are sent with a slot at it, or null if it is not known. */
+    using FindReplica = std::function<const ServingReplica *(const EndpointName &)>;
 
     struct Hooks
     {
-        /** Told of answers to this node itself; never from inside a call. */
-        std::function<void(const PlacementAnswer &)> answerOwn;
-        /** Another node dispatches a service now. */
-        std::function<void(const ServiceName &)> moved;
-        Describe describe;
+        /** Called with answers to this node itself; never from inside another call. */
+        std::function<void(const PlacementAnswer &)> answerLocal;
+        /** Called when another node has become the dispatcher of a service. */
+        std::function<void(const ServiceName &)> dispatcherChanged;
+        FindReplica findReplica;
     };
 
-    PlacementServer(EventLoop &loop, const Clock &clock, PeerNetwork &peers, DutyKeeper &duties, Hooks hooks);
+    PlacementServer(EventLoop &loop, const Clock &clock, PeerNetwork &peers, DutyKeeper &elections, Hooks hooks);
     ~PlacementServer();
     PlacementServer(const PlacementServer &) = delete;
     PlacementServer &operator=(const PlacementServer &) = delete;
 
-    /** The replicas of a service. */
+    /** Sets the replicas of a service. */
     void setReplicas(const ServiceName &service, const std::vector<DispatchReplica> &replicas);
 
-    /** What changed among the replicas of a service. */
+    /** Applies changes to the replicas of a service. */
     void updateReplicas(const ServiceName &service, const ReplicaUpdate &update);
 
-    /** The dispatcher of a service, if it is another node, does not answer this one. */
+    /** Reports that the dispatcher of a service, if it is another node, does not answer this one. */
     void suspectDispatcher(const ServiceName &service);
 
-    /** The members changed, see PeerNetwork::dutyView(). */
+    /** Sets the members that may have roles, after a change; see PeerNetwork. */
     void setView(const MemberViewPointer &view);
 
-    /** @return who dispatches a service, or null if nobody can. */
+    /** @return the member that dispatches a service, or null if there is none. */
     const Member *dispatcherOf(const ServiceName &service) const;
 
-    /** @return the node to ask for places, or null if it is this one, or there is none and this one has to do. */
+    /** @return the member to request slots from, or null if this node is the dispatcher, or acts as one because there is none. */
     const Member *otherDispatcher(const ServiceName &service) const;
 
     /**
-     * What a node says while this one dispatches the service.
-     * @param asker where that node is; not needed of this node itself
+     * Handles a message of a node while this one dispatches the service.
+     * @param client address of that node; not needed for this node itself
      */
-    void take(const PlacementAsk &ask, const Address &asker = {});
-    void take(const PlacementsRunning &report, const Address &asker = {});
-    void take(const PlacementEnd &end);
-    void take(const PlacementBegun &begun);
+    void handle(const PlacementAsk &slotRequest, const Address &client = {});
+    void handle(const PlacementsRunning &report, const Address &client = {});
+    void handle(const PlacementEnd &end);
+    void handle(const PlacementBegun &started);
 
-    /** A datagram of another node. */
+    /** Handles a datagram of another node. */
     void receive(const Datagram &datagram);
 
-    /** Look after what time brings. */
+    /** Runs the periodic work of the dispatchers, and drops those that are no longer needed here. */
     void tick();
 
-    /** @return the version that all replicas of a service that this node knew have had for a period, see VersionHistory. */
+    /** @return the only version that known replicas of a service have had for a period, see VersionHistory. */
     std::optional<SoftwareVersion> soleVersion(const ServiceName &service, std::chrono::milliseconds period) const;
 
-    /** @return what this node's dispatcher for a service has, or nothing if there is none. */
+    /** @return the load of this node's dispatcher for a service, or nothing if this node has none. */
     std::optional<Dispatcher::Load> load(const ServiceName &service) const;
 
 private:
@@ -92,28 +93,28 @@
         {
         }
 
-        /** For the dispatcher, if this node comes to have it. */
+        /** Given to the dispatcher when this node creates one. */
         std::unordered_map<EndpointName, DispatchReplica> replicas;
-        /** Of these replicas, and of those before them. */
+        /** Versions of these and of former replicas. */
         VersionHistory versions;
-        /** Made when somebody asks this node. */
+        /** Created when this node first handles a request or report for the service. */
         std::unique_ptr<Dispatcher> dispatcher;
-        /** Where the nodes that ask this dispatcher are. */
-        std::map<SessionNumber, Address> askers;
-        SteadyTime lastAsked{};
-        SteadyTime nextLoadLine{};
+        /** Addresses of the nodes that use this dispatcher. */
+        std::map<SessionNumber, Address> clients;
+        SteadyTime lastRequest{};
+        SteadyTime nextLoadLog{};
     };
 
     ServiceState &stateOf(const ServiceName &service);
     void dropReplica(ServiceState &state, const EndpointName &instance);
-    void takeMove(const ServiceName &service, SessionNumber former);
+    void handleDispatcherChange(const ServiceName &service, SessionNumber former);
     void tickDispatcher(const ServiceName &service, ServiceState &state);
     void logLoad(const ServiceName &service, ServiceState &state);
-    void dropGoneAskers(ServiceState &state);
+    void dropDepartedClients(ServiceState &state);
     template <typename Message>
-    bool passOn(const Datagram &datagram, const Message &message);
+    bool forward(const Datagram &datagram, const Message &message);
     template <typename Message>
-    bool passOn(const Message &message);
+    bool forward(const Message &message);
     Dispatcher *findDispatcher(const ServiceName &service);
     Dispatcher &dispatcherFor(const ServiceName &service);
     void answerPlaced(const ServiceName &service, TicketId id, const EndpointName &instance);
@@ -122,7 +123,7 @@
     EventLoop &loop;
     const Clock &clock;
     PeerNetwork &peers;
-    DutyKeeper &duties;
+    DutyKeeper &elections;
     Hooks hooks;
     std::map<ServiceName, ServiceState> services;
     MemberViewPointer view;
--- a/Services/Gateway/StreamOriginExchange.cpp
+++ b/Services/Gateway/StreamOriginExchange.cpp
@@ -13,14 +13,15 @@
 namespace
 {
 
-/** Members that remember a stream: more than one, as many nodes may be lost at once. */
-constexpr std::size_t holdersOfStream = 4;
-/** Members that are asked: more than remember it, as those that ask and those that told may see different members. */
-constexpr std::size_t membersAsked = 8;
-/** A datagram that was lost is sent again after this: several round trips between failure domains. */
-constexpr std::chrono::milliseconds askRepeat{40};
-/** Whoever has not answered by then is away. Half of the shortest objective that callers have for a first event. */
-constexpr std::chrono::milliseconds askTimeout{150};
+/** Members that store a stream's origin: more than one, as many nodes may be lost at once. */
+constexpr std::size_t membersPerStream = 4;
+/** Members that are queried: more than store the origin, as the nodes that query and publish it may know different members. */
+constexpr std::size_t membersQueried = 8;
+/** An unanswered datagram is sent again after this: several round trips between failure domains. */
+constexpr std::chrono::milliseconds resendInterval{40};
+/** A member that has not answered by then is considered unavailable. Half of the shortest objective that callers have for a first
+ * event. */
+constexpr std::chrono::milliseconds queryTimeout{150};
 
 std::uint64_t keyOf(const std::string &requestId)
 {
@@ -33,19 +34,19 @@
 {
 }
 
-void StreamOriginExchange::note(const std::string &requestId, const StreamOrigin &origin, std::chrono::milliseconds lifetime)
+void StreamOriginExchange::record(const std::string &requestId, const StreamOrigin &origin, std::chrono::milliseconds lifetime)
 {
     const std::uint64_t request = keyOf(requestId);
     this->origins.note(request, origin, lifetime);
     const MemberViewPointer view = this->peers.view();
-    for (const Member *const holder : spreadMembers(*view, request, holdersOfStream)) {
-        if (holder->session != this->peers.self()) {
-            this->peers.datagrams().send(holder->gossip, StreamBegun{request, origin.service.value(), origin.version, lifetime});
+    for (const Member *const member : spreadMembers(*view, request, membersPerStream)) {
+        if (member->session != this->peers.self()) {
+            this->peers.datagrams().send(member->gossip, StreamBegun{request, origin.service.value(), origin.version, lifetime});
         }
     }
 }
 
-StreamOriginExchange::Ticket StreamOriginExchange::find(const std::string &requestId, Found found)
+StreamOriginExchange::Ticket StreamOriginExchange::find(const std::string &requestId, FoundHandler found)
 {
     const std::uint64_t request = keyOf(requestId);
     const std::optional<StreamOrigin> known = this->origins.find(request);
@@ -54,34 +55,34 @@
         found(known);
         return ticket;
     }
-    Question question{request, std::move(found), this->clock.now(), {}, {}};
+    Query query{request, std::move(found), this->clock.now(), {}, {}};
     const MemberViewPointer view = this->peers.view();
-    for (const Member *const member : spreadMembers(*view, request, membersAsked)) {
+    for (const Member *const member : spreadMembers(*view, request, membersQueried)) {
         if (member->session != this->peers.self()) {
-            question.silent.insert(member->session);
+            query.pendingMembers.insert(member->session);
         }
     }
-    const auto entry = this->questions.emplace(ticket, std::move(question)).first;
-    if (entry->second.silent.empty()) {
+    const auto entry = this->queries.emplace(ticket, std::move(query)).first;
+    if (entry->second.pendingMembers.empty()) {
         this->finish(entry, std::nullopt);
     } else {
-        this->ask(ticket, entry->second);
+        this->sendQuery(ticket, entry->second);
     }
     return ticket;
 }
 
 void StreamOriginExchange::cancel(Ticket ticket)
 {
-    this->questions.erase(ticket);
+    this->queries.erase(ticket);
 }
 
-void StreamOriginExchange::ask(Ticket ticket, Question &question)
+void StreamOriginExchange::sendQuery(Ticket ticket, Query &query)
 {
-    question.sent = this->clock.now();
+    query.sent = this->clock.now();
     const MemberViewPointer view = this->peers.view();
-    for (const SessionNumber session : question.silent) {
+    for (const SessionNumber session : query.pendingMembers) {
         if (const Member *const member = view->find(session)) {
-            this->peers.datagrams().send(member->gossip, StreamOriginQuestion{ticket, question.request});
+            this->peers.datagrams().send(member->gossip, StreamOriginQuestion{ticket, query.request});
         }
     }
 }
@@ -89,19 +90,19 @@
 void StreamOriginExchange::tick()
 {
     const SteadyTime now = this->clock.now();
-    std::vector<Ticket> unanswered;
-    for (auto &[ticket, question] : this->questions) {
-        if (now - question.asked >= askTimeout) {
-            unanswered.push_back(ticket);
-        } else if (now - question.sent >= askRepeat) {
-            this->ask(ticket, question);
+    std::vector<Ticket> timedOut;
+    for (auto &[ticket, query] : this->queries) {
+        if (now - query.started >= queryTimeout) {
+            timedOut.push_back(ticket);
+        } else if (now - query.sent >= resendInterval) {
+            this->sendQuery(ticket, query);
         }
     }
-    // Whoever is told may cancel other questions.
-    for (const Ticket ticket : unanswered) {
-        const auto question = this->questions.find(ticket);
-        if (question != this->questions.end()) {
-            this->finish(question, std::nullopt);
+    // The handler may cancel other queries.
+    for (const Ticket ticket : timedOut) {
+        const auto query = this->queries.find(ticket);
+        if (query != this->queries.end()) {
+            this->finish(query, std::nullopt);
         }
     }
 }
@@ -109,27 +110,27 @@
 bool StreamOriginExchange::receive(const Datagram &datagram)
 {
     if (datagram.number == StreamBegun::number) {
-        if (const auto begun = decode<StreamBegun>(datagram.payload)) {
-            this->origins.note(begun->request, {ServiceName(begun->service), begun->version}, begun->lifetime);
+        if (const auto message = decode<StreamBegun>(datagram.payload)) {
+            this->origins.note(message->request, {ServiceName(message->service), message->version}, message->lifetime);
         }
     } else if (datagram.number == StreamOriginQuestion::number) {
-        this->answer(datagram);
+        this->answerQuery(datagram);
     } else if (datagram.number == StreamOriginAnswer::number) {
-        this->takeAnswer(datagram);
+        this->handleAnswer(datagram);
     } else {
         return false;
     }
     return true;
 }
 
-void StreamOriginExchange::answer(const Datagram &datagram)
+void StreamOriginExchange::answerQuery(const Datagram &datagram)
 {
-    const auto question = decode<StreamOriginQuestion>(datagram.payload);
-    if (!question) {
+    const auto query = decode<StreamOriginQuestion>(datagram.payload);
+    if (!query) {
         return;
     }
-    StreamOriginAnswer answer{this->peers.self(), question->ticket, false, {}, {}};
-    if (const std::optional<StreamOrigin> origin = this->origins.find(question->request)) {
+    StreamOriginAnswer answer{this->peers.self(), query->ticket, false, {}, {}};
+    if (const std::optional<StreamOrigin> origin = this->origins.find(query->request)) {
         answer.isKnown = true;
         answer.service = origin->service.value();
         answer.version = origin->version;
@@ -137,27 +138,27 @@
     this->peers.datagrams().send(datagram.from, answer);
 }
 
-void StreamOriginExchange::takeAnswer(const Datagram &datagram)
+void StreamOriginExchange::handleAnswer(const Datagram &datagram)
 {
     const auto answer = decode<StreamOriginAnswer>(datagram.payload);
-    const auto entry = answer ? this->questions.find(answer->ticket) : this->questions.end();
-    if (entry == this->questions.end()) {
+    const auto entry = answer ? this->queries.find(answer->ticket) : this->queries.end();
+    if (entry == this->queries.end()) {
         return;
     }
     if (answer->isKnown) {
         this->finish(entry, StreamOrigin{ServiceName(answer->service), answer->version});
         return;
     }
-    entry->second.silent.erase(answer->from);
-    if (entry->second.silent.empty()) {
+    entry->second.pendingMembers.erase(answer->from);
+    if (entry->second.pendingMembers.empty()) {
         this->finish(entry, std::nullopt);
     }
 }
 
-void StreamOriginExchange::finish(std::map<Ticket, Question>::iterator question, const std::optional<StreamOrigin> &origin)
+void StreamOriginExchange::finish(std::map<Ticket, Query>::iterator query, const std::optional<StreamOrigin> &origin)
 {
-    const Question answered = std::move(question->second);
-    this->questions.erase(question);
+    const Query answered = std::move(query->second);
+    this->queries.erase(query);
     answered.found(origin);
 }
 
--- a/Services/Gateway/StreamOriginExchange.h
+++ b/Services/Gateway/StreamOriginExchange.h
@@ -16,15 +16,17 @@
 {
 
 /**
- * Nodes remember for each other where streams began. A caller that loses its node takes its stream up at any other one, which
- * has to know the software version that began it. Each stream is told to a few members, chosen by its id and in different failure
- * domains, so that whoever takes it up knows whom to ask.
+ * Stores the origins of streams on several nodes, and finds the origin of a stream that a caller resumes.
+ *
+ * A caller that loses its node resumes its stream at any other node, which has to know the software version that started it. The
+ * origin of each stream is sent to a few members in different failure domains. They are selected by the stream's id, so that any
+ * node knows which members to query.
  */
 class StreamOriginExchange
 {
 public:
-    /** Told where the stream began, or nothing if nobody knows. */
-    using Found = std::function<void(const std::optional<StreamOrigin> &)>;
+    /** Called with the origin of the stream, or with nothing if no queried member knows it. */
+    using FoundHandler = std::function<void(const std::optional<StreamOrigin> &)>;
     using Ticket = std::uint64_t;
 
     StreamOriginExchange(const Clock &clock, PeerNetwork &peers);
@@ -32,49 +34,50 @@
     StreamOriginExchange &operator=(const StreamOriginExchange &) = delete;
 
     /**
-     * A stream has begun here; called before its caller gets the first event.
-     * @param requestId of the attempt that brings the first event
-     * @param lifetime how long the caller may come again
+     * Records a stream that was started here and sends its origin to other members. Must be called before the caller gets the
+     * first event.
+     * @param requestId id of the attempt that brings the first event
+     * @param lifetime how long the caller may resume the stream
      */
-    void note(const std::string &requestId, const StreamOrigin &origin, std::chrono::milliseconds lifetime);
+    void record(const std::string &requestId, const StreamOrigin &origin, std::chrono::milliseconds lifetime);
 
     /**
-     * Find out where a stream began. The answer may come from inside the call.
-     * @return by which the question can be cancelled; of no use once it is answered
+     * Finds the origin of a stream. The handler may be called from inside this call.
+     * @return a ticket by which the query can be cancelled until it is answered
      */
-    Ticket find(const std::string &requestId, Found found);
+    Ticket find(const std::string &requestId, FoundHandler found);
 
     void cancel(Ticket ticket);
 
-    /** Ask again whom no answer came from, and give up what nobody answers; called often. */
+    /** Repeats queries to members that have not answered, and ends those that timed out; must be called often. */
     void tick();
 
-    /** @return whether the datagram was for this class. */
+    /** Handles a datagram. @return whether it was for this class */
     bool receive(const Datagram &datagram);
 
-    /** @return how many streams this node remembers. */
+    /** @return how many streams this node stores the origin of. */
     std::size_t count() const;
 
 private:
-    struct Question
+    struct Query
     {
         std::uint64_t request = 0;
-        Found found;
-        SteadyTime asked{};
+        FoundHandler found;
+        SteadyTime started{};
         SteadyTime sent{};
-        /** Those that have not answered. */
-        std::set<SessionNumber> silent;
+        /** Members that have not answered. */
+        std::set<SessionNumber> pendingMembers;
     };
 
-    void ask(Ticket ticket, Question &question);
-    void answer(const Datagram &datagram);
-    void takeAnswer(const Datagram &datagram);
-    void finish(std::map<Ticket, Question>::iterator question, const std::optional<StreamOrigin> &origin);
+    void sendQuery(Ticket ticket, Query &query);
+    void answerQuery(const Datagram &datagram);
+    void handleAnswer(const Datagram &datagram);
+    void finish(std::map<Ticket, Query>::iterator query, const std::optional<StreamOrigin> &origin);
 
     const Clock &clock;
     PeerNetwork &peers;
     StreamOrigins origins;
-    std::map<Ticket, Question> questions;
+    std::map<Ticket, Query> queries;
     Ticket lastTicket = 0;
 };
 
