--- a/Services/Gateway/OnlineCall.cpp
+++ b/Services/Gateway/OnlineCall.cpp
@@ -306,9 +306,10 @@
     query.version = this->startedVersion;
     query.soleVersionFor = this->soleVersionFor;
     query.knowsAllReplicas = this->context.replicaList.isWhole() && this->context.replicaList.age() <= maxFreshListAge;
-    this->placementTicket = this->context.placements.requestSlot(query, [self = this->shared_from_this()](const Placement &placement) {
-        self->handlePlacement(placement);
-    });
+    this->placementTicket
+        = this->context.placements.requestSlot(query, [self = this->shared_from_this()](const Placement &placement) {
+              self->handlePlacement(placement);
+          });
 }
 
 void OnlineCall::handlePlacement(const Placement &placement)
@@ -338,7 +339,8 @@
 void OnlineCall::handleRefusal(std::chrono::milliseconds retryAfter)
 {
     const bool needsVersion = !this->startedVersion.value().empty() || this->soleVersionFor.count() > 0;
-    const std::string_view reason = needsVersion ? "no replica of the version that began the stream" : "no replica has capacity in time";
+    const std::string_view reason
+        = needsVersion ? "no replica of the version that began the stream" : "no replica has capacity in time";
     if (this->attempts > 0) {
         this->fail(reason);
         return;
--- a/Services/Gateway/PlacementServer.cpp
+++ b/Services/Gateway/PlacementServer.cpp
@@ -227,13 +227,16 @@
         const std::optional<SoftwareVersion> sole = this->soleVersion(service, slotRequest.soleVersionFor);
         if (!sole) {
             const std::chrono::milliseconds retryAfter = slotRequest.timeout / returnShare;
-            this->answer(service, request.id, {slotRequest.ticket, slotRequest.service, PlacementDecision::Refused, {}, retryAfter, {}, {}, {}});
+            this->answer(service,
+                         request.id,
+                         {slotRequest.ticket, slotRequest.service, PlacementDecision::Refused, {}, retryAfter, {}, {}, {}});
             return;
         }
         request.version = *sole;
     }
     if (!dispatcher.ask(request)) {
-        this->answer(service, request.id, {slotRequest.ticket, slotRequest.service, PlacementDecision::Waiting, {}, {}, {}, {}, {}});
+        this->answer(
+            service, request.id, {slotRequest.ticket, slotRequest.service, PlacementDecision::Waiting, {}, {}, {}, {}, {}});
     }
 }
 
--- a/Services/Gateway/PlacementServer.h
+++ b/Services/Gateway/PlacementServer.h
@@ -56,7 +56,7 @@
     /** Reports that the dispatcher of a service, if it is another node, does not answer this one. */
     void suspectDispatcher(const ServiceName &service);
 
-    /** Sets the members that may have roles, after a change; see PeerNetwork. */
+    /** Sets the members among which roles are assigned, after a change; see PeerNetwork. */
     void setView(const MemberViewPointer &view);
 
     /** @return the member that dispatches a service, or null if there is none. */
--- a/Tests/ServiceGateway/TestCrashNotices.cpp
+++ b/Tests/ServiceGateway/TestCrashNotices.cpp
@@ -26,11 +26,11 @@
 
 } // namespace
 
-// Notices of crashes go to the members that are there: one that comes later would hand the request to one replica after another.
+// Crashes are published only to the members present. A node that joins later would send the request to one replica after another.
 TEST_CASE("a request that crashed three replicas is refused by a node that was started after the crashes")
 {
     Running running([](GatewayBench &bench) {
-        // One more than crash: a replica crashes once.
+        // One replica more than crashes, as each replica crashes once.
         for (int number = 0; number <= crashes; ++number) {
             const std::string name = "i-" + std::to_string(number);
             bench.addReplica(name, "api", [&bench, name](const std::shared_ptr<CallerExchange> &exchange) {
@@ -39,7 +39,7 @@
             });
         }
     });
-    const auto ran = [&running] {
+    const auto runCount = [&running] {
         return running.host.ask<std::size_t>([](GatewayBench &bench) {
             std::size_t count = 0;
             for (const std::unique_ptr<StandInReplica> &replica : bench.replicas) {
@@ -55,7 +55,7 @@
         });
     }
     CHECK(has(sendTo(running.address(&Gateway::callerAddress)), "HTTP/1.1 503"));
-    REQUIRE(ran() == crashes);
+    REQUIRE(runCount() == crashes);
     running.host.ask<bool>([](GatewayBench &bench) {
         bench.startOther();
         return true;
@@ -65,14 +65,14 @@
             return bench.gateway->readyMembers() == 2 && bench.other->readyMembers() == 2;
         });
     });
-    const auto other = [&running](const Address &(Gateway::*which)() const) {
+    const auto otherAddress = [&running](const Address &(Gateway::*which)() const) {
         return running.host.ask<Address>([which](GatewayBench &bench) {
             return (bench.other.get()->*which)();
         });
     };
-    await([&other] {
-        return has(metricsOf(other(&Gateway::metricsAddress)), "requests_with_crashes\"} 1");
+    await([&otherAddress] {
+        return has(metricsOf(otherAddress(&Gateway::metricsAddress)), "requests_with_crashes\"} 1");
     });
-    CHECK(has(sendTo(other(&Gateway::callerAddress)), "HTTP/1.1 503"));
-    CHECK(ran() == crashes);
+    CHECK(has(sendTo(otherAddress(&Gateway::callerAddress)), "HTTP/1.1 503"));
+    CHECK(runCount() == crashes);
 }
--- a/Tests/ServiceGateway/TestPlacementPassOn.cpp
+++ b/Tests/ServiceGateway/TestPlacementPassOn.cpp
@@ -11,38 +11,39 @@
 namespace
 {
 
-/** A node of which the others know nothing, and what it was answered. */
-struct Asker
+/** A node that is no member, and the senders of the answers that it received. */
+struct SlotClient
 {
-    explicit Asker(GatewayBench &bench)
+    explicit SlotClient(GatewayBench &bench)
         : socket(bench.loop, {"127.0.0.1", 0}, MessageKey(bench.settings.peers.siteKey), [this](const Datagram &datagram) {
             if (datagram.number == PlacementAnswer::number) {
-                this->answeredBy.push_back(datagram.from);
+                this->answerSenders.push_back(datagram.from);
             }
         })
     {
     }
 
     DatagramSocket socket;
-    std::vector<Address> answeredBy;
+    std::vector<Address> answerSenders;
 };
 
-PlacementAsk askFor(const std::string &service)
+PlacementAsk slotRequestFor(const std::string &service)
 {
-    PlacementAsk ask;
-    ask.from = SessionNumber(77);
-    ask.ticket = 1;
-    ask.service = service;
-    ask.objective = std::chrono::seconds(10);
-    ask.timeout = std::chrono::seconds(10);
-    return ask;
+    PlacementAsk slotRequest;
+    slotRequest.from = SessionNumber(77);
+    slotRequest.ticket = 1;
+    slotRequest.service = service;
+    slotRequest.objective = std::chrono::seconds(10);
+    slotRequest.timeout = std::chrono::seconds(10);
+    return slotRequest;
 }
 
 } // namespace
 
-// All nodes have just started, and some have not heard yet of the one that is to dispatch: they ask another. If that one gave
-// places as well, each replica would get twice what it has slots for, and callers would wait in its queue for their first event.
-TEST_CASE("a node that is asked in the dispatcher's stead passes the question on")
+// All nodes have just started, and some do not know the dispatcher yet and send their slot requests to another node. If that node
+// assigned slots as well, each replica would get twice as many requests as it has slots, and callers would wait in its queue for
+// their first event.
+TEST_CASE("a node that is not the dispatcher forwards slot requests to it")
 {
     Running running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", ignore);
@@ -53,10 +54,10 @@
             return bench.gateway->readyMembers() == 2 && bench.other->readyMembers() == 2;
         });
     });
-    auto asker = running.host.ask<std::shared_ptr<Asker>>([](GatewayBench &bench) {
-        return std::make_shared<Asker>(bench);
+    auto client = running.host.ask<std::shared_ptr<SlotClient>>([](GatewayBench &bench) {
+        return std::make_shared<SlotClient>(bench);
     });
-    // Which of the two dispatches is up to who claimed it first; both have to name the same one.
+    // Either of the two may dispatch, depending on which claimed the role first; both have to name the same one.
     std::optional<Address> dispatcher;
     await([&running, &dispatcher] {
         return running.host.ask<bool>([&dispatcher](GatewayBench &bench) {
@@ -72,24 +73,24 @@
     running.host.ask<bool>([&](GatewayBench &bench) {
         const MemberViewPointer view = bench.gateway->dutyView();
         for (const Member &member : view->members()) {
-            asker->socket.send(member.gossip, askFor("llm"));
+            client->socket.send(member.gossip, slotRequestFor("llm"));
         }
         return true;
     });
     await([&] {
-        return running.host.ask<bool>([&asker](GatewayBench &) {
-            return asker->answeredBy.size() >= 2;
+        return running.host.ask<bool>([&client](GatewayBench &) {
+            return client->answerSenders.size() >= 2;
         });
     });
     running.host.ask<bool>([&](GatewayBench &) {
-        for (const Address &from : asker->answeredBy) {
+        for (const Address &from : client->answerSenders) {
             CHECK(from == *dispatcher);
         }
-        asker->answeredBy.clear();
+        client->answerSenders.clear();
         return true;
     });
-    running.host.ask<bool>([asker = std::move(asker)](GatewayBench &) mutable {
-        asker.reset();
+    running.host.ask<bool>([client = std::move(client)](GatewayBench &) mutable {
+        client.reset();
         return true;
     });
 }
--- a/Tests/ServiceGateway/TestRepeatedCrashes.cpp
+++ b/Tests/ServiceGateway/TestRepeatedCrashes.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** A request is refused once it has crashed so many replicas. */
+/** Number of crashed replicas after which a request is refused. */
 constexpr int crashesToRefuse = 3;
 
 bool isCrashing(const MessageHead &head)
@@ -21,11 +21,11 @@
     return has(head.target, "crash");
 }
 
-/** A node before a service whose replicas end, and come back under other names, as a test says. */
-class EndingReplicas : public Running
+/** A gateway with a service whose replicas a test stops, and starts again under other names. */
+class StoppableReplicas : public Running
 {
 public:
-    explicit EndingReplicas(std::string service)
+    explicit StoppableReplicas(std::string service)
         : Running([&service](GatewayBench &bench) {
             bench.addReplica("i-other", service == "api" ? "llm" : "api", &streamWhole);
         })
@@ -33,38 +33,38 @@
     {
     }
 
-    /** Start a replica that ends under the first crashing request, unless a test makes it wait. */
+    /** Starts a replica that stops at the first crashing request, or as stopTogether() says. */
     std::string startReplica()
     {
         std::string name = "i-" + std::to_string(++this->lastReplica);
         this->host.ask<bool>([this, &name](GatewayBench &bench) {
             bench.addReplica(name, this->service, [this, &bench, name](const std::shared_ptr<CallerExchange> &exchange) {
-                this->take(bench, name, exchange);
+                this->handle(bench, name, exchange);
             });
             return true;
         });
         return name;
     }
 
-    /** Crashing requests wait at their replicas until so many are there, and end all of these at the same moment. */
-    void endTogether(std::size_t requests)
+    /** Holds crashing requests at their replicas until this many have arrived, and then stops all of these replicas at once. */
+    void stopTogether(std::size_t requests)
     {
         this->host.ask<bool>([this, requests](GatewayBench &) {
-            this->together = requests;
+            this->stoppedTogether = requests;
             return true;
         });
     }
 
-    /** Replicas break off, but live on: the network has reset their connections. */
-    void liveOn()
+    /** Lets replicas close their connections but continue to run, as after a network reset. */
+    void keepReplicasRunning()
     {
         this->host.ask<bool>([this](GatewayBench &) {
-            this->endsReplicas = false;
+            this->stopsReplicas = false;
             return true;
         });
     }
 
-    /** Whether requests end the replicas that run them. */
+    /** Sets whether requests crash the replicas that run them. */
     void setCrashing(bool isCrashing)
     {
         this->host.ask<bool>([this, isCrashing](GatewayBench &) {
@@ -73,7 +73,7 @@
         });
     }
 
-    /** @return how many crashing requests reached replicas. */
+    /** @return how many crashing requests have reached replicas. */
     std::size_t crashingRuns()
     {
         return this->host.ask<std::size_t>([](GatewayBench &bench) {
@@ -85,23 +85,23 @@
         });
     }
 
-    /** Wait until so many breaks were judged, as crashes or otherwise. */
-    void awaitJudged(int count)
+    /** Waits until this many lost connections were classified, as crashes or otherwise. */
+    void awaitClassified(int count)
     {
         await([this, count] {
-            return this->counted("request met a crash") + this->counted("request met a broken connection") >= count;
+            return this->eventCount("request met a crash") + this->eventCount("request met a broken connection") >= count;
         });
     }
 
-    int counted(const std::string &event)
+    int eventCount(const std::string &event)
     {
         const std::string text = this->metrics();
         const std::string label = event + "\"} ";
-        const std::size_t place = text.find(label);
-        return place == std::string::npos ? 0 : std::stoi(text.substr(place + label.size()));
+        const std::size_t position = text.find(label);
+        return position == std::string::npos ? 0 : std::stoi(text.substr(position + label.size()));
     }
 
-    /** Send a request, without reading its answer. */
+    /** Sends a request without reading its answer. */
     std::unique_ptr<RawConnection> send(const std::string &target)
     {
         auto caller = std::make_unique<RawConnection>(this->address(&Gateway::callerAddress));
@@ -110,35 +110,35 @@
         return caller;
     }
 
-    /** Let a request crash replicas until it lacks one crash to be refused. */
-    void crashAllButOnce(const std::string &target)
+    /** Lets a request crash replicas until one more crash would get it refused. */
+    void crashOneShortOfRefusal(const std::string &target)
     {
         for (int crash = 1; crash < crashesToRefuse; ++crash) {
             this->startReplica();
             CHECK(this->send(target)->readAll().starts_with("HTTP/1.1 502"));
-            this->awaitJudged(crash);
+            this->awaitClassified(crash);
         }
     }
 
 private:
-    struct Held
+    struct HeldRequest
     {
         std::string replica;
         std::shared_ptr<CallerExchange> exchange;
     };
 
-    void take(GatewayBench &bench, const std::string &name, const std::shared_ptr<CallerExchange> &exchange)
+    void handle(GatewayBench &bench, const std::string &name, const std::shared_ptr<CallerExchange> &exchange)
     {
         if (!this->crashes) {
             exchange->send(200, signedHeaders(exchange), "ok");
             return;
         }
         this->held.push_back({name, exchange});
-        if (this->held.size() < this->together) {
+        if (this->held.size() < this->stoppedTogether) {
             return;
         }
-        for (const Held &entry : std::exchange(this->held, {})) {
-            if (this->endsReplicas) {
+        for (const HeldRequest &entry : std::exchange(this->held, {})) {
+            if (this->stopsReplicas) {
                 bench.endReplica(entry.replica);
             }
             entry.exchange->breakOff();
@@ -148,29 +148,29 @@
     std::string service;
     int lastReplica = 0;
     int lastRequest = 0;
-    std::size_t together = 1;
-    bool endsReplicas = true;
+    std::size_t stoppedTogether = 1;
+    bool stopsReplicas = true;
     bool crashes = true;
-    std::vector<Held> held;
+    std::vector<HeldRequest> held;
 };
 
 } // namespace
 
-// Two copies of a request are at the third replica, and two more wait for a place at it: they would take a fourth one with them.
-TEST_CASE("a request that waits for a place is refused once its like has crashed three replicas")
+// Two copies of a request crash the third replica while two more wait for a slot there. Sent on, these would crash a fourth one.
+TEST_CASE("a request that waits for a slot is refused once copies of it have crashed three replicas")
 {
-    EndingReplicas running("llm");
-    running.crashAllButOnce("/o/crash");
+    StoppableReplicas running("llm");
+    running.crashOneShortOfRefusal("/o/crash");
     constexpr std::size_t slots = 2;
-    running.endTogether(slots);
+    running.stopTogether(slots);
     running.startReplica();
     std::vector<std::unique_ptr<RawConnection>> callers;
     callers.reserve(slots * 2);
     for (std::size_t copy = 0; copy < slots * 2; ++copy) {
         callers.push_back(running.send("/o/crash"));
     }
-    running.awaitJudged(crashesToRefuse);
-    running.endTogether(1);
+    running.awaitClassified(crashesToRefuse);
+    running.stopTogether(1);
     running.startReplica();
     int refused = 0;
     for (const std::unique_ptr<RawConnection> &caller : callers) {
@@ -181,43 +181,43 @@
     CHECK(running.crashingRuns() == crashesToRefuse - 1 + slots);
 }
 
-// A request may be repeated, and its own crash is the third: it would take another replica with it.
-TEST_CASE("a request whose own crash is the third is not repeated")
+// A request that may be repeated causes the third crash itself. Repeated, it would crash another replica.
+TEST_CASE("a request is not repeated if its own crash is the third")
 {
-    EndingReplicas running("api");
+    StoppableReplicas running("api");
     const auto first = running.send("/s/crash");
     for (int crash = 1; crash < crashesToRefuse; ++crash) {
         running.startReplica();
-        running.awaitJudged(crash);
+        running.awaitClassified(crash);
     }
     CHECK(first->readAll().starts_with("HTTP/1.1 502"));
     const auto second = running.send("/s/crash");
     running.startReplica();
-    running.awaitJudged(crashesToRefuse);
+    running.awaitClassified(crashesToRefuse);
     running.startReplica();
     CHECK(second->readAll().starts_with("HTTP/1.1 502"));
     CHECK(running.crashingRuns() == crashesToRefuse);
 }
 
-// Other replicas are there, and a repeat finds one before the crash that it has just met is counted.
-TEST_CASE("a request is repeated only once its last crash is judged if that may be the third")
+// Other replicas are available, so a repeat could be placed before the crash that the request has just met is counted.
+TEST_CASE("a request whose last crash may be the third is repeated only after that crash is classified")
 {
-    EndingReplicas running("api");
+    StoppableReplicas running("api");
     for (int replica = 0; replica <= crashesToRefuse; ++replica) {
         running.startReplica();
     }
     CHECK(running.send("/s/crash")->readAll().starts_with("HTTP/1.1 502"));
-    running.awaitJudged(crashesToRefuse - 1);
+    running.awaitClassified(crashesToRefuse - 1);
     CHECK(running.send("/s/crash")->readAll().starts_with("HTTP/1.1 502"));
-    running.awaitJudged(crashesToRefuse);
+    running.awaitClassified(crashesToRefuse);
     CHECK(running.crashingRuns() == crashesToRefuse);
 }
 
-// Two requests crash their replicas at the same moment, which looks like a reset of the network: neither would ever be refused.
-TEST_CASE("requests that crash two replicas at the same moment are refused after three of them each")
+// Two requests crash their replicas at the same moment. Taken for a network reset, neither would ever be refused.
+TEST_CASE("requests that crash two replicas at the same moment are refused after three crashes each")
 {
-    EndingReplicas running("api");
-    running.endTogether(2);
+    StoppableReplicas running("api");
+    running.stopTogether(2);
     for (int crash = 1; crash <= crashesToRefuse; ++crash) {
         running.startReplica();
         running.startReplica();
@@ -228,9 +228,9 @@
         const auto second = running.send("/u/crash/b");
         CHECK(first->readAll().starts_with("HTTP/1.1 502"));
         CHECK(second->readAll().starts_with("HTTP/1.1 502"));
-        running.awaitJudged(crash * 2);
+        running.awaitClassified(crash * 2);
     }
-    running.endTogether(1);
+    running.stopTogether(1);
     running.startReplica();
     running.startReplica();
     const std::size_t before = running.crashingRuns();
@@ -239,12 +239,12 @@
     CHECK(running.crashingRuns() == before);
 }
 
-// The network resets the connections of a node again and again: no request has crashed anything, and all are served afterwards.
+// The network resets the connections of a node repeatedly. No request has crashed a replica, so none is refused afterwards.
 TEST_CASE("requests whose connections to several replicas were reset at once are still served")
 {
-    EndingReplicas running("api");
-    running.liveOn();
-    running.endTogether(2);
+    StoppableReplicas running("api");
+    running.keepReplicasRunning();
+    running.stopTogether(2);
     running.startReplica();
     running.startReplica();
     constexpr int resets = 4;
@@ -253,23 +253,24 @@
         const auto second = running.send("/u/crash/b");
         CHECK(first->readAll().starts_with("HTTP/1.1 502"));
         CHECK(second->readAll().starts_with("HTTP/1.1 502"));
-        running.awaitJudged(reset * 2);
+        running.awaitClassified(reset * 2);
     }
     CHECK(running.crashingRuns() == resets * 2);
-    CHECK(running.counted("request met a crash") == 0);
+    CHECK(running.eventCount("request met a crash") == 0);
 }
 
-// A failure domain is lost with several replicas, each with a copy of a request that many callers send: it has crashed none.
-TEST_CASE("a request that was served a moment ago is served on after replicas that ran it ended together")
+// A failure domain is lost with several replicas, each of which runs a copy of a request that many callers send. The request is
+// not the cause.
+TEST_CASE("a request that was served recently is still served after several replicas that ran it stopped together")
 {
-    EndingReplicas running("api");
+    StoppableReplicas running("api");
     running.setCrashing(false);
     for (int replica = 0; replica < crashesToRefuse; ++replica) {
         running.startReplica();
     }
     CHECK(has(running.send("/u/crash")->readAll(), "ok"));
     running.setCrashing(true);
-    running.endTogether(crashesToRefuse);
+    running.stopTogether(crashesToRefuse);
     std::vector<std::unique_ptr<RawConnection>> copies;
     copies.reserve(crashesToRefuse);
     for (int copy = 0; copy < crashesToRefuse; ++copy) {
@@ -278,18 +279,18 @@
     for (const std::unique_ptr<RawConnection> &copy : copies) {
         CHECK(copy->readAll().starts_with("HTTP/1.1 502"));
     }
-    running.awaitJudged(crashesToRefuse);
+    running.awaitClassified(crashesToRefuse);
     running.setCrashing(false);
     running.startReplica();
     CHECK(has(running.send("/u/crash")->readAll(), "ok"));
 }
 
-// Items of one content run two at a time, and two more wait for a place: they would take a fourth replica with them.
-TEST_CASE("an item that waits for a place is held once its like has crashed three replicas")
+// Items of the same content run two at a time, and two more wait for a slot. Sent on, these would crash a fourth replica.
+TEST_CASE("a batch item that waits for a slot is held once copies of it have crashed three replicas")
 {
-    EndingReplicas running("llm");
+    StoppableReplicas running("llm");
     constexpr std::size_t slots = 2;
-    running.endTogether(slots);
+    running.stopTogether(slots);
     nlohmann::json items = nlohmann::json::array();
     for (const char *const id : {"a", "b", "c", "d"}) {
         items.push_back({{"id", id}, {"path", "/b/crash"}, {"body", ""}, {"tokens", 9}});
@@ -302,11 +303,11 @@
         });
     }
     await([&running] {
-        return running.counted("batch item held") >= static_cast<int>(slots);
+        return running.eventCount("batch item held") >= static_cast<int>(slots);
     });
     running.startReplica();
     await([&running] {
-        return running.counted("batch item held") >= static_cast<int>(slots * 2);
+        return running.eventCount("batch item held") >= static_cast<int>(slots * 2);
     });
     CHECK(running.crashingRuns() == crashesToRefuse * slots);
 }
--- a/Tests/ServiceGateway/TestStreamVersions.cpp
+++ b/Tests/ServiceGateway/TestStreamVersions.cpp
@@ -13,23 +13,23 @@
 {
 
 constexpr int rounds = 8;
-constexpr int brokenAfter = 2;
+constexpr int eventsBeforeLoss = 2;
 
-/** A replica that crashes in the middle of each stream that it begins, and completes those that go on at it. */
+/** Crashes in the middle of each stream that the replica starts, and completes resumed streams. */
 void crashUnlessResumed(const std::shared_ptr<CallerExchange> &exchange)
 {
     if (exchange->head().headers.find("Last-Event-Id")) {
         streamWhole(exchange);
         return;
     }
-    sendEvents(exchange, brokenAfter);
+    sendEvents(exchange, eventsBeforeLoss);
     exchange->breakOff();
 }
 
 /** Registers replicas whose versions alternate in the order of their names. */
-void addReplicas(GatewayBench &bench, int ofEachVersion, const StandInReplica::Script &script)
+void addReplicas(GatewayBench &bench, int replicasPerVersion, const StandInReplica::Script &script)
 {
-    for (int number = 1; number <= ofEachVersion; ++number) {
+    for (int number = 1; number <= replicasPerVersion; ++number) {
         for (const char *const version : {"v1", "v2"}) {
             bench.version = version;
             bench.addReplica("i-" + std::to_string(number) + "-" + version, "llm", script);
@@ -37,7 +37,7 @@
     }
 }
 
-/** @return the versions of the replicas that got a request with that id, and with a Last-Event-Id if it is asked for. */
+/** @return the versions of the replicas that received a request with this id, and with a Last-Event-Id or without, as asked. */
 std::multiset<std::string> versionsOf(Running &running, const std::string &id, bool isResumed)
 {
     return running.host.ask<std::multiset<std::string>>([&id, isResumed](GatewayBench &bench) {
@@ -54,13 +54,13 @@
     });
 }
 
-std::string requestHead(const std::string &id, const std::string &more)
+std::string requestHead(const std::string &id, const std::string &extraHeaders)
 {
-    return "POST /r/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\nX-Request-Id: " + id + "\r\nX-Deadline-Ms: 20000\r\n" + more
-        + "Content-Length: 0\r\n\r\n";
+    return "POST /r/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\nX-Request-Id: " + id + "\r\nX-Deadline-Ms: 20000\r\n"
+        + extraHeaders + "Content-Length: 0\r\n\r\n";
 }
 
-/** @return the usual configuration, in which streams may have begun no longer than a moment ago. */
+/** @return the usual configuration with route timeouts so short that a resumed stream can have started only recently. */
 std::string withShortTimeouts()
 {
     nlohmann::json configuration = nlohmann::json::parse(benchConfiguration);
@@ -70,13 +70,13 @@
     return configuration.dump();
 }
 
-/** Two nodes that know each other, before replicas of two versions. */
+/** Two nodes that know each other, with replicas of two versions. */
 class TwoNodes : public Running
 {
 public:
-    TwoNodes(int ofEachVersion, const StandInReplica::Script &script)
-        : Running([ofEachVersion, &script](GatewayBench &bench) {
-            addReplicas(bench, ofEachVersion, script);
+    TwoNodes(int replicasPerVersion, const StandInReplica::Script &script)
+        : Running([replicasPerVersion, &script](GatewayBench &bench) {
+            addReplicas(bench, replicasPerVersion, script);
             bench.startOther();
         })
     {
@@ -94,8 +94,8 @@
         });
     }
 
-    /** Begin a stream at the first node and read its first events. @return the version that began it */
-    std::string begin(RawConnection &caller, const std::string &id)
+    /** Starts a stream at the first node and reads its first events. @return the version that started it */
+    std::string startStream(RawConnection &caller, const std::string &id)
     {
         caller.send(requestHead(id, {}));
         caller.readUntil("id: 2\n");
@@ -104,8 +104,8 @@
         return *versions.begin();
     }
 
-    /** Take a stream up at the second node. @return the whole answer */
-    std::string takeUpAtOther(const std::string &id, const std::string &resumed)
+    /** Resumes a stream at the second node. @return the whole answer */
+    std::string resumeAtOther(const std::string &id, const std::string &resumed)
     {
         RawConnection caller(this->addressOfOther());
         caller.send(requestHead(id, "Resumes: " + resumed + "\r\nLast-Event-Id: 2\r\n"));
@@ -113,31 +113,31 @@
     }
 };
 
-/** A replica that leaves each stream that it begins open, and completes those that go on at it. */
-StandInReplica::Script openUnlessResumed(std::vector<std::shared_ptr<CallerExchange>> &held)
+/** @return a script that leaves each stream that the replica starts open, and completes resumed streams. */
+StandInReplica::Script openUnlessResumed(std::vector<std::shared_ptr<CallerExchange>> &openExchanges)
 {
-    return [&held](const std::shared_ptr<CallerExchange> &exchange) {
+    return [&openExchanges](const std::shared_ptr<CallerExchange> &exchange) {
         if (exchange->head().headers.find("Last-Event-Id")) {
             streamWhole(exchange);
             return;
         }
-        sendEvents(exchange, brokenAfter);
-        held.push_back(exchange);
+        sendEvents(exchange, eventsBeforeLoss);
+        openExchanges.push_back(exchange);
     };
 }
 
-void release(Running &running, std::vector<std::shared_ptr<CallerExchange>> &held)
+void release(Running &running, std::vector<std::shared_ptr<CallerExchange>> &openExchanges)
 {
-    running.host.ask<bool>([&held](GatewayBench &) {
-        held.clear();
+    running.host.ask<bool>([&openExchanges](GatewayBench &) {
+        openExchanges.clear();
         return true;
     });
 }
 
 } // namespace
 
-// A replica crashes in the middle of a stream while replicas of another version have room.
-TEST_CASE("a stream goes on only at the software version that began it")
+// A replica crashes in the middle of a stream while replicas of another version have free slots.
+TEST_CASE("a stream is resumed only at the software version that started it")
 {
     Running running([](GatewayBench &bench) {
         addReplicas(bench, 2, crashUnlessResumed);
@@ -153,8 +153,8 @@
     }
 }
 
-// The only replica of its version crashes: what another version would write does not fit.
-TEST_CASE("a stream whose software version is gone is broken off, and does not look complete")
+// The only replica of its version crashes. The output of another version would not fit what the caller has received.
+TEST_CASE("a stream whose software version is no longer available is cut off and does not appear complete")
 {
     Running running([](GatewayBench &bench) {
         addReplicas(bench, 1, crashUnlessResumed);
@@ -168,42 +168,42 @@
     CHECK(versionsOf(running, "q", true).empty());
 }
 
-// A caller loses its node and takes its streams up at another one.
-TEST_CASE("a stream that a caller takes up at another node goes on at the software version that began it")
+// A caller loses its node and resumes its streams at another one.
+TEST_CASE("a stream that a caller resumes at another node continues at the software version that started it")
 {
-    std::vector<std::shared_ptr<CallerExchange>> held;
-    TwoNodes running(2, openUnlessResumed(held));
+    std::vector<std::shared_ptr<CallerExchange>> openExchanges;
+    TwoNodes running(2, openUnlessResumed(openExchanges));
     for (int round = 0; round < rounds; ++round) {
-        const std::string first = "q" + std::to_string(round);
-        const std::string again = "r" + std::to_string(round);
+        const std::string firstId = "q" + std::to_string(round);
+        const std::string resumingId = "r" + std::to_string(round);
         RawConnection caller(running.address(&Gateway::callerAddress));
-        const std::string version = running.begin(caller, first);
-        const std::string answer = running.takeUpAtOther(again, first);
+        const std::string version = running.startStream(caller, firstId);
+        const std::string answer = running.resumeAtOther(resumingId, firstId);
         CHECK(has(answer, "id: 3\n"));
-        CHECK(versionsOf(running, again, true) == std::multiset<std::string>{version});
+        CHECK(versionsOf(running, resumingId, true) == std::multiset<std::string>{version});
     }
-    release(running, held);
+    release(running, openExchanges);
 }
 
-// Nobody knows where the stream began, and two versions serve: any of them may be the wrong one.
+// No node knows the stream's origin, and replicas of two versions serve: either may be the wrong one.
 TEST_CASE("a stream of unknown origin is refused at once while several software versions serve")
 {
-    std::vector<std::shared_ptr<CallerExchange>> held;
-    TwoNodes running(1, openUnlessResumed(held));
-    const std::string answer = running.takeUpAtOther("r", "unknown");
+    std::vector<std::shared_ptr<CallerExchange>> openExchanges;
+    TwoNodes running(1, openUnlessResumed(openExchanges));
+    const std::string answer = running.resumeAtOther("r", "unknown");
     CHECK(answer.starts_with("HTTP/1.1 503"));
     CHECK(has(answer, "Retry-After:"));
     CHECK(versionsOf(running, "r", true).empty());
-    release(running, held);
+    release(running, openExchanges);
 }
 
-// A batch item loses its replica, and only replicas of another version have room: its text must be of one version.
-TEST_CASE("a batch item whose software version is gone begins anew")
+// A batch item loses its replica, and only replicas of another version have free slots. Its whole text must be from one version.
+TEST_CASE("a batch item whose software version is no longer available is restarted")
 {
     Running running([](GatewayBench &bench) {
         addReplicas(bench, 1, [crashed = std::make_shared<bool>(false)](const std::shared_ptr<CallerExchange> &exchange) {
             if (!std::exchange(*crashed, true)) {
-                sendEvents(exchange, brokenAfter);
+                sendEvents(exchange, eventsBeforeLoss);
                 exchange->breakOff();
                 return;
             }
@@ -215,15 +215,15 @@
     await([&running] {
         return has(running.call("GET /lots/q1?afterRev=0"), R"("output":"t1\nt2\nt3","state":"completed")");
     });
-    const std::multiset<std::string> begun = versionsOf(running, "a", false);
+    const std::multiset<std::string> startedVersions = versionsOf(running, "a", false);
     for (const std::string &version : versionsOf(running, "a", true)) {
-        CHECK(begun.contains(version));
+        CHECK(startedVersions.contains(version));
     }
-    CHECK(begun.size() + versionsOf(running, "a", true).size() >= 2);
+    CHECK(startedVersions.size() + versionsOf(running, "a", true).size() >= 2);
 }
 
-// All nodes that knew where the stream began are lost, or its caller names no attempt; only one version has served since.
-TEST_CASE("a stream of unknown origin goes on while one software version serves")
+// All nodes that knew the stream's origin are lost, or its caller names no attempt. Only one version has served since it started.
+TEST_CASE("a stream of unknown origin is resumed while only one software version serves")
 {
     Running running([](GatewayBench &bench) {
         bench.configure(withShortTimeouts());
--- a/Tests/ServiceGateway/TestUnframedStreams.cpp
+++ b/Tests/ServiceGateway/TestUnframedStreams.cpp
@@ -14,27 +14,27 @@
 
 constexpr const char *unframedHead = "HTTP/1.1 200 OK\r\nX-Server-Signature: sig\r\nContent-Type: text/event-stream\r\n\r\n";
 
-/** A base, as the endpoints have to be there before the node is made. */
+/** A base class, as the endpoints have to exist before the node is created. */
 struct Endpoints
 {
     std::vector<std::unique_ptr<ScriptedEndpoint>> endpoints;
 };
 
-/** A node before replicas whose streams have neither a length nor chunks, and end with their connections. */
+/** A gateway whose replicas write streams without a length or chunks, which end when the connection is closed. */
 class UnframedReplicas : private Endpoints, public Running
 {
 public:
-    /** @param firstEnd what the first run writes behind its head before its replica crashes */
-    explicit UnframedReplicas(const std::string &firstEnd)
-        : Running([this, &firstEnd](GatewayBench &bench) {
+    /** @param firstBody what the first run writes after its head before its replica crashes */
+    explicit UnframedReplicas(const std::string &firstBody)
+        : Running([this, &firstBody](GatewayBench &bench) {
             const auto crashed = std::make_shared<bool>(false);
             for (const char *const instance : {"i-1", "i-2"}) {
                 this->endpoints.push_back(std::make_unique<ScriptedEndpoint>(
-                    bench.loop, [crashed, firstEnd](const std::shared_ptr<ScriptedEndpoint::Exchange> &exchange) {
+                    bench.loop, [crashed, firstBody](const std::shared_ptr<ScriptedEndpoint::Exchange> &exchange) {
                         exchange->raw(unframedHead);
                         const bool isResumed = has(exchange->head, "Last-Event-Id: 1");
                         if (!std::exchange(*crashed, true)) {
-                            exchange->raw(firstEnd);
+                            exchange->raw(firstBody);
                         } else {
                             exchange->raw(isResumed ? "" : "id: 1\ndata: t1\n\n");
                             exchange->raw("id: 2\ndata: t2\n\n");
@@ -65,8 +65,8 @@
 
 } // namespace
 
-// The connection ends as it does after a whole stream; only that an event is not whole tells of the crash.
-TEST_CASE("a stream without a length that ends inside an event goes on, and its replica has crashed")
+// The connection is closed as after a complete stream; only the incomplete event shows the crash.
+TEST_CASE("a stream without a length that ends inside an event is resumed, and its replica counts as crashed")
 {
     UnframedReplicas running("id: 1\ndata: t1\n\nid: 2\nda");
     const std::string answer = running.call("POST /r/x");
@@ -77,8 +77,8 @@
     running.awaitCrash();
 }
 
-// The replica crashes as it begins to write: nothing has come, and nothing of it is whole.
-TEST_CASE("a stream without a length that ends before its first event is not complete, and its replica has crashed")
+// The replica crashes when it starts to write, so the body is empty and contains no incomplete event.
+TEST_CASE("a stream without a length that ends before its first event is not complete, and its replica counts as crashed")
 {
     UnframedReplicas running("");
     const std::string answer = running.call("POST /r/x");
@@ -87,7 +87,7 @@
     running.awaitCrash();
 }
 
-TEST_CASE("a batch item's stream without a length that ends before its first event is not its output")
+TEST_CASE("a batch item's stream without a length that ends before its first event is not taken as its output")
 {
     UnframedReplicas running("");
     const nlohmann::json job{{"requests", {{{"id", "a"}, {"path", "/b/a"}, {"body", encodeBase64("x")}, {"tokens", 9}}}}};
