--- a/Services/Gateway/OnlineCall.cpp
+++ b/Services/Gateway/OnlineCall.cpp
@@ -487,11 +487,11 @@
     if (this->isStream() && isGood) {
         this->completeStream();
     } else {
-        this->completeWhole();
+        this->completeWholeAnswer();
     }
 }
 
-void OnlineCall::completeWhole()
+void OnlineCall::completeWholeAnswer()
 {
     this->recordPromptServed();
     this->context.recordRequestServed(this->fingerprint);
--- a/Services/Gateway/OnlineCall.h
+++ b/Services/Gateway/OnlineCall.h
@@ -28,7 +28,7 @@
 class OnlineCall final : public ReplicaAnswerHandler, public std::enable_shared_from_this<OnlineCall>
 {
 public:
-    /** @param access by the configuration; with a route */
+    /** @param access what the configuration grants the request; it has a route */
     OnlineCall(GatewayContext &context,
                ServingConfigurationPointer configuration,
                const Access &access,
@@ -79,7 +79,7 @@
     void handleBody(std::string_view data) override;
     void handleEvents(std::string_view data);
     void handleEnd(CallEnd end) override;
-    void completeWhole();
+    void completeWholeAnswer();
     bool isEmptyUnframed() const;
     void completeStream();
     void recover(PlacementVerdict verdict, std::string_view reason);
--- a/Services/Gateway/PlacementClient.cpp
+++ b/Services/Gateway/PlacementClient.cpp
@@ -138,7 +138,7 @@
         this->peers.datagrams().send(other->gossip, message);
         return;
     }
-    this->server.take(message);
+    this->server.handle(message);
 }
 
 void PlacementClient::placeLocally(Ticket ticket, OpenRequest &request)
--- a/Services/Gateway/PlacementServer.cpp
+++ b/Services/Gateway/PlacementServer.cpp
@@ -157,9 +157,8 @@
     }
 }
 
-// Forwards, once, a message of a node that does not know the current dispatcher yet and takes this node for it. If it were
-// handled here, two dispatchers would each fill all replicas, and the requests beyond their slots would wait in the replicas'
-// queues.
+// Forwards, once, a message of a node that does not know yet that another node is the dispatcher. If it were handled here, two
+// dispatchers would each fill all replicas, and the requests beyond their slots would wait in the replicas' queues.
 template <typename Message>
 bool PlacementServer::forward(const Datagram &datagram, const Message &message)
 {
@@ -325,7 +324,7 @@
     }
     const bool isDispatchedHere = this->otherDispatcher(service) == nullptr;
     if (!isDispatchedHere && this->clock.now() - state.lastRequest > strayRetention) {
-        // It was created for a message that was forwarded here by a node that took this one for the dispatcher too early.
+        // It was created for a message forwarded here by a node that considered this one the dispatcher too early.
         state.dispatcher.reset();
         state.clients.clear();
         return;
--- a/Tests/ServiceGateway/TestRepeatedCrashes.cpp
+++ b/Tests/ServiceGateway/TestRepeatedCrashes.cpp
@@ -33,7 +33,7 @@
     {
     }
 
-    /** Starts a replica that stops at the first crashing request, or as stopTogether() says. */
+    /** Starts a replica that stops when it gets a crashing request, or later if stopTogether() was called. */
     std::string startReplica()
     {
         std::string name = "i-" + std::to_string(++this->lastReplica);
@@ -213,7 +213,7 @@
     CHECK(running.crashingRuns() == crashesToRefuse);
 }
 
-// Two requests crash their replicas at the same moment. Taken for a network reset, neither would ever be refused.
+// Two requests crash their replicas at the same moment. Mistaken for a network reset, neither would ever be refused.
 TEST_CASE("requests that crash two replicas at the same moment are refused after three crashes each")
 {
     StoppableReplicas running("api");
--- a/Tests/ServiceGateway/TestStreamVersions.cpp
+++ b/Tests/ServiceGateway/TestStreamVersions.cpp
@@ -37,7 +37,7 @@
     }
 }
 
-/** @return the versions of the replicas that received a request with this id, and with a Last-Event-Id or without, as asked. */
+/** @return the versions of the replicas that received a request with this id, and with a Last-Event-Id only if it is resumed. */
 std::multiset<std::string> versionsOf(Running &running, const std::string &id, bool isResumed)
 {
     return running.host.ask<std::multiset<std::string>>([&id, isResumed](GatewayBench &bench) {
--- a/Tests/ServiceGateway/TestUnframedStreams.cpp
+++ b/Tests/ServiceGateway/TestUnframedStreams.cpp
@@ -87,7 +87,7 @@
     running.awaitCrash();
 }
 
-TEST_CASE("a batch item's stream without a length that ends before its first event is not taken as its output")
+TEST_CASE("a batch item's stream without a length that ends before its first event is not stored as its output")
 {
     UnframedReplicas running("");
     const nlohmann::json job{{"requests", {{{"id", "a"}, {"path", "/b/a"}, {"body", encodeBase64("x")}, {"tokens", 9}}}}};
