--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -158,10 +158,10 @@
                   this->recordDisconnect(run);
               },
               [this](const std::vector<PromptPart> &served) {
-                  this->crashExchange.noteServed(served);
+                  this->crashExchange.recordPromptServed(served);
               },
               [this](std::uint64_t fingerprint) {
-                  this->crashExchange.noteRequestServed(fingerprint);
+                  this->crashExchange.recordRequestServed(fingerprint);
               },
               this->random}
     , relayedStore(loop, clock, this->store, this->peers, this->storeClock, this->random())
@@ -387,7 +387,7 @@
     // One timer for each disconnect: a later one is classified later.
     this->loop.schedule(CrashHistory::classificationDelay, [this, alive = std::weak_ptr<bool>(this->alive)] {
         if (!alive.expired()) {
-            this->crashExchange.judgeBreaks();
+            this->crashExchange.classifyDisconnects();
         }
     });
 }
--- a/Services/Gateway/GatewayContext.h
+++ b/Services/Gateway/GatewayContext.h
@@ -22,33 +22,33 @@
 namespace Dogwoodkeel
 {
 
-/** What the parts of a gateway node that handle requests share. All live on one event loop. */
+/** Objects and callbacks that the classes of a gateway node share to handle requests. All run on one event loop. */
 struct GatewayContext
 {
     EventLoop &loop;
     const Clock &clock;
-    /** By it the ages of jobs are told. */
+    /** Clock of the store, from which the ages of jobs are computed. */
     const StoreClock &storeClock;
     /** Connections to replicas. */
-    OutboundPool &replicas;
+    OutboundPool &replicaConnections;
     PlacementClient &placements;
     QuotaService &quotas;
-    ReplicaFollower &listed;
+    ReplicaFollower &replicaList;
     GatewayMetrics &metrics;
-    CrashHistory &crashes;
-    StreamOriginExchange &origins;
-    PromptPartBlocklist &promptParts;
-    WaitingRequests &waiting;
-    /** A connection broke while a request ran on it: if its replica crashed, all nodes are told. */
-    std::function<void(const InterruptedRun &)> noteBreak;
-    /** A replica has served a prompt with these parts. */
-    std::function<void(const std::vector<PromptPart> &)> notePromptServed;
-    /** A replica has answered the request with this fingerprint whole. */
-    std::function<void(std::uint64_t)> noteRequestServed;
+    CrashHistory &crashHistory;
+    StreamOriginExchange &streamOrigins;
+    PromptPartBlocklist &promptPartBlocklist;
+    WaitingRequests &waitingRequests;
+    /** Records that the connection of a running request was lost. If its replica crashed, all nodes are notified. */
+    std::function<void(const InterruptedRun &)> recordDisconnect;
+    /** Records that a replica has served a prompt with these parts. */
+    std::function<void(const std::vector<PromptPart> &)> recordPromptServed;
+    /** Records that a replica has answered the request with this fingerprint completely. */
+    std::function<void(std::uint64_t)> recordRequestServed;
     std::minstd_rand &random;
-    /** By service, learned from this node's requests. */
-    std::map<ServiceName, FirstEventEstimate> firstEvents{};
-    std::map<ServiceName, ItemEstimate> itemRuns{};
+    /** Estimates by service, learned from this node's requests. */
+    std::map<ServiceName, FirstEventEstimate> firstEventEstimates{};
+    std::map<ServiceName, ItemEstimate> itemEstimates{};
 };
 
 } // namespace Dogwoodkeel
