--- a/Services/Gateway/PlacementServer.cpp
+++ b/Services/Gateway/PlacementServer.cpp
@@ -26,7 +26,8 @@
 
 } // namespace
 
-PlacementServer::PlacementServer(EventLoop &loop, const Clock &clock, PeerNetwork &peers, CoordinatorElections &duties, Hooks hooks)
+PlacementServer::PlacementServer(
+    EventLoop &loop, const Clock &clock, PeerNetwork &peers, CoordinatorElections &duties, Hooks hooks)
     : loop(loop), clock(clock), peers(peers), duties(duties), hooks(std::move(hooks)), view(peers.roleView())
 {
 }
