--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -108,29 +108,29 @@
     , relayRole(clock)
     , relays(clock)
     , replicaFollower(loop,
-             clock,
-             this->store,
-             this->peers,
-             this->relays,
-             {settings->gateway.storeWait, settings->gateway.lapsedKept, this->random()},
-             {replicaTable, &decodeReplica, &randomReplicaKey},
-             {.changed =
-                  [this](const ReplicaChanges &changes) {
-                      this->applyReplicaChanges(changes);
-                  },
-              .restarted =
-                  [this](const ServingReplica &former) {
-                      this->replicaPool.dropIdle(former.address);
-                      ++this->replicasRestarted;
-                  },
-              .storeReached =
-                  [this](bool isReached) {
-                      this->handleStoreReach(isReached);
-                  },
-              .relayUnresponsive =
-                  [this](SessionNumber relay) {
-                      this->handleUnresponsiveRelay(relay);
-                  }})
+                      clock,
+                      this->store,
+                      this->peers,
+                      this->relays,
+                      {settings->gateway.storeWait, settings->gateway.lapsedKept, this->random()},
+                      {replicaTable, &decodeReplica, &randomReplicaKey},
+                      {.changed =
+                           [this](const ReplicaChanges &changes) {
+                               this->applyReplicaChanges(changes);
+                           },
+                       .restarted =
+                           [this](const ServingReplica &former) {
+                               this->replicaPool.dropIdle(former.address);
+                               ++this->replicasRestarted;
+                           },
+                       .storeReached =
+                           [this](bool isReached) {
+                               this->handleStoreReach(isReached);
+                           },
+                       .relayUnresponsive =
+                           [this](SessionNumber relay) {
+                               this->handleUnresponsiveRelay(relay);
+                           }})
     , tableRelay(loop, this->store, {{configurationTable, JobRows::openTable}, settings->gateway.storeWait, this->random()})
     , feed(loop, this->store, this->peers, this->tableRelay, this->relays)
     , configuration(loop,
@@ -334,8 +334,8 @@
 void Gateway::updateRelayRole()
 {
     const SteadyTime now = this->clock.now();
-    // A node that receives from others is not isolated and waits for the replacement of lost relays: otherwise all nodes would read
-    // all tables at the same time.
+    // A node that receives from others is not isolated and waits for the replacement of lost relays: otherwise all nodes would
+    // read all tables at the same time.
     if (!this->relays.isForsaken() || this->peers.hasRecentContact()) {
         this->noRelaySince.reset();
     } else if (now - this->noRelaySince.value_or(now) >= noRelayTimeout) {
--- a/Services/Gateway/Gateway.h
+++ b/Services/Gateway/Gateway.h
@@ -12,8 +12,8 @@
 #include <LibTask/EventLoop.h>
 #include <Services/Gateway/CallerRouter.h>
 #include <Services/Gateway/ConfigurationFollower.h>
-#include <Services/Gateway/CrashExchange.h>
 #include <Services/Gateway/CoordinatorElections.h>
+#include <Services/Gateway/CrashExchange.h>
 #include <Services/Gateway/GatewayContext.h>
 #include <Services/Gateway/GatewayMetrics.h>
 #include <Services/Gateway/JobApi.h>
--- a/Services/Gateway/PeerNetwork.cpp
+++ b/Services/Gateway/PeerNetwork.cpp
@@ -297,23 +297,23 @@
         return;
     }
     this->nodeFollower.emplace(this->loop,
-                        this->store,
-                        stableHash(this->rowKey()),
-                        TableFollower::Options{nodeTable,
-                                               [] {
-                                                   return nodesFollowWait;
-                                               },
-                                               nodesInterval},
-                        TableFollower::Hooks{
-                            .onSnapshot =
-                                [this](const std::vector<StoredRow> &rows) {
-                                    this->applyNodes(rows);
-                                },
-                            .onChange =
-                                [this](const StoredRow &row) {
-                                    this->applyNode(row);
-                                },
-                        });
+                               this->store,
+                               stableHash(this->rowKey()),
+                               TableFollower::Options{nodeTable,
+                                                      [] {
+                                                          return nodesFollowWait;
+                                                      },
+                                                      nodesInterval},
+                               TableFollower::Hooks{
+                                   .onSnapshot =
+                                       [this](const std::vector<StoredRow> &rows) {
+                                           this->applyNodes(rows);
+                                       },
+                                   .onChange =
+                                       [this](const StoredRow &row) {
+                                           this->applyNode(row);
+                                       },
+                               });
 }
 
 // Needed if the seeds are stale or down. A few nodes are enough: gossip then reports the remaining ones.
--- a/Services/Gateway/RelayedFeed.cpp
+++ b/Services/Gateway/RelayedFeed.cpp
@@ -110,17 +110,17 @@
         this->store.follow(table, since, wait, std::move(done));
         return;
     }
-    this->peers.client().call(
-        relay->owner,
-        FeedFollowRequest{table, since, wait},
-        wait + relayTimeout,
-        [this, alive = this->alive, session = relay->session, table, done = std::move(done)](const CallResult<FeedAnswer> &result) {
-            if (!*alive) {
-                return;
-            }
-            const bool isDelivered = this->recordOutcome(session, result);
-            done(isDelivered ? decodeFeed(*result.response, table) : FollowResult());
-        });
+    this->peers.client().call(relay->owner,
+                              FeedFollowRequest{table, since, wait},
+                              wait + relayTimeout,
+                              [this, alive = this->alive, session = relay->session, table, done = std::move(done)](
+                                  const CallResult<FeedAnswer> &result) {
+                                  if (!*alive) {
+                                      return;
+                                  }
+                                  const bool isDelivered = this->recordOutcome(session, result);
+                                  done(isDelivered ? decodeFeed(*result.response, table) : FollowResult());
+                              });
 }
 
 } // namespace Dogwoodkeel
--- a/Services/Gateway/TableFollower.cpp
+++ b/Services/Gateway/TableFollower.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/** The delay of retries while the store does not answer. It doubles up to the maximum, which limits how late the store's return is
- * detected. */
+/** The delay of retries while the store does not answer. It doubles up to the maximum, which limits how late the store's return
+ * is detected. */
 constexpr std::chrono::milliseconds minRetryDelay{50};
 constexpr std::chrono::milliseconds maxRetryDelay{400};
 
--- a/Tests/ServiceGateway/TestDutyHolder.cpp
+++ b/Tests/ServiceGateway/TestDutyHolder.cpp
@@ -35,8 +35,8 @@
 
 } // namespace
 
-// Guards against requests that are sent to departed replicas: a node that the store refuses doesn't learn which replicas leave, and
-// as the dispatcher it would still assign their slots to the requests of all nodes.
+// Guards against requests that are sent to departed replicas: a node that the store refuses doesn't learn which replicas leave,
+// and as the dispatcher it would still assign their slots to the requests of all nodes.
 TEST_CASE("a node that lost the store has no role while others reach it, and the others keep theirs")
 {
     const std::vector<Member> before = nodes(10);
--- a/Tests/ServiceGateway/TestGateway.cpp
+++ b/Tests/ServiceGateway/TestGateway.cpp
@@ -35,8 +35,8 @@
     CHECK(answer.ends_with("0\r\n\r\n"));
 }
 
-// A replica crashes in the middle of a resumable stream. The caller receives one stream: the second replica continues after the last
-// complete event, and the incomplete event of the first is dropped.
+// A replica crashes in the middle of a resumable stream. The caller receives one stream: the second replica continues after the
+// last complete event, and the incomplete event of the first is dropped.
 TEST_CASE("a resumable stream continues at another replica without lost or repeated events")
 {
     RunningGateway running([](GatewayBench &bench) {
@@ -82,8 +82,8 @@
     CHECK(runs == 1);
 }
 
-// The replica runs the request, and the connection is lost before the answer. The request must not run again, and status 503 would
-// state that it never ran.
+// The replica runs the request, and the connection is lost before the answer. The request must not run again, and status 503
+// would state that it never ran.
 TEST_CASE("a request that runs at most once and whose answer is lost is neither repeated nor reported as not run")
 {
     RunningGateway running([](GatewayBench &bench) {
@@ -139,8 +139,8 @@
     CHECK(running.call("POST /su/x").starts_with("HTTP/1.1 504"));
 }
 
-// A node that has started while the platform does not answer has no configuration. With a short Retry-After a caller would get the
-// same answer once more, and give up with most of its time unused.
+// A node that has started while the platform does not answer has no configuration. With a short Retry-After a caller would get
+// the same answer once more, and give up with most of its time unused.
 TEST_CASE("without a configuration, Retry-After is a third of the caller's time")
 {
     TaskHost<GatewayBench> host("gateway");
@@ -281,8 +281,8 @@
     CHECK(running.call("GET /items/q1?id=a").starts_with("HTTP/1.1 404"));
 }
 
-// The store refuses one node and serves the other. The first has to reach it through the second: otherwise the results of jobs that
-// run there would be delayed, and calls on jobs would be refused.
+// The store refuses one node and serves the other. The first has to reach it through the second: otherwise the results of jobs
+// that run there would be delayed, and calls on jobs would be refused.
 TEST_CASE("a node that the store refuses accepts and runs jobs through another node")
 {
     RunningGateway running([](GatewayBench &bench) {
@@ -318,8 +318,8 @@
     });
 }
 
-// A node starts while the store withholds the list of replicas. The dispatcher on another node assigns its requests slots at replicas
-// that are not in its list. The node must not treat these as unusable before it has learned of them.
+// A node starts while the store withholds the list of replicas. The dispatcher on another node assigns its requests slots at
+// replicas that are not in its list. The node must not treat these as unusable before it has learned of them.
 TEST_CASE("the callers of a node that does not know the replicas yet are served")
 {
     RunningGateway running([](GatewayBench &bench) {
@@ -383,8 +383,8 @@
     });
 }
 
-// A replica crashes and restarts at once under the same name and address. The node still has a dead connection to the former process,
-// and has recorded its failures.
+// A replica crashes and restarts at once under the same name and address. The node still has a dead connection to the former
+// process, and has recorded its failures.
 TEST_CASE("a replica that restarted under the same name gets neither connections nor failures of the former one")
 {
     StandInReplica *replica = nullptr;
@@ -407,8 +407,8 @@
     CHECK(head.headers.find("X-Expect-Instance") == "i-1");
 }
 
-// Another program overwrites the entry of the replica that gets the requests: they have to go to the other replica. Then the entry is
-// restored and that of the other replica is overwritten: they have to go back.
+// Another program overwrites the entry of the replica that gets the requests: they have to go to the other replica. Then the
+// entry is restored and that of the other replica is overwritten: they have to go back.
 TEST_CASE("a replica whose entry is unreadable gets no new requests until the entry is restored")
 {
     const std::vector<std::string> names{"i-1", "i-2"};
--- a/Tests/ServiceGateway/TestNodeIdentity.cpp
+++ b/Tests/ServiceGateway/TestNodeIdentity.cpp
@@ -3,8 +3,8 @@
 using namespace Dogwoodkeel;
 
 // Guards against two nodes with one session number, which may happen when many nodes start at once. Each would treat the rows,
-// slots and member updates of the other as its own: one of them gets no callers, requests are placed twice, and the node that runs
-// a job can't be identified.
+// slots and member updates of the other as its own: one of them gets no callers, requests are placed twice, and the node that
+// runs a job can't be identified.
 TEST_CASE("two nodes that drew the same session number draw new ones, and both serve")
 {
     RunningGateway running([](GatewayBench &bench) {
--- a/Tests/ServiceGateway/TestRelays.cpp
+++ b/Tests/ServiceGateway/TestRelays.cpp
@@ -112,7 +112,8 @@
 
 } // namespace
 
-// Guards against a load of the store that grows with the product of replicas and nodes, as it does if each node follows all replicas.
+// Guards against a load of the store that grows with the product of replicas and nodes, as it does if each node follows all
+// replicas.
 TEST_CASE("two nodes of a failure domain follow the tables, and the others know a few replicas and the newest configuration")
 {
     RunningFleet fleet;
@@ -170,8 +171,8 @@
     fleet.awaitRelays();
 }
 
-// A node keeps only some of the replicas. Without the address that the dispatcher sends with a slot, it would treat the slot as one
-// of a removed replica.
+// A node keeps only some of the replicas. Without the address that the dispatcher sends with a slot, it would treat the slot as
+// one of a removed replica.
 TEST_CASE("a place at a replica that its node does not know is used as the dispatcher tells of it")
 {
     constexpr std::size_t liveCount = 2 * setSize;
--- a/Tests/ServiceGateway/TestTableFollower.cpp
+++ b/Tests/ServiceGateway/TestTableFollower.cpp
@@ -104,8 +104,8 @@
     CHECK(bench.known["a"] == "2");
 }
 
-// Guards against requests to departed replicas: the table takes two pages, and a row of the first is removed between them. A follower
-// that continued from the version of the second page would never learn of the removal.
+// Guards against requests to departed replicas: the table takes two pages, and a row of the first is removed between them. A
+// follower that continued from the version of the second page would never learn of the removal.
 TEST_CASE("changes between the pages of a long table are not missed")
 {
     Bench bench;
@@ -121,8 +121,8 @@
     CHECK(bench.known == std::map<std::string, std::string>{{"b", "1"}, {"c", "1"}});
 }
 
-// Guards against overload of the store when a whole fleet starts at once, and each node reads a long table from its beginning again
-// after each failure.
+// Guards against overload of the store when a whole fleet starts at once, and each node reads a long table from its beginning
+// again after each failure.
 TEST_CASE("the read of a long table continues at the page that failed")
 {
     Bench bench;
--- a/Tests/ServiceGateway/TestTableRelay.cpp
+++ b/Tests/ServiceGateway/TestTableRelay.cpp
@@ -74,8 +74,8 @@
     CHECK((*first)->rows.front().value == "2");
 }
 
-// Followers would take the absence of changes from a relay without the store for an unchanged table. They have to switch to another
-// relay.
+// Followers would take the absence of changes from a relay without the store for an unchanged table. They have to switch to
+// another relay.
 TEST_CASE("requests to a relay that loses the store fail, both waiting and later ones")
 {
     Bench bench;
