--- a/Services/Gateway/ItemAttempt.cpp
+++ b/Services/Gateway/ItemAttempt.cpp
@@ -14,14 +14,15 @@
 namespace
 {
 
-/** An item can go on anywhere, so a silent replica is left; but not before a slow one has had time for a few events. */
-constexpr int silentPauses = 6;
-constexpr std::chrono::milliseconds shortestSilence{2000};
+/** A replica counts as unresponsive after this many times the longest pause: the item can continue at any other, but a slow
+ * replica gets the time of a few events. */
+constexpr int responseTimeoutPauses = 6;
+constexpr std::chrono::milliseconds minResponseTimeout{2000};
 constexpr std::chrono::milliseconds retryPause{100};
-/** A replica that turned an item away is passed by only for its next try: it may be the only one. */
-constexpr std::size_t avoidedAtOnce = 2;
-/** While the replicas crash that run it, an item waits this long before it is looked at again. */
-constexpr std::chrono::milliseconds crashPause{2000};
+/** A replica that rejected an item is avoided only for the next attempts, as it may be the only one. */
+constexpr std::size_t maxAvoided = 2;
+/** Interval between checks of an item that is held because the replicas that run it crash. */
+constexpr std::chrono::milliseconds crashCheckInterval{2000};
 constexpr std::chrono::milliseconds longestIdle{10000};
 
 } // namespace
@@ -47,13 +48,13 @@
         this->lastEvent = before.lastEvent;
         this->version = std::move(before.version);
     }
-    this->askForPlace();
+    this->requestPlacement();
 }
 
 void ItemAttempt::restart()
 {
     this->dropOutput();
-    this->askForPlace();
+    this->requestPlacement();
 }
 
 void ItemAttempt::dropOutput()
@@ -90,24 +91,24 @@
 {
     this->isOver = true;
     this->context.loop.cancel(std::exchange(this->retryTimer, 0));
-    this->leave(PlacementVerdict::Finished);
+    this->leaveReplica(PlacementVerdict::Finished);
     this->hooks = {};
 }
 
-void ItemAttempt::askForPlace()
+void ItemAttempt::requestPlacement()
 {
     this->retryTimer = 0;
     if (std::exchange(this->mustConfirmFirst, false)) {
-        this->confirmBeforeAsking();
+        this->confirmBeforeRequest();
         return;
     }
     const std::optional<Target> found = this->hooks.target();
     if (!found) {
-        this->askLater();
+        this->requestPlacementLater();
         return;
     }
     this->target = *found;
-    if (this->isHeldBack()) {
+    if (this->mustBeHeld()) {
         this->hold();
         return;
     }
@@ -116,14 +117,14 @@
     query.work = WorkClass::Batch;
     query.priority = this->target.priority;
     query.arrived = this->context.clock.now();
-    // Until then it has to have a place to be done when its job is due.
+    // The latest time at which the item must get a slot to be completed when its job is due.
     query.due = this->due - this->context.itemEstimates[this->target.service].remaining(this->lastEvent.value_or(0));
     query.deadline = query.arrived + std::chrono::hours(1);
     query.avoided = this->avoided;
     query.connected = connectedReplicas(this->context, query.service, longestIdle);
     query.version = this->version;
     this->ticket = this->context.placements.requestSlot(query, [self = this->shared_from_this()](const Placement &placement) {
-        self->takePlacement(placement);
+        self->handlePlacement(placement);
     });
 }
 
@@ -135,12 +136,12 @@
         {{"item", this->item.id.value()},
          {"fingerprint", std::to_string(this->fingerprint)},
          {"reason", "its replicas crashed"}});
-    this->retryTimer = this->context.loop.schedule(crashPause, [self = this->shared_from_this()] {
-        self->askForPlace();
+    this->retryTimer = this->context.loop.schedule(crashCheckInterval, [self = this->shared_from_this()] {
+        self->requestPlacement();
     });
 }
 
-bool ItemAttempt::isHeldBack() const
+bool ItemAttempt::mustBeHeld() const
 {
     return this->context.crashHistory.isHeld(this->fingerprint)
         || this->context.promptPartBlocklist.isBlocked(promptParts(this->target.service, this->sharedParts));
@@ -151,7 +152,7 @@
     return this->lastEvent.value_or(0) - this->run.after;
 }
 
-void ItemAttempt::noteBreak()
+void ItemAttempt::recordLostConnection()
 {
     this->context.recordDisconnect({this->fingerprint,
                                     this->replica->instance,
@@ -161,43 +162,43 @@
                                     static_cast<std::uint32_t>(this->eventsOfRun())});
 }
 
-void ItemAttempt::confirmBeforeAsking()
+void ItemAttempt::confirmBeforeRequest()
 {
     this->hooks.confirmOpen([self = this->shared_from_this()](const auto &age) {
         if (self->isOver) {
             return;
         }
         if (age) {
-            self->askForPlace();
+            self->requestPlacement();
             return;
         }
         self->mustConfirmFirst = true;
-        self->askLater();
+        self->requestPlacementLater();
     });
 }
 
-void ItemAttempt::askLater()
+void ItemAttempt::requestPlacementLater()
 {
     this->retryTimer = this->context.loop.schedule(retryPause, [self = this->shared_from_this()] {
-        self->askForPlace();
+        self->requestPlacement();
     });
 }
 
-void ItemAttempt::takePlacement(const Placement &placement)
+void ItemAttempt::handlePlacement(const Placement &placement)
 {
     if (this->isOver) {
         return;
     }
     if (placement.decision == PlacementDecision::Stopped) {
         this->context.metrics.countEvent("batch item stopped");
-        log(LogLevel::Debug, "batch item makes room", {{"item", this->item.id.value()}});
-        this->leave(PlacementVerdict::Finished);
-        this->askForPlace();
+        log(LogLevel::Debug, "batch item stopped to free its slot", {{"item", this->item.id.value()}});
+        this->leaveReplica(PlacementVerdict::Finished);
+        this->requestPlacement();
         return;
     }
     if (placement.decision == PlacementDecision::Refused) {
-        this->leave(PlacementVerdict::Finished);
-        this->beginAnew();
+        this->leaveReplica(PlacementVerdict::Finished);
+        this->restartOnOtherVersion();
         return;
     }
     this->hooks.confirmOpen([self = this->shared_from_this(), ticket = this->ticket, placement](const auto &age) {
@@ -205,38 +206,39 @@
             return;
         }
         if (age) {
-            self->takeConfirmation(placement, *age);
+            self->handleConfirmation(placement, *age);
             return;
         }
-        // The place is for others until the store answers.
-        self->goOn(PlacementVerdict::Finished, "the store does not confirm that the job is open");
+        // Others may use the slot until the store answers.
+        self->continueElsewhere(PlacementVerdict::Finished, "the store does not confirm that the job is open");
         self->mustConfirmFirst = true;
     });
 }
 
-void ItemAttempt::beginAnew()
+void ItemAttempt::restartOnOtherVersion()
 {
     log(LogLevel::Info,
         "batch item begins anew",
         {{"item", this->item.id.value()},
-         {"reason", "no replica of the version that began it"},
+         {"reason", "no replica of the version that started the item"},
          {"version", this->version.value()},
          {"last_event", static_cast<std::int64_t>(this->lastEvent.value_or(0))}});
     this->context.metrics.countEvent("batch item began anew");
     this->dropOutput();
-    this->askLater();
+    this->requestPlacementLater();
 }
 
-void ItemAttempt::takeConfirmation(const Placement &placement, std::chrono::milliseconds age)
+void ItemAttempt::handleConfirmation(const Placement &placement, std::chrono::milliseconds age)
 {
     const std::optional<ServingReplica> found = this->context.replicaList.resolve(placedReplica(placement, this->target.service));
     const std::optional<Target> current = this->hooks.target();
     if (!found || !current || current->service != this->target.service) {
-        this->goOn(PlacementVerdict::Finished, "the replica is leaving or not listed any more, or the route has moved");
+        this->continueElsewhere(PlacementVerdict::Finished,
+                                "the replica is no longer listed, or is leaving, or the route has another service");
         return;
     }
-    if (this->isHeldBack()) {
-        this->leave(PlacementVerdict::Finished);
+    if (this->mustBeHeld()) {
+        this->leaveReplica(PlacementVerdict::Finished);
         this->hold();
         return;
     }
@@ -266,7 +268,7 @@
          {"last_event", static_cast<std::int64_t>(this->run.after)},
          {"open_confirmed_ms", confirmedAge.count()}});
     this->call = this->context.replicaConnections.start(std::move(outbound), hooksFor(this->shared_from_this()));
-    this->armSilence();
+    this->armResponseTimer();
 }
 
 void ItemAttempt::handleHead(const MessageHead &head)
@@ -276,15 +278,16 @@
     const bool isGood = isSuccess(read.status);
     if (read.isNotExecuted) {
         const bool isFull = read.status == statusUnavailable;
-        this->goOn(isFull ? PlacementVerdict::Rejected : PlacementVerdict::Unreachable, "the replica did not run it");
+        this->continueElsewhere(isFull ? PlacementVerdict::Rejected : PlacementVerdict::Unreachable,
+                                "the replica did not run the request");
     } else if (!read.isSigned) {
-        this->goOn(PlacementVerdict::Broken, "an answer without the replica's signature");
+        this->continueElsewhere(PlacementVerdict::Broken, "an answer without the replica's signature");
     } else if (read.status == statusUnprocessable) {
         this->finish(End::Impossible);
     } else if (!isGood) {
         this->finish(End::Failed);
     } else {
-        // The dispatcher waits for it: until the replica of the first item has said what it runs, it gets no second one.
+        // The dispatcher waits for this report: it places no second item at the replica before its load is known.
         this->context.placements.reportStarted(this->ticket, read.stated.value_or(StatedLoad()).load);
     }
 }
@@ -298,7 +301,7 @@
     for (const StreamEvent &event : events) {
         const std::uint64_t expected = this->lastEvent.value_or(0) + 1;
         if (event.id != expected) {
-            this->goOn(PlacementVerdict::Broken, "an event is out of order");
+            this->continueElsewhere(PlacementVerdict::Broken, "an event is out of order");
             return;
         }
         this->output.append(expected > 1 ? "\n" : "").append(event.data);
@@ -313,9 +316,9 @@
         this->context.recordPromptServed(promptParts(this->target.service, this->sharedParts));
     }
     if (this->splitter.isBroken()) {
-        this->goOn(PlacementVerdict::Broken, "an event is too large");
+        this->continueElsewhere(PlacementVerdict::Broken, "an event is too large");
     } else if (!events.empty()) {
-        this->armSilence();
+        this->armResponseTimer();
     }
 }
 
@@ -326,22 +329,22 @@
         return;
     }
     if (end == CallEnd::NotSent) {
-        this->goOn(PlacementVerdict::Unreachable, "no connection to the replica");
+        this->continueElsewhere(PlacementVerdict::Unreachable, "no connection to the replica");
     } else if (end == CallEnd::Broken) {
-        this->noteBreak();
-        this->goOn(PlacementVerdict::Broken, "the connection to the replica broke");
+        this->recordLostConnection();
+        this->continueElsewhere(PlacementVerdict::Broken, "the connection to the replica broke");
     } else if (this->splitter.hasRemainder() || (!this->lastEvent && this->answer->framing == BodyFraming::UntilClose)) {
-        // A replica that crashes ends its connection as after a whole stream.
-        this->noteBreak();
-        this->goOn(PlacementVerdict::Broken, "the stream ended inside an event");
+        // A replica that crashes closes its connection just as after a complete stream.
+        this->recordLostConnection();
+        this->continueElsewhere(PlacementVerdict::Broken, "the stream ended inside an event");
     } else {
         this->finish(End::Completed);
     }
 }
 
-void ItemAttempt::leave(PlacementVerdict verdict)
+void ItemAttempt::leaveReplica(PlacementVerdict verdict)
 {
-    this->context.loop.cancel(std::exchange(this->silenceTimer, 0));
+    this->context.loop.cancel(std::exchange(this->responseTimer, 0));
     if (this->replica) {
         const std::uint64_t generated = this->lastEvent.value_or(0) - this->run.after;
         this->context.itemEstimates[this->target.service].recordRun(generated, this->context.clock.now() - this->sent);
@@ -354,7 +357,7 @@
     }
     if (this->replica && verdict != PlacementVerdict::Finished) {
         this->avoided.push_back(this->replica->instance);
-        if (this->avoided.size() > avoidedAtOnce) {
+        if (this->avoided.size() > maxAvoided) {
             this->avoided.erase(this->avoided.begin());
         }
     } else {
@@ -363,7 +366,7 @@
     this->replica.reset();
 }
 
-void ItemAttempt::goOn(PlacementVerdict verdict, std::string_view reason)
+void ItemAttempt::continueElsewhere(PlacementVerdict verdict, std::string_view reason)
 {
     log(LogLevel::Info,
         "batch item goes on elsewhere",
@@ -372,25 +375,25 @@
          {"reason", std::string(reason)},
          {"last_event", static_cast<std::int64_t>(this->lastEvent.value_or(0))}});
     this->context.metrics.countEvent("batch item went on elsewhere");
-    this->leave(verdict);
-    this->askLater();
+    this->leaveReplica(verdict);
+    this->requestPlacementLater();
 }
 
-void ItemAttempt::armSilence()
+void ItemAttempt::armResponseTimer()
 {
-    const auto pause = std::max(this->target.longestPause * silentPauses, shortestSilence);
-    this->context.loop.cancel(this->silenceTimer);
-    this->silenceTimer = this->context.loop.schedule(pause, [self = this->shared_from_this()] {
-        self->silenceTimer = 0;
+    const auto pause = std::max(this->target.longestPause * responseTimeoutPauses, minResponseTimeout);
+    this->context.loop.cancel(this->responseTimer);
+    this->responseTimer = this->context.loop.schedule(pause, [self = this->shared_from_this()] {
+        self->responseTimer = 0;
         if (self->replica && !self->isOver) {
-            self->goOn(PlacementVerdict::Broken, "the replica fell silent");
+            self->continueElsewhere(PlacementVerdict::Broken, "the replica is unresponsive");
         }
     });
 }
 
 void ItemAttempt::finish(End end)
 {
-    this->leave(PlacementVerdict::Finished);
+    this->leaveReplica(PlacementVerdict::Finished);
     if (end == End::Completed) {
         this->context.recordRequestServed(this->fingerprint);
         this->context.itemEstimates[this->target.service].recordCompleted(this->lastEvent.value_or(0));
--- a/Services/Gateway/ItemAttempt.h
+++ b/Services/Gateway/ItemAttempt.h
@@ -16,21 +16,21 @@
 namespace Dogwoodkeel
 {
 
-/** Runs one batch item to its end: at one replica after the other, each going on where the one before stopped. */
+/** Runs one batch item to its end. If a replica fails or is left, the next one continues behind the last event received. */
 class ItemAttempt final : public ReplicaAnswerHandler, public std::enable_shared_from_this<ItemAttempt>
 {
 public:
-    /** How an item left the replicas. */
+    /** How the run of an item ended. */
     enum class End {
-        /** It has its whole output. */
+        /** The output is complete. */
         Completed,
-        /** A replica ran it and failed. */
+        /** A replica ran the item and failed. */
         Failed,
-        /** A replica says that it can never be done. */
+        /** A replica reported that the item can never be processed. */
         Impossible,
     };
 
-    /** Where items of its job go now. */
+    /** The service that runs items of the job, by the configuration in force. */
     struct Target
     {
         ServiceName service;
@@ -38,58 +38,58 @@
         std::chrono::milliseconds longestPause{0};
     };
 
-    /** What all items of its job have in common. */
+    /** Properties that all items of a job share. */
     struct Origin
     {
         JobId job;
         std::string host;
-        /** Whose job it is; empty if its caller needed no key. */
+        /** The workspace that the job belongs to; empty if its caller needed no key. */
         WorkspaceName workspace;
     };
 
     struct Hooks
     {
-        /** @return where it goes, by the configuration in force; nothing: nowhere for now. */
+        /** @return the target by the configuration in force, or nothing if there is none at present. */
         std::function<std::optional<Target>()> target;
         std::function<void(End, std::string output)> ended;
-        /** Confirms by the store that the job is open. */
+        /** Confirms with the store that the job is open. */
         std::function<void(OpenConfirmation::Callback)> confirmOpen;
     };
 
     ItemAttempt(GatewayContext &context, const JobItem &item, Origin origin, SteadyTime due, Hooks hooks);
 
-    /** Begin behind what was generated before, by this node or another. */
+    /** Starts behind the output that this or another node has received before. */
     void start(JobRows::Generated before);
 
-    /** Begin anew after a failure. */
+    /** Starts from the beginning after a failure. */
     void restart();
 
-    /** @return what was generated since the last call, as a part to be kept; nothing if there is nothing new. */
+    /** @return the output received since the last call, to be stored; nothing if there is none. */
     std::optional<ItemProgress> takeProgress(std::uint32_t number);
 
-    /** Give up at once; the hooks are told nothing more. */
+    /** Stops at once; no hook is called any more. */
     void cancel();
 
 private:
-    void askForPlace();
-    void askLater();
+    void requestPlacement();
+    void requestPlacementLater();
     void hold();
-    /** @return whether it must not be sent now: replicas crash under it, or under a part of its prompt. */
-    bool isHeldBack() const;
+    /** @return whether the item must not be sent now, because replicas crash when they run it or a part of its prompt. */
+    bool mustBeHeld() const;
     std::uint64_t eventsOfRun() const;
-    void noteBreak();
-    void confirmBeforeAsking();
-    void beginAnew();
+    void recordLostConnection();
+    void confirmBeforeRequest();
+    void restartOnOtherVersion();
     void dropOutput();
-    void takePlacement(const Placement &placement);
-    void takeConfirmation(const Placement &placement, std::chrono::milliseconds age);
+    void handlePlacement(const Placement &placement);
+    void handleConfirmation(const Placement &placement, std::chrono::milliseconds age);
     void send(const ServingReplica &replica, std::chrono::milliseconds confirmedAge);
     void handleHead(const MessageHead &head) override;
     void handleBody(std::string_view data) override;
     void handleEnd(CallEnd end) override;
-    void leave(PlacementVerdict verdict);
-    void goOn(PlacementVerdict verdict, std::string_view reason);
-    void armSilence();
+    void leaveReplica(PlacementVerdict verdict);
+    void continueElsewhere(PlacementVerdict verdict, std::string_view reason);
+    void armResponseTimer();
     void finish(End end);
 
     GatewayContext &context;
@@ -98,9 +98,9 @@
     SteadyTime due;
     Hooks hooks;
     std::uint64_t fingerprint;
-    /** Those that other requests may have too. */
+    /** Parts of the prompt that other requests may contain too. */
     std::vector<std::string> sharedParts;
-    /** Whether it was noted that a replica has served its prompt. */
+    /** Whether it was recorded that a replica has served the prompt. */
     bool isPromptServed = false;
     Target target;
     std::vector<EndpointName> avoided;
@@ -111,12 +111,12 @@
     EventSplitter splitter;
     std::optional<std::uint64_t> lastEvent;
     std::string output;
-    /** Of the replicas that generated the output; empty if there is none. */
+    /** The version of the replicas that generated the output; empty if there is no output. */
     SoftwareVersion version;
-    /** Up to where the output is kept. */
+    /** The last event whose output was taken for storing. */
     std::uint64_t keptEvent = 0;
     std::size_t keptBytes = 0;
-    /** Names the run at a replica, and says behind which event it was asked to go on. */
+    /** Identifies a run at a replica, and the event behind which it was requested to continue. */
     struct Run
     {
         std::uint64_t name = 0;
@@ -124,12 +124,12 @@
     };
     Run run;
     SteadyTime sent{};
-    /** The run that generated the first event that is not kept, and the last one. */
+    /** The runs that generated the first event not yet stored, and the last event. */
     Run firstUnkept;
     Run lastGenerated;
-    TimerId silenceTimer = 0;
+    TimerId responseTimer = 0;
     TimerId retryTimer = 0;
-    /** The store did not confirm that the job is open when it was asked last: no place is taken before it does. */
+    /** The store did not confirm at the last query that the job is open: no slot is requested before it does. */
     bool mustConfirmFirst = false;
     bool isOver = false;
 };
--- a/Services/Gateway/JobApi.cpp
+++ b/Services/Gateway/JobApi.cpp
@@ -14,12 +14,12 @@
 namespace
 {
 
-/** A caller that does not say how long it waits gets this long. */
+/** Timeout of a caller that states none. */
 constexpr std::chrono::milliseconds defaultTimeout{3000};
-/** After a refusal: about how long the store takes to be back, or some items to be done. */
+/** Sent with a refusal: about the time until the store is reachable again, or until some items are completed. */
 constexpr std::chrono::milliseconds storePause{300};
 constexpr std::chrono::milliseconds fullPause{1000};
-constexpr std::size_t mostAnswerBytes = 900'000;
+constexpr std::size_t maxAnswerBytes = 900'000;
 
 int statusOf(SubmitOutcome outcome)
 {
@@ -47,9 +47,9 @@
     case SubmitOutcome::Full:
         return "the route is full";
     case SubmitOutcome::NotStored:
-        return "surely not stored";
+        return "not stored";
     case SubmitOutcome::Unknown:
-        return "perhaps stored";
+        return "possibly stored";
     }
     return "invalid";
 }
@@ -75,8 +75,8 @@
 
 } // namespace
 
-JobApi::JobApi(GatewayContext &context, JobStore &store, JobHook accepted, JobHook tellEnded)
-    : context(context), store(store), accepted(std::move(accepted)), tellEnded(std::move(tellEnded))
+JobApi::JobApi(GatewayContext &context, JobStore &store, JobHook accepted, JobHook broadcastEnd)
+    : context(context), store(store), accepted(std::move(accepted)), broadcastEnd(std::move(broadcastEnd))
 {
 }
 
@@ -155,7 +155,7 @@
         std::size_t bytes = 0;
         const auto fits = [&bytes](const ItemResult &result) {
             bytes += result.output.size();
-            return bytes <= mostAnswerBytes;
+            return bytes <= maxAnswerBytes;
         };
         const auto firstOver = std::ranges::find_if_not(read.results, fits);
         const auto kept = std::max<std::ptrdiff_t>(firstOver - read.results.begin(), read.results.empty() ? 0 : 1);
@@ -189,7 +189,7 @@
     const SteadyTime deadline = this->context.clock.now() + traits.timeout.value_or(defaultTimeout);
     this->store.end(job, deadline, [this, job, exchange](JobReadOutcome outcome) {
         if (outcome == JobReadOutcome::Found) {
-            this->tellEnded(job);
+            this->broadcastEnd(job);
         }
         this->reply(exchange, "end", job, statusOf(outcome));
     });
--- a/Services/Gateway/JobApi.h
+++ b/Services/Gateway/JobApi.h
@@ -12,7 +12,7 @@
 namespace Dogwoodkeel
 {
 
-/** Answers the calls on batch jobs. */
+/** Answers the HTTP calls of callers on batch jobs: submitting, reading and ending them. */
 class JobApi
 {
 public:
@@ -21,15 +21,15 @@
     using JobHook = std::function<void(const JobId &)>;
 
     /**
-     * @param accepted told of each job that this node has accepted
-     * @param tellEnded tells all nodes that a job was ended
+     * @param accepted called for each job that this node has accepted
+     * @param broadcastEnd reports to all nodes that a job was ended
      */
-    JobApi(GatewayContext &context, JobStore &store, JobHook accepted, JobHook tellEnded);
+    JobApi(GatewayContext &context, JobStore &store, JobHook accepted, JobHook broadcastEnd);
 
-    /** @param workspace whose job it is; null if callers need no key */
+    /** @param workspace that the job belongs to; null if callers need no key */
     void submit(const Route &route, const Workspace *workspace, const Exchange &exchange);
 
-    /** @param workspace whose jobs may be met; null if callers need no key */
+    /** @param workspace whose jobs the caller may access; null if callers need no key */
     void answer(const JobCall &call, const Workspace *workspace, const Exchange &exchange);
 
 private:
@@ -41,7 +41,7 @@
     GatewayContext &context;
     JobStore &store;
     JobHook accepted;
-    JobHook tellEnded;
+    JobHook broadcastEnd;
 };
 
 } // namespace Dogwoodkeel
--- a/Services/Gateway/JobCleaner.cpp
+++ b/Services/Gateway/JobCleaner.cpp
@@ -10,22 +10,22 @@
 namespace
 {
 
-constexpr std::chrono::seconds lookInterval{30};
-/** Between two jobs that are examined, so that cleaning takes a small part of the store's rate. */
-constexpr std::chrono::milliseconds pace{50};
-/** A repeat of a submission may come late: kept beyond what was promised. */
+constexpr std::chrono::seconds checkInterval{30};
+/** Interval between two jobs that are examined; limits the load that cleaning puts on the store. */
+constexpr std::chrono::milliseconds examinationInterval{50};
+/** Jobs are kept for this long beyond their retention, as a repeated submission may arrive late. */
 constexpr std::chrono::seconds margin{60};
-/** Entries that one transaction takes. */
-constexpr std::size_t mostRemovals = 90;
+/** Max removals in one transaction. */
+constexpr std::size_t maxRemovals = 90;
 
 } // namespace
 
 JobCleaner::JobCleaner(
-    Scheduler &scheduler, const StoreClock &storeClock, RowStore &store, std::chrono::milliseconds kept, Hooks hooks)
-    : scheduler(scheduler), storeClock(storeClock), store(store), kept(kept), hooks(std::move(hooks))
+    Scheduler &scheduler, const StoreClock &storeClock, RowStore &store, std::chrono::milliseconds retention, Hooks hooks)
+    : scheduler(scheduler), storeClock(storeClock), store(store), retention(retention), hooks(std::move(hooks))
 {
-    this->timer = scheduler.schedule(lookInterval, [this] {
-        this->look();
+    this->timer = scheduler.schedule(checkInterval, [this] {
+        this->check();
     });
 }
 
@@ -35,10 +35,10 @@
     this->scheduler.cancel(this->timer);
 }
 
-void JobCleaner::look()
+void JobCleaner::check()
 {
-    this->timer = this->scheduler.schedule(lookInterval, [this] {
-        this->look();
+    this->timer = this->scheduler.schedule(checkInterval, [this] {
+        this->check();
     });
     if (this->hooks.isOurDuty() && this->waiting.empty()) {
         this->list({});
@@ -70,16 +70,16 @@
     const JobId job = this->waiting.front();
     this->waiting.pop_front();
     this->examine(job);
-    this->scheduler.schedule(pace, [this, alive = this->alive] {
+    this->scheduler.schedule(examinationInterval, [this, alive = this->alive] {
         if (*alive) {
             this->examineNext();
         }
     });
 }
 
-bool JobCleaner::isOver(StoreTime submitted) const
+bool JobCleaner::isExpired(StoreTime submitted) const
 {
-    return this->storeClock.now().value_or(submitted) - submitted > this->kept + margin;
+    return this->storeClock.now().value_or(submitted) - submitted > this->retention + margin;
 }
 
 void JobCleaner::examine(const JobId &job)
@@ -89,19 +89,19 @@
     }
     const auto known = this->submitted.find(job);
     if (known != this->submitted.end()) {
-        if (this->isOver(known->second)) {
+        if (this->isExpired(known->second)) {
             this->remove(job);
         }
         return;
     }
     this->store.read(JobRows::headOnly(job), [this, alive = this->alive, job](const RowRangeResult &result) {
         const auto head = *alive ? JobRows::readHead(result.rows, job) : std::nullopt;
-        // Not only the word of the open jobs' table counts: a node that has just started may not have read it yet.
+        // The table of open jobs does not suffice: a node that has just started may not have read it yet.
         const bool isClosed = head && (head->first.isEnded || head->first.listed.size() >= head->first.total);
         if (isClosed) {
             this->submitted[job] = head->first.submitted;
         } else if (!head && *alive && result.outcome == ReadOutcome::Found) {
-            // What is left of a job whose removal was broken off: the head goes last but for progress that came late.
+            // Remains of a job whose removal was interrupted, or progress that was stored after the head was removed.
             this->remove(job);
         }
     });
@@ -118,13 +118,13 @@
 
 void JobCleaner::removeRows(const JobId &job, const std::vector<StoredRow> &rows)
 {
-    // The head goes last: as long as it is there, a removal that is broken off is taken up again.
+    // The head is removed last: as long as it exists, an interrupted removal is repeated.
     const RowPlace head = JobRows::head(job);
-    const bool fitsAll = rows.size() <= mostRemovals;
+    const bool fitsAll = rows.size() <= maxRemovals;
     RowTransaction transaction;
     for (const StoredRow &row : rows) {
-        const bool isHeld = row.place == head && !fitsAll;
-        if (!isHeld && transaction.removals.size() < mostRemovals) {
+        const bool isDeferred = row.place == head && !fitsAll;
+        if (!isDeferred && transaction.removals.size() < maxRemovals) {
             transaction.removals.push_back(row.place);
         }
     }
--- a/Services/Gateway/JobCleaner.h
+++ b/Services/Gateway/JobCleaner.h
@@ -17,39 +17,40 @@
 namespace Dogwoodkeel
 {
 
-/** Removes the rows of jobs that nobody may want to read any more; without it the store would fill up. */
+/** Removes the rows of jobs whose retention has ended, so that the store does not fill up. */
 class JobCleaner
 {
 public:
     struct Hooks
     {
-        /** @return whether this node is the one that cleans now. */
+        /** @return whether this node is the coordinator that removes old jobs. */
         std::function<bool()> isOurDuty;
         /** @return whether a job has items without a result. */
         std::function<bool(const JobId &)> isOpen;
     };
 
-    /** @param kept how long after its submission a job is kept */
-    JobCleaner(Scheduler &scheduler, const StoreClock &storeClock, RowStore &store, std::chrono::milliseconds kept, Hooks hooks);
+    /** @param retention retention of a job, counted from its submission */
+    JobCleaner(
+        Scheduler &scheduler, const StoreClock &storeClock, RowStore &store, std::chrono::milliseconds retention, Hooks hooks);
     ~JobCleaner();
     JobCleaner(const JobCleaner &) = delete;
     JobCleaner &operator=(const JobCleaner &) = delete;
 
 private:
-    void look();
+    void check();
     void list(const std::string &after);
     void examineNext();
     void examine(const JobId &job);
     void remove(const JobId &job);
     void removeRows(const JobId &job, const std::vector<StoredRow> &rows);
-    bool isOver(StoreTime submitted) const;
+    bool isExpired(StoreTime submitted) const;
 
     Scheduler &scheduler;
     const StoreClock &storeClock;
     RowStore &store;
-    std::chrono::milliseconds kept;
+    std::chrono::milliseconds retention;
     Hooks hooks;
-    /** When each job was submitted, as its head said; heads are read once. */
+    /** Submission time of each closed job, from its head row; the head of a closed job is read once. */
     std::map<JobId, StoreTime> submitted;
     std::deque<JobId> waiting;
     TimerId timer = 0;
--- a/Services/Gateway/JobRun.cpp
+++ b/Services/Gateway/JobRun.cpp
@@ -11,17 +11,17 @@
 namespace
 {
 
-/** Results that come within this time share a transaction. A reader comes about twice a second. */
-constexpr std::chrono::milliseconds gatherTime{60};
-constexpr std::chrono::milliseconds firstRetry{50};
-constexpr std::chrono::milliseconds longestRetry{400};
+/** Results that arrive within this time share a transaction. Callers read about twice a second. */
+constexpr std::chrono::milliseconds writeDelay{60};
+constexpr std::chrono::milliseconds minRetry{50};
+constexpr std::chrono::milliseconds maxRetry{400};
 constexpr std::chrono::milliseconds loadRetry{200};
-constexpr std::chrono::milliseconds retentionLook{1000};
-/** An item runs for some seconds; a node that is lost takes no more than this of each of its items with it. */
+constexpr std::chrono::milliseconds retentionCheckInterval{1000};
+/** An item runs for some seconds; if its node is lost, at most this much of its output must be generated again. */
 constexpr std::chrono::milliseconds progressInterval{1000};
-constexpr std::chrono::milliseconds takeOverPause{100};
+constexpr std::chrono::milliseconds takeoverDelay{100};
 /** Entries of one transaction of the store. */
-constexpr std::size_t mostParts = 90;
+constexpr std::size_t maxParts = 90;
 
 } // namespace
 
@@ -53,13 +53,13 @@
     , store(store)
     , job(std::move(job))
     , hooks(std::move(hooks))
-    // The other half is for an item's way to its replica.
+    // The other half is for sending an item to its replica.
     , confirmation(context.loop,
                    context.clock,
                    endBound / 2,
                    {.query =
                         [this](std::function<void(OpenConfirmation::Reply)> answer) {
-                            this->askWhetherOpen(std::move(answer));
+                            this->queryOpen(std::move(answer));
                         },
                     .closed =
                         [this] {
@@ -73,14 +73,14 @@
     if (origin == Origin::Accepted) {
         this->load();
     } else {
-        // The node that gives the job up may just be writing what its items have generated.
+        // The previous runner may still be storing the progress of its items.
         this->isBusyWithStore = true;
-        this->timer = this->context.loop.schedule(takeOverPause, [self = this->shared_from_this()] {
+        this->timer = this->context.loop.schedule(takeoverDelay, [self = this->shared_from_this()] {
             self->readProgress();
         });
     }
     this->checkRetention();
-    this->keepProgress();
+    this->saveProgressPeriodically();
 }
 
 void JobRun::readProgress()
@@ -100,11 +100,11 @@
     });
 }
 
-void JobRun::keepProgress()
+void JobRun::saveProgressPeriodically()
 {
     this->saveProgress();
     this->progressTimer = this->context.loop.schedule(progressInterval, [self = this->shared_from_this()] {
-        self->keepProgress();
+        self->saveProgressPeriodically();
     });
 }
 
@@ -112,7 +112,7 @@
 {
     std::vector<ItemProgress> parts;
     for (const auto &[number, item] : this->open) {
-        std::optional<ItemProgress> part = parts.size() < mostParts ? item.attempt->takeProgress(number) : std::nullopt;
+        std::optional<ItemProgress> part = parts.size() < maxParts ? item.attempt->takeProgress(number) : std::nullopt;
         if (part) {
             parts.push_back(*std::move(part));
         }
@@ -152,19 +152,19 @@
 void JobRun::load()
 {
     this->isBusyWithStore = true;
-    const SteadyTime asked = this->confirmation.queryTime();
-    this->store.load(this->job, [self = this->shared_from_this(), asked](const LoadedJob &loaded) {
+    const SteadyTime queriedAt = this->confirmation.queryTime();
+    this->store.load(this->job, [self = this->shared_from_this(), queriedAt](const LoadedJob &loaded) {
         if (self->isOver) {
             return;
         }
         if (loaded.outcome == JobReadOutcome::Found && !loaded.head.isEnded) {
-            self->confirmation.recordOpen(asked);
+            self->confirmation.recordOpen(queriedAt);
         }
-        self->takeLoaded(loaded);
+        self->handleLoaded(loaded);
     });
 }
 
-void JobRun::askWhetherOpen(std::function<void(OpenConfirmation::Reply)> answer)
+void JobRun::queryOpen(std::function<void(OpenConfirmation::Reply)> answer)
 {
     this->store.loadHead(this->job, [self = this->shared_from_this(), answer = std::move(answer)](const LoadedJob &loaded) {
         if (loaded.outcome == JobReadOutcome::Failed) {
@@ -182,7 +182,7 @@
     this->confirmation.requery();
 }
 
-void JobRun::takeLoaded(const LoadedJob &loaded)
+void JobRun::handleLoaded(const LoadedJob &loaded)
 {
     if (loaded.outcome == JobReadOutcome::Failed) {
         this->timer = this->context.loop.schedule(loadRetry, [self = this->shared_from_this()] {
@@ -251,7 +251,7 @@
             [self, number](ItemAttempt::End end, std::string output) {
                 const std::shared_ptr<JobRun> run = self.lock();
                 if (run && !run->isOver) {
-                    run->takeItemEnd(number, end, std::move(output));
+                    run->handleItemEnd(number, end, std::move(output));
                 }
             },
         .confirmOpen =
@@ -283,7 +283,7 @@
     return route != nullptr ? route->completionTarget : std::chrono::milliseconds(0);
 }
 
-void JobRun::takeItemEnd(std::uint32_t number, ItemAttempt::End end, std::string output)
+void JobRun::handleItemEnd(std::uint32_t number, ItemAttempt::End end, std::string output)
 {
     switch (end) {
     case ItemAttempt::End::Completed:
@@ -293,21 +293,21 @@
         this->writeSoon();
         return;
     case ItemAttempt::End::Impossible:
-        this->abandon(number, "a replica says that it can't be done");
+        this->abandon(number, "a replica reported that it can never be processed");
         return;
     case ItemAttempt::End::Failed:
-        this->takeFailure(number);
+        this->handleItemFailure(number);
         return;
     }
 }
 
-void JobRun::takeFailure(std::uint32_t number)
+void JobRun::handleItemFailure(std::uint32_t number)
 {
-    // Failures are written before the item runs again: with another runner it must not begin to count anew.
+    // Failures are written to the store, so that another runner continues their count.
     const std::uint32_t failed = this->ledger.recordFailure(number);
     const Route *const route = this->hooks.route(this->ledger.head().route);
     if (route != nullptr && failed >= route->maxAttempts) {
-        this->abandon(number, "it failed too often");
+        this->abandon(number, "it reached the max attempts of its route");
         return;
     }
     this->writeSoon();
@@ -338,10 +338,10 @@
     const bool isKnown = route != nullptr && route->retention.count() > 0;
     if (isKnown && this->age() > route->retention) {
         while (!this->open.empty()) {
-            this->abandon(this->open.begin()->first, "its time is over");
+            this->abandon(this->open.begin()->first, "its retention has ended");
         }
     }
-    this->retentionTimer = this->context.loop.schedule(retentionLook, [self = this->shared_from_this()] {
+    this->retentionTimer = this->context.loop.schedule(retentionCheckInterval, [self = this->shared_from_this()] {
         self->checkRetention();
     });
 }
@@ -351,7 +351,7 @@
     if (this->isBusyWithStore || std::exchange(this->isWriteScheduled, true)) {
         return;
     }
-    this->timer = this->context.loop.schedule(gatherTime, [self = this->shared_from_this()] {
+    this->timer = this->context.loop.schedule(writeDelay, [self = this->shared_from_this()] {
         self->isWriteScheduled = false;
         if (!self->isOver && !self->isBusyWithStore) {
             self->write();
@@ -372,21 +372,21 @@
                        next.head,
                        next.results,
                        row,
-                       [self = this->shared_from_this(), head = next.head, asked = this->confirmation.queryTime()](
+                       [self = this->shared_from_this(), head = next.head, queriedAt = this->confirmation.queryTime()](
                            WriteOutcome outcome, RowVersion version) {
                            if (self->isOver) {
                                return;
                            }
                            if (outcome == WriteOutcome::Done) {
-                               self->confirmation.recordOpen(asked);
-                               self->takeWritten(head, version);
+                               self->confirmation.recordOpen(queriedAt);
+                               self->handleWritten(head, version);
                            } else {
-                               self->takeUnwritten(outcome);
+                               self->handleFailedWrite(outcome);
                            }
                        });
 }
 
-void JobRun::takeUnwritten(WriteOutcome outcome)
+void JobRun::handleFailedWrite(WriteOutcome outcome)
 {
     ++this->writeFailures;
     this->ledger.recordFailedWrite();
@@ -395,8 +395,8 @@
         {{"job", this->job.value()},
          {"outcome", static_cast<std::int64_t>(outcome)},
          {"results", static_cast<std::int64_t>(this->ledger.unwrittenResults())}});
-    // The head may have changed, by this write or by another node: it is read before the next.
-    const auto grown = std::min(firstRetry * (1 << std::min(this->writeFailures, 4)), longestRetry);
+    // This write or another node may have changed the head, so it is read before the next write.
+    const auto grown = std::min(minRetry * (1 << std::min(this->writeFailures, 4)), maxRetry);
     this->timer = this->context.loop.schedule(grown, [self = this->shared_from_this()] {
         if (!self->isOver) {
             self->load();
@@ -404,7 +404,7 @@
     });
 }
 
-void JobRun::takeWritten(const JobHead &written, RowVersion version)
+void JobRun::handleWritten(const JobHead &written, RowVersion version)
 {
     this->isBusyWithStore = false;
     this->writeFailures = 0;
--- a/Services/Gateway/JobRun.h
+++ b/Services/Gateway/JobRun.h
@@ -23,9 +23,9 @@
     EndReported,
     /** The job's row among the open jobs was removed. */
     RowRemoved,
-    /** A whole reading of the open jobs does not list it. */
+    /** A complete snapshot of the open jobs does not list it. */
     NotListed,
-    /** The job's head says that it was ended, or is complete by another node's results. */
+    /** The job's head states that it was ended, or that another node's results complete it. */
     HeadClosed,
     /** The store has no such job. */
     Absent,
@@ -38,21 +38,21 @@
 
 /**
  * Runs the items of one job on this node, and adds their results to the job. Another node may run the same job at the same
- * time, after a change of the members: each change is made under the condition of the head's version, so positions and
- * results stay what they are, and only work is wasted.
+ * time, after a change of the members. Every write is conditional on the version of the head, so positions and results never
+ * change, and only work is wasted.
  */
 class JobRun : public std::enable_shared_from_this<JobRun>
 {
 public:
     struct Hooks
     {
-        /** @return the number that this node goes by now. */
+        /** @return the current session number of this node. */
         std::function<SessionNumber()> self;
-        /** @return where an item of the job goes, by the configuration in force. */
+        /** @return the target of an item of the job, by the configuration in force. */
         std::function<std::optional<ItemAttempt::Target>(const JobHead &job, const std::string &target)> target;
-        /** @return the route of the job, or null if there is none any more. */
+        /** @return the route of the job, or null if it was removed. */
         std::function<const Route *(const std::string &name)> route;
-        /** The job needs no runner any more. */
+        /** Called when the run has ended by itself. */
         std::function<void(RunEnd)> over;
     };
 
@@ -62,18 +62,18 @@
         TakenOver,
     };
 
-    /** @param endBound how long after the end of a job its items may still reach replicas */
+    /** @param endBound max time after the end of a job in which its items may still reach replicas */
     JobRun(GatewayContext &context, JobStore &store, JobId job, std::chrono::milliseconds endBound, Hooks hooks);
 
     void start(Origin origin);
 
-    /** Keep what the items have generated, for whoever runs them next. */
+    /** Stores the output of the items so far, for the next node that runs them. */
     void saveProgress();
 
-    /** Something says that the job is closed: end if the store confirms it. */
+    /** Queries the store whether the job is open, and ends the run if it is closed. */
     void checkOpen();
 
-    /** Stop all items at once, and tell nothing more. */
+    /** Stops all items at once; no hook is called any more. */
     void cancel(RunEnd end);
 
 private:
@@ -84,20 +84,20 @@
     };
 
     void readProgress();
-    void keepProgress();
+    void saveProgressPeriodically();
     void load();
-    void takeLoaded(const LoadedJob &loaded);
-    void askWhetherOpen(std::function<void(OpenConfirmation::Reply)> answer);
+    void handleLoaded(const LoadedJob &loaded);
+    void queryOpen(std::function<void(OpenConfirmation::Reply)> answer);
     void startItems();
     void startItem(std::uint32_t number);
-    void takeItemEnd(std::uint32_t number, ItemAttempt::End end, std::string output);
-    void takeFailure(std::uint32_t number);
+    void handleItemEnd(std::uint32_t number, ItemAttempt::End end, std::string output);
+    void handleItemFailure(std::uint32_t number);
     void abandon(std::uint32_t number, std::string_view reason);
     void checkRetention();
     void writeSoon();
     void write();
-    void takeWritten(const JobHead &written, RowVersion version);
-    void takeUnwritten(WriteOutcome outcome);
+    void handleWritten(const JobHead &written, RowVersion version);
+    void handleFailedWrite(WriteOutcome outcome);
     void endRun(RunEnd end);
     std::uint64_t waitingTokens(const JobHead &head) const;
     std::chrono::milliseconds completionTarget() const;
@@ -111,11 +111,11 @@
     JobLedger ledger;
     std::vector<JobItem> items;
     std::map<std::uint32_t, Open> open;
-    /** What items had generated before this run. */
+    /** Output of the items from before this run. */
     std::map<std::uint32_t, JobRows::Generated> before;
     OpenConfirmation confirmation;
     bool isLoaded = false;
-    /** Reading and writing the job take turns: the answer to one is understood by what the other left. */
+    /** At most one read or write of the job is pending, as each builds on the result of the one before. */
     bool isBusyWithStore = false;
     bool isWriteScheduled = false;
     int writeFailures = 0;
