--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -179,7 +179,7 @@
           this->context,
           this->jobs,
           [this](const JobId &job) {
-              this->runners.takeAccepted(job);
+              this->runners.handleAccepted(job);
           },
           [this](const JobId &job) {
               this->reportEnded(job);
@@ -196,7 +196,7 @@
               this->storeClock,
               this->store,
               settings->gateway.jobsKept,
-              {.isOurDuty =
+              {.isCoordinator =
                    [this] {
                        return hasRole(*this->peers.roleView(), this->peers.self(), stableHash(JobRows::jobTable));
                    },
@@ -362,7 +362,7 @@
     this->relays.recordUnresponsive(relay);
     // Requests that are pending at this relay would wait until their timeouts.
     this->configuration.refresh();
-    this->runners.hurry();
+    this->runners.refreshOpenJobs();
 }
 
 void Gateway::logTraffic()
@@ -397,14 +397,14 @@
     if (!this->isComplete) {
         return;
     }
-    this->quotas.noteReceived(datagram.from);
+    this->quotas.recordReceived(datagram.from);
     if (datagram.number == JobEnded::number) {
         if (const auto ended = decode<JobEnded>(datagram.payload)) {
             this->runners.stopJob(ended->job, RunEnd::EndReported);
         }
     } else if (datagram.number == JobReminder::number) {
         if (const auto reminder = decode<JobReminder>(datagram.payload)) {
-            this->runners.takeReminder(reminder->jobs);
+            this->runners.handleReminder(reminder->jobs);
         }
     } else if (!this->crashExchange.receive(datagram) && !this->origins.receive(datagram) && !this->elections.receive(datagram)
                && !this->quotas.receive(datagram)) {
@@ -449,7 +449,7 @@
         // Pending requests may wait on connections that died in the outage.
         this->tableRelay.refresh();
         this->configuration.refresh();
-        this->runners.hurry();
+        this->runners.refreshOpenJobs();
         this->peers.refresh();
     }
 }
--- a/Services/Gateway/JobCleaner.cpp
+++ b/Services/Gateway/JobCleaner.cpp
@@ -40,7 +40,7 @@
     this->timer = this->scheduler.schedule(checkInterval, [this] {
         this->check();
     });
-    if (this->hooks.isOurDuty() && this->waiting.empty()) {
+    if (this->hooks.isCoordinator() && this->waiting.empty()) {
         this->list({});
     }
 }
--- a/Services/Gateway/JobCleaner.h
+++ b/Services/Gateway/JobCleaner.h
@@ -24,7 +24,7 @@
     struct Hooks
     {
         /** @return whether this node is the coordinator that removes old jobs. */
-        std::function<bool()> isOurDuty;
+        std::function<bool()> isCoordinator;
         /** @return whether a job has items without a result. */
         std::function<bool(const JobId &)> isOpen;
     };
--- a/Services/Gateway/JobRunners.cpp
+++ b/Services/Gateway/JobRunners.cpp
@@ -255,7 +255,7 @@
         // Where many go at once, the deaths are heard one by one.
         this->hurryTimer = this->context.loop.schedule(hurryDelay, [this] {
             this->hurryTimer = 0;
-            this->hurry();
+            this->refreshOpenJobs();
         });
     }
     this->settling.update(*view);
@@ -286,14 +286,14 @@
     });
 }
 
-void JobRunners::hurry()
+void JobRunners::refreshOpenJobs()
 {
     if (this->follower) {
         this->follower->refresh();
     }
 }
 
-void JobRunners::takeAccepted(const JobId &job)
+void JobRunners::handleAccepted(const JobId &job)
 {
     // The row that names this node as the runner is read back later; the items need not wait for that. A job that was
     // accepted before may be run elsewhere, or be complete: the row, or the job itself, tells.
@@ -311,11 +311,11 @@
     this->decide(job);
 }
 
-void JobRunners::takeReminder(const std::vector<JobId> &jobs)
+void JobRunners::handleReminder(const std::vector<JobId> &jobs)
 {
     for (const JobId &job : jobs) {
         if (!this->runs.contains(job)) {
-            const std::string_view decision = this->takeReminder(job);
+            const std::string_view decision = this->handleReminder(job);
             log(LogLevel::Info,
                 "reminded of a job that does not run here",
                 {{"job", job.value()}, {"decision", std::string(decision)}});
@@ -323,7 +323,7 @@
     }
 }
 
-std::string_view JobRunners::takeReminder(const JobId &job)
+std::string_view JobRunners::handleReminder(const JobId &job)
 {
     if (this->isStopped) {
         return "none: this node is leaving";
--- a/Services/Gateway/JobRunners.h
+++ b/Services/Gateway/JobRunners.h
@@ -48,13 +48,13 @@
     void setView(const MemberViewPointer &view);
 
     /** This node has accepted a job, or found that it was: unless it is known to fall to another, it is run here. */
-    void takeAccepted(const JobId &job);
+    void handleAccepted(const JobId &job);
 
     /** Another node reads rows that name this one as the runner of these jobs. */
-    void takeReminder(const std::vector<JobId> &jobs);
+    void handleReminder(const std::vector<JobId> &jobs);
 
     /** Ask the store anew which jobs are open. */
-    void hurry();
+    void refreshOpenJobs();
 
     /** @return whether a job has items without a result, as far as this node knows. */
     bool isOpen(const JobId &job) const;
@@ -77,7 +77,7 @@
     void lookAtJobs();
     void look(const JobId &job, std::map<SessionNumber, JobReminder> &reminders);
     void reportReminder(const JobId &job, SessionNumber runner);
-    std::string_view takeReminder(const JobId &job);
+    std::string_view handleReminder(const JobId &job);
     const Member *presentRunner(const OpenJob &open) const;
     bool isOurs(const JobId &job, const OpenJob &open) const;
     void startRun(const JobId &job, JobRun::Origin origin);
--- a/Services/Gateway/QuotaService.cpp
+++ b/Services/Gateway/QuotaService.cpp
@@ -86,7 +86,7 @@
     }
 }
 
-QuotaAsker::Ticket QuotaService::ask(const Workspace &workspace, std::uint64_t version, QuotaAsker::Decided decided)
+QuotaAsker::Ticket QuotaService::request(const Workspace &workspace, std::uint64_t version, QuotaAsker::Decided decided)
 {
     return this->asker.ask(workspace.name, workspace.quota, version, std::move(decided));
 }
@@ -355,7 +355,7 @@
     this->nextOthers = {};
 }
 
-void QuotaService::noteReceived(const Address &from)
+void QuotaService::recordReceived(const Address &from)
 {
     this->contact.receive(from);
 }
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -34,13 +34,13 @@
     void start();
 
     /** See QuotaAsker::ask(). @param version of the configuration that names the workspace */
-    QuotaAsker::Ticket ask(const Workspace &workspace, std::uint64_t version, QuotaAsker::Decided decided);
+    QuotaAsker::Ticket request(const Workspace &workspace, std::uint64_t version, QuotaAsker::Decided decided);
 
     /** The answer is not wanted any more. */
     void cancel(QuotaAsker::Ticket ticket);
 
     /** Any datagram of another node came. */
-    void noteReceived(const Address &from);
+    void recordReceived(const Address &from);
 
     /** @return whether the datagram was about quotas. */
     bool receive(const Datagram &datagram);
--- a/Tests/ServiceGateway/TestJobCleaner.cpp
+++ b/Tests/ServiceGateway/TestJobCleaner.cpp
@@ -49,15 +49,15 @@
     ManualClock clock;
     FakeRowStore store{this->clock};
     StoreClock storeClock{this->clock};
-    bool isOurDuty = true;
+    bool isCoordinator = true;
     std::set<JobId> open;
     JobCleaner cleaner{this->clock,
                        this->storeClock,
                        this->store,
                        kept,
-                       {.isOurDuty =
+                       {.isCoordinator =
                             [this] {
-                                return this->isOurDuty;
+                                return this->isCoordinator;
                             },
                         .isOpen =
                             [this](const JobId &job) {
@@ -94,10 +94,10 @@
     bench.addJob("open", 1);
     bench.open.insert(JobId("open"));
     bench.addJob("closed", 1);
-    bench.isOurDuty = false;
+    bench.isCoordinator = false;
     bench.clock.advance(std::chrono::minutes(10));
     CHECK(bench.jobs().size() == 2);
-    bench.isOurDuty = true;
+    bench.isCoordinator = true;
     bench.clock.advance(std::chrono::minutes(5));
     CHECK(bench.jobs() == std::set<std::string>{"open"});
 }
