--- a/Services/Gateway/JobRunners.cpp
+++ b/Services/Gateway/JobRunners.cpp
@@ -16,19 +16,19 @@
 namespace
 {
 
-/** Each result changes its job's row; the changes are taken in groups. They tell of ended jobs where the word of it was lost, for
- * which seconds do not matter; and of jobs that fall to another node, for which the store is asked at once when a node goes. */
-constexpr std::chrono::milliseconds changesPace{3000};
-constexpr std::chrono::milliseconds hurryDelay{100};
-constexpr std::chrono::milliseconds settleLook{50};
-constexpr std::chrono::milliseconds considerInterval{1000};
-/** Several times as long as a change of a job takes to come here. */
-constexpr std::chrono::seconds followedAfterRuns{15};
-/** Bounds the work of one look; the other jobs have their turn at the next. */
-constexpr std::chrono::milliseconds lookInterval{250};
-constexpr std::size_t looksAtOnce = 250;
-/** So that a datagram fits into one frame of the network. */
-constexpr std::size_t jobsInReminder = 16;
+/** Each result changes its job's row, so changes are read in groups. They show the end of jobs whose report was lost, where
+ * seconds do not matter, and jobs that move to another node, for which the store is read at once when a node departs. */
+constexpr std::chrono::milliseconds changeInterval{3000};
+constexpr std::chrono::milliseconds refreshDelay{100};
+constexpr std::chrono::milliseconds stabilityCheckInterval{50};
+constexpr std::chrono::milliseconds followingInterval{1000};
+/** Several times the delay with which the change of a row arrives at a node. */
+constexpr std::chrono::seconds followedAfterRun{15};
+/** At most this many jobs are checked at once; the others follow at the next check. */
+constexpr std::chrono::milliseconds checkInterval{250};
+constexpr std::size_t maxJobsPerCheck = 250;
+/** Max jobs in one reminder, so that its datagram fits into one network frame. */
+constexpr std::size_t maxJobsInReminder = 16;
 
 } // namespace
 
@@ -46,13 +46,13 @@
     , endBound(settings.jobEndBound)
     , configuration(std::move(configuration))
     , view(peers.roleView())
-    , looks(context.clock)
-    , settling(context.clock)
+    , checkSchedule(context.clock)
+    , viewStability(context.clock)
     , lastBusy(context.clock.now())
 {
     this->followOpenJobs();
-    this->considerFollowing();
-    this->lookAtJobs();
+    this->updateFollowing();
+    this->checkJobs();
 }
 
 void JobRunners::followOpenJobs()
@@ -64,73 +64,73 @@
                                                   [storeWait = this->storeWait] {
                                                       return storeWait;
                                                   },
-                                                  changesPace},
+                                                  changeInterval},
                            TableFollower::Hooks{
                                .onSnapshot =
                                    [this](const std::vector<StoredRow> &all) {
-                                       this->takeAll(all);
+                                       this->applySnapshot(all);
                                    },
                                .onChange =
                                    [this](const StoredRow &row) {
-                                       this->takeChange(row);
+                                       this->applyChange(row);
                                    },
                            });
 }
 
-// Only who runs a job, or may take one over, has to know which are open. Were all to know, each change of a job would go to every
+// Only nodes that run a job, or may take one over, follow the open jobs. Otherwise each change of a job would be sent to every
 // node.
-void JobRunners::considerFollowing()
+void JobRunners::updateFollowing()
 {
     const Member *const own = this->view->find(this->peers.self());
     const bool mayTakeOver = own == nullptr || !own->isReady || hasEnoughProcessor(*this->view, *own);
     const SteadyTime now = this->context.clock.now();
-    // A row that names this node may still be on its way when its last run has ended, and then nobody else runs that job.
-    const bool isBusy = !this->runs.empty() || now - this->lastBusy < followedAfterRuns;
+    // A row that names this node may arrive after its last run has ended; no other node runs that job.
+    const bool isBusy = !this->runs.empty() || now - this->lastBusy < followedAfterRun;
     if (!this->runs.empty()) {
         this->lastBusy = now;
     }
     if (!mayTakeOver && !isBusy && this->follower) {
         this->follower.reset();
         this->open.clear();
-        this->looks.clear();
+        this->checkSchedule.clear();
         this->reminded.clear();
     } else if (mayTakeOver && !this->follower) {
         this->followOpenJobs();
     }
-    this->considerTimer = this->context.loop.schedule(considerInterval, [this] {
-        this->considerFollowing();
+    this->followingTimer = this->context.loop.schedule(followingInterval, [this] {
+        this->updateFollowing();
     });
 }
 
 JobRunners::~JobRunners()
 {
     *this->alive = false;
-    this->context.loop.cancel(this->hurryTimer);
-    this->context.loop.cancel(this->settleTimer);
-    this->context.loop.cancel(this->considerTimer);
-    this->context.loop.cancel(this->lookTimer);
+    this->context.loop.cancel(this->refreshTimer);
+    this->context.loop.cancel(this->stabilityTimer);
+    this->context.loop.cancel(this->followingTimer);
+    this->context.loop.cancel(this->checkTimer);
     this->stopAll();
 }
 
-void JobRunners::takeAll(const std::vector<StoredRow> &rows)
+void JobRunners::applySnapshot(const std::vector<StoredRow> &rows)
 {
     std::set<JobId> listed;
     for (const StoredRow &row : rows) {
         if (const std::optional<JobId> job = JobRows::openJobOf(row.place.key)) {
             listed.insert(*job);
         }
-        this->takeChange(row);
+        this->applyChange(row);
     }
-    std::vector<JobId> gone;
+    std::vector<JobId> removed;
     for (const auto &[job, row] : this->open) {
         if (!listed.contains(job)) {
-            gone.push_back(job);
+            removed.push_back(job);
         }
     }
-    for (const JobId &job : gone) {
+    for (const JobId &job : removed) {
         this->stopJob(job, RunEnd::NotListed);
     }
-    // A job that was accepted here may be closed before its row was ever read. It may also be too new for this reading.
+    // A job accepted here may have been closed before its row was read, or may be newer than this snapshot.
     for (const auto &[job, run] : this->runs) {
         if (!listed.contains(job)) {
             run->checkOpen();
@@ -138,7 +138,7 @@
     }
 }
 
-void JobRunners::takeChange(const StoredRow &row)
+void JobRunners::applyChange(const StoredRow &row)
 {
     const std::optional<JobId> job = JobRows::openJobOf(row.place.key);
     if (!job) {
@@ -154,20 +154,20 @@
         return;
     }
     this->open.insert_or_assign(*job, *decoded);
-    this->looks.postpone(*job);
+    this->checkSchedule.postpone(*job);
     this->decide(*job);
 }
 
-const Member *JobRunners::presentRunner(const OpenJob &open) const
+const Member *JobRunners::activeRunner(const OpenJob &open) const
 {
     const Member *const runner = this->view->find(open.runner);
     return runner != nullptr && !runner->isLeaving ? runner : nullptr;
 }
 
-bool JobRunners::isOurs(const JobId &job, const OpenJob &open) const
+bool JobRunners::isLocal(const JobId &job, const OpenJob &open) const
 {
-    // Its runner keeps it as long as it is there: a change of the members must not make items run twice.
-    if (const Member *const runner = this->presentRunner(open)) {
+    // The runner keeps its job while it is a member, so that a change of other members does not make items run twice.
+    if (const Member *const runner = this->activeRunner(open)) {
         return runner->session == this->peers.self();
     }
     return hasRole(*this->view, this->peers.self(), stableHash(job.value()));
@@ -176,14 +176,14 @@
 void JobRunners::decide(const JobId &job)
 {
     const auto row = this->open.find(job);
-    const bool isOurs = !this->isStopped && row != this->open.end() && this->isOurs(job, row->second);
+    const bool isLocal = !this->isStopped && row != this->open.end() && this->isLocal(job, row->second);
     const auto run = this->runs.find(job);
     const bool isRunning = run != this->runs.end();
-    if (isOurs && !isRunning && !this->settling.isStable()) {
-        this->decideSettled();
-    } else if (isOurs && !isRunning) {
+    if (isLocal && !isRunning && !this->viewStability.isStable()) {
+        this->decideOnceStable();
+    } else if (isLocal && !isRunning) {
         this->startRun(job, JobRun::Origin::TakenOver);
-    } else if (!isOurs && isRunning) {
+    } else if (!isLocal && isRunning) {
         run->second->saveProgress();
         this->stopRun(job, RunEnd::HandedOn);
     }
@@ -208,7 +208,7 @@
             [this, job, alive = this->alive](RunEnd end) {
                 this->context.loop.post([this, job, end, alive] {
                     if (*alive) {
-                        this->takeRunEnd(job, end);
+                        this->handleRunEnd(job, end);
                     }
                 });
             },
@@ -234,31 +234,31 @@
     if (route == nullptr || route->kind != RouteKind::Batch) {
         return std::nullopt;
     }
-    // The same item always goes to the same service of a split, so that a stopped item can go on where it was.
+    // An item always gets the same service of a split, so that a stopped item can continue from its last event.
     const double point = std::ldexp(static_cast<double>(stableHash(target) >> 11), -53);
-    const RouteTarget *const chosen = selectTarget(*route, point);
-    if (chosen == nullptr) {
+    const RouteTarget *const selected = selectTarget(*route, point);
+    if (selected == nullptr) {
         return std::nullopt;
     }
     const Workspace *const workspace = current->workspaces ? current->workspaces->find(job.workspace) : nullptr;
-    return ItemAttempt::Target{chosen->service, priorityOf(*route, workspace), route->longestPause};
+    return ItemAttempt::Target{selected->service, priorityOf(*route, workspace), route->longestPause};
 }
 
 void JobRunners::setView(const MemberViewPointer &view)
 {
     const MemberViewPointer before = std::exchange(this->view, view);
-    const bool isAnyGone = std::ranges::any_of(before->members(), [&view](const Member &member) {
+    const bool hasAnyLeft = std::ranges::any_of(before->members(), [&view](const Member &member) {
         const Member *const now = view->find(member.session);
         return !member.isLeaving && (now == nullptr || now->isLeaving);
     });
-    if (isAnyGone && this->hurryTimer == 0) {
-        // Where many go at once, the deaths are heard one by one.
-        this->hurryTimer = this->context.loop.schedule(hurryDelay, [this] {
-            this->hurryTimer = 0;
+    if (hasAnyLeft && this->refreshTimer == 0) {
+        // If many members fail at once, their failures are reported one by one.
+        this->refreshTimer = this->context.loop.schedule(refreshDelay, [this] {
+            this->refreshTimer = 0;
             this->refreshOpenJobs();
         });
     }
-    this->settling.update(*view);
+    this->viewStability.update(*view);
     this->decideAll();
 }
 
@@ -273,15 +273,15 @@
     }
 }
 
-// Taken over while views differ, a job would be run by several nodes: replicas and the store would do its work several times,
-// just when all callers come back.
-void JobRunners::decideSettled()
+// If jobs were taken over while the views of the nodes differ, several nodes would run the same job. Replicas and the store would
+// do its work several times, just when all callers reconnect.
+void JobRunners::decideOnceStable()
 {
-    if (this->settleTimer != 0) {
+    if (this->stabilityTimer != 0) {
         return;
     }
-    this->settleTimer = this->context.loop.schedule(settleLook, [this] {
-        this->settleTimer = 0;
+    this->stabilityTimer = this->context.loop.schedule(stabilityCheckInterval, [this] {
+        this->stabilityTimer = 0;
         this->decideAll();
     });
 }
@@ -295,13 +295,13 @@
 
 void JobRunners::handleAccepted(const JobId &job)
 {
-    // The row that names this node as the runner is read back later; the items need not wait for that. A job that was
-    // accepted before may be run elsewhere, or be complete: the row, or the job itself, tells.
+    // The row that names this node as the runner is read later; the items do not wait for it. A job that was accepted before
+    // may run at another node, or be complete; its row or its head shows that.
     if (!this->isStopped && !this->open.contains(job) && !this->runs.contains(job)) {
         this->startRun(job, JobRun::Origin::Accepted);
         return;
     }
-    std::string_view reason = "its open row tells who runs it";
+    std::string_view reason = "its open row names the node that runs it";
     if (this->isStopped) {
         reason = "this node is leaving";
     } else if (this->runs.contains(job)) {
@@ -328,7 +328,7 @@
     if (this->isStopped) {
         return "none: this node is leaving";
     }
-    // For as long as there are reminders, the rows are followed: this node's own copy of them may be behind.
+    // The rows are followed as long as reminders arrive, as this node's copy of them may be outdated.
     this->lastBusy = this->context.clock.now();
     if (!this->follower) {
         this->followOpenJobs();
@@ -336,38 +336,38 @@
     }
     const auto row = this->open.find(job);
     if (row == this->open.end()) {
-        return "none: no open row of it is known yet, or no more";
+        return "none: no open row of it is known";
     }
-    if (!this->isOurs(job, row->second)) {
+    if (!this->isLocal(job, row->second)) {
         return "none: its open row names another node";
     }
     this->decide(job);
-    return this->runs.contains(job) ? "run it" : "run it once the members have settled";
+    return this->runs.contains(job) ? "run it" : "run it once the view of the members is stable";
 }
 
-void JobRunners::lookAtJobs()
+void JobRunners::checkJobs()
 {
     std::map<SessionNumber, JobReminder> reminders;
-    for (const JobId &job : this->looks.popDue(looksAtOnce)) {
-        this->look(job, reminders);
+    for (const JobId &job : this->checkSchedule.popDue(maxJobsPerCheck)) {
+        this->checkJob(job, reminders);
     }
     for (const auto &[runner, reminder] : reminders) {
         if (!reminder.jobs.empty()) {
             this->peers.datagrams().send(this->view->find(runner)->gossip, reminder);
         }
     }
-    this->lookTimer = this->context.loop.schedule(lookInterval, [this] {
-        this->lookAtJobs();
+    this->checkTimer = this->context.loop.schedule(checkInterval, [this] {
+        this->checkJobs();
     });
 }
 
-void JobRunners::look(const JobId &job, std::map<SessionNumber, JobReminder> &reminders)
+void JobRunners::checkJob(const JobId &job, std::map<SessionNumber, JobReminder> &reminders)
 {
     const auto row = this->open.find(job);
     if (this->isStopped || row == this->open.end()) {
         return;
     }
-    const Member *const runner = this->presentRunner(row->second);
+    const Member *const runner = this->activeRunner(row->second);
     if (runner == nullptr || runner->session == this->peers.self()) {
         this->decide(job);
         return;
@@ -378,7 +378,7 @@
     this->reportReminder(job, runner->session);
     JobReminder &reminder = reminders[runner->session];
     reminder.jobs.push_back(job);
-    if (reminder.jobs.size() == jobsInReminder) {
+    if (reminder.jobs.size() == maxJobsInReminder) {
         this->peers.datagrams().send(runner->gossip, std::exchange(reminder, {}));
     }
 }
@@ -391,7 +391,7 @@
             "open job left to its runner",
             {{"job", job.value()},
              {"runner", std::to_string(runner.value())},
-             {"reason", "its open row names a member; it is reminded while the row stands still"}});
+             {"reason", "its open row names a member; it is reminded while the row does not change"}});
     }
 }
 
@@ -403,15 +403,15 @@
 void JobRunners::stopJob(const JobId &job, RunEnd end)
 {
     this->open.erase(job);
-    this->looks.remove(job);
+    this->checkSchedule.remove(job);
     this->reminded.erase(job);
     this->stopRun(job, end);
 }
 
-void JobRunners::takeRunEnd(const JobId &job, RunEnd end)
+void JobRunners::handleRunEnd(const JobId &job, RunEnd end)
 {
     if (end == RunEnd::Absent) {
-        // The store may have answered with what it knew earlier. While the open row is there, it is looked at again.
+        // The store may have answered with outdated data. While the open row exists, the job is checked again.
         this->stopRun(job, end);
         return;
     }
--- a/Services/Gateway/JobRunners.h
+++ b/Services/Gateway/JobRunners.h
@@ -19,20 +19,19 @@
 {
 
 /**
- * Runs the open jobs that fall to this node.
+ * Runs the open jobs that are assigned to this node.
  *
- * For each open row there is a node that knows it has to see to the job, whatever was lost and whoever follows the rows: the
- * member that would inherit the job follows them, and as long as the row is there it looks at it again and again. If the runner
- * that the row names is gone, it runs the job itself; else it reminds the runner, which looks at the row if it does not run the
- * job.
+ * Every open job gets a runner, even if datagrams or writes were lost: the member that would take the job over follows the rows
+ * of open jobs, and checks the job periodically while its row exists. If the runner that the row names has departed, this member
+ * runs the job itself. Otherwise it sends the runner a reminder, and the runner checks the row if it does not run the job.
  */
 class JobRunners
 {
 public:
     /**
-     * @param rows by which the open jobs are followed
-     * @param settings how long the store is asked to wait, and how soon ended jobs stop
-     * @param configuration gives the configuration in force, or null
+     * @param rows feed of the table of open jobs
+     * @param settings the wait time of reads from the store, and the max time in which ended jobs stop
+     * @param configuration returns the configuration in force, or null
      */
     JobRunners(GatewayContext &context,
                RowFeed &rows,
@@ -44,42 +43,42 @@
     JobRunners(const JobRunners &) = delete;
     JobRunners &operator=(const JobRunners &) = delete;
 
-    /** The members changed: jobs may fall to other nodes. */
+    /** Applies a change of the members, which may assign jobs to other nodes. */
     void setView(const MemberViewPointer &view);
 
-    /** This node has accepted a job, or found that it was: unless it is known to fall to another, it is run here. */
+    /** Runs a job that this node has accepted, or found accepted, unless its open row is known: then the row decides. */
     void handleAccepted(const JobId &job);
 
-    /** Another node reads rows that name this one as the runner of these jobs. */
+    /** Handles a reminder from another node that the open rows of these jobs name this node as the runner. */
     void handleReminder(const std::vector<JobId> &jobs);
 
-    /** Ask the store anew which jobs are open. */
+    /** Reads the open jobs from the store again. */
     void refreshOpenJobs();
 
-    /** @return whether a job has items without a result, as far as this node knows. */
+    /** @return whether a job has items without a result, to the knowledge of this node. */
     bool isOpen(const JobId &job) const;
 
-    /** A job needs no runner any more. */
+    /** Stops the run of a job that needs no runner any more. */
     void stopJob(const JobId &job, RunEnd end);
 
-    /** Give all jobs back: this node is leaving. */
+    /** Stops all runs and stores their progress, because this node is leaving. */
     void stopAll();
 
 private:
     void followOpenJobs();
-    void considerFollowing();
-    void takeAll(const std::vector<StoredRow> &rows);
-    void takeChange(const StoredRow &row);
+    void updateFollowing();
+    void applySnapshot(const std::vector<StoredRow> &rows);
+    void applyChange(const StoredRow &row);
     void decide(const JobId &job);
     void decideAll();
-    void decideSettled();
-    void takeRunEnd(const JobId &job, RunEnd end);
-    void lookAtJobs();
-    void look(const JobId &job, std::map<SessionNumber, JobReminder> &reminders);
+    void decideOnceStable();
+    void handleRunEnd(const JobId &job, RunEnd end);
+    void checkJobs();
+    void checkJob(const JobId &job, std::map<SessionNumber, JobReminder> &reminders);
     void reportReminder(const JobId &job, SessionNumber runner);
     std::string_view handleReminder(const JobId &job);
-    const Member *presentRunner(const OpenJob &open) const;
-    bool isOurs(const JobId &job, const OpenJob &open) const;
+    const Member *activeRunner(const OpenJob &open) const;
+    bool isLocal(const JobId &job, const OpenJob &open) const;
     void startRun(const JobId &job, JobRun::Origin origin);
     void stopRun(const JobId &job, RunEnd end);
     std::optional<ItemAttempt::Target> targetOf(const JobHead &job, const std::string &target) const;
@@ -93,19 +92,19 @@
     std::function<ServingConfigurationPointer()> configuration;
     MemberViewPointer view;
     std::map<JobId, OpenJob> open;
-    JobCheckSchedule looks;
-    /** The runners that were reminded of open jobs. */
+    JobCheckSchedule checkSchedule;
+    /** The runner last reminded of each open job, so that a change of it is logged once. */
     std::map<JobId, SessionNumber> reminded;
     std::map<JobId, std::shared_ptr<JobRun>> runs;
     bool isStopped = false;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
     std::optional<TableFollower> follower;
-    TimerId hurryTimer = 0;
-    TimerId settleTimer = 0;
-    TimerId considerTimer = 0;
-    TimerId lookTimer = 0;
-    ViewStability settling;
-    /** When this node last ran a job, as far as was looked. */
+    TimerId refreshTimer = 0;
+    TimerId stabilityTimer = 0;
+    TimerId followingTimer = 0;
+    TimerId checkTimer = 0;
+    ViewStability viewStability;
+    /** When a check last found that this node runs a job, or may have to. */
     SteadyTime lastBusy;
 };
 
--- a/Services/Gateway/JobStore.cpp
+++ b/Services/Gateway/JobStore.cpp
@@ -14,19 +14,19 @@
 namespace
 {
 
-/** Rows of content that one transaction takes beside its others; what needs more goes into an object. */
-constexpr std::size_t mostContentRows = 12;
-/** Two submissions on one route at the same moment collide; each round lets one of them through. A store that is away may
- * be back before the caller's time is over, which bounds the tries too. */
-constexpr int mostTries = 60;
-/** One failure may be a connection that the store had closed. After a second one the store is taken to be away for longer, and
- * the caller is sent away while it has time to come back: held to the end of its time, it could not. */
-constexpr int mostUnanswered = 2;
-constexpr std::chrono::milliseconds firstPause{5};
-constexpr std::chrono::milliseconds longestPause{250};
-/** Kept back from the caller's time, so that the answer still reaches it. */
+/** Max rows of content in one transaction beside its other rows; larger content is stored as an object. */
+constexpr std::size_t maxContentRows = 12;
+/** Of submissions that collide on one route, each round lets one succeed. An unreachable store may return before the caller's
+ * deadline, which bounds the tries too. */
+constexpr int maxTries = 60;
+/** One failure may be a connection that the store had closed. After a second one the store counts as unreachable, and the caller
+ * is refused at once, so that it has time left to retry. */
+constexpr int maxUnanswered = 2;
+constexpr std::chrono::milliseconds minPause{5};
+constexpr std::chrono::milliseconds maxPause{250};
+/** The answer is sent this long before the caller's deadline, so that it still arrives in time. */
 constexpr std::chrono::milliseconds answerMargin{100};
-constexpr std::size_t totalsKept = 50000;
+constexpr std::size_t maxTotals = 50000;
 
 std::uint64_t tokensOf(const std::vector<JobItem> &items)
 {
@@ -37,20 +37,20 @@
 
 } // namespace
 
-struct JobStore::Submitting
+struct JobStore::PendingSubmission
 {
     Submission submission;
     std::uint64_t tokens = 0;
-    std::vector<std::string> pieces;
+    std::vector<std::string> chunks;
     int tries = 0;
     /** Calls to the store that failed and changed nothing. */
     int unanswered = 0;
-    /** A write without an answer may still take effect: from then on nothing may be promised. */
-    bool isMaybeWritten = false;
+    /** A write without an answer may still take effect; from then on the job cannot be reported as not stored. */
+    bool mayBeWritten = false;
     std::function<void(SubmitOutcome)> done;
 };
 
-struct JobStore::Ending
+struct JobStore::PendingEnd
 {
     JobId job;
     SteadyTime deadline;
@@ -82,48 +82,48 @@
 
 std::chrono::milliseconds JobStore::pause(int tries)
 {
-    const auto most = std::min(firstPause * (1 << std::min(tries, 8)), longestPause);
-    std::uniform_int_distribution<std::int64_t> spread(most.count() / 2, most.count());
+    const auto upper = std::min(minPause * (1 << std::min(tries, 8)), maxPause);
+    std::uniform_int_distribution<std::int64_t> spread(upper.count() / 2, upper.count());
     return std::chrono::milliseconds(spread(this->random));
 }
 
 void JobStore::submit(Submission submission, std::function<void(SubmitOutcome)> done)
 {
-    const auto submitting = std::make_shared<Submitting>();
+    const auto submitting = std::make_shared<PendingSubmission>();
     submitting->tokens = tokensOf(submission.items);
     submitting->submission = std::move(submission);
     submitting->done = std::move(done);
     this->storeContent(submitting);
 }
 
-void JobStore::storeContent(const std::shared_ptr<Submitting> &submitting)
+void JobStore::storeContent(const std::shared_ptr<PendingSubmission> &submitting)
 {
     JobContent content;
     for (const JobItem &item : submitting->submission.items) {
         content.items.push_back(JobRows::recordOf(item));
     }
     std::string encoded = encode(content);
-    submitting->pieces = JobRows::split(encoded, this->rowBytes);
-    if (submitting->pieces.size() <= mostContentRows) {
-        this->checkRoom(submitting);
+    submitting->chunks = JobRows::split(encoded, this->rowBytes);
+    if (submitting->chunks.size() <= maxContentRows) {
+        this->checkCapacity(submitting);
         return;
     }
-    submitting->pieces.clear();
+    submitting->chunks.clear();
     const std::string name = JobRows::contentObject(submitting->submission.id);
     this->store.putObject(name, std::move(encoded), [this, alive = this->alive, submitting](WriteOutcome outcome) {
         if (!*alive) {
             return;
         }
-        // An object without a row that names it is nothing: whatever became of this write, no job is kept yet.
+        // An object counts only with a row that names it: even if this write took effect, no job is stored yet.
         if (outcome != WriteOutcome::Done) {
             submitting->done(SubmitOutcome::NotStored);
             return;
         }
-        this->checkRoom(submitting);
+        this->checkCapacity(submitting);
     });
 }
 
-void JobStore::checkRoom(const std::shared_ptr<Submitting> &submitting)
+void JobStore::checkCapacity(const std::shared_ptr<PendingSubmission> &submitting)
 {
     const std::uint64_t limit = submitting->submission.waitingTokensLimit;
     if (limit == 0 && this->storeClock.now()) {
@@ -152,7 +152,7 @@
             orderVersion = row.place == order ? row.version : orderVersion;
         }
         if (isKnown) {
-            this->takeFound(submitting);
+            this->handleFound(submitting);
         } else if (limit > 0 && waiting + submitting->tokens > limit) {
             this->confirm(submitting, SubmitOutcome::Full);
         } else {
@@ -161,11 +161,11 @@
     });
 }
 
-void JobStore::write(const std::shared_ptr<Submitting> &submitting, std::uint64_t waiting, RowVersion orderVersion)
+void JobStore::write(const std::shared_ptr<PendingSubmission> &submitting, std::uint64_t waiting, RowVersion orderVersion)
 {
     const std::optional<StoreTime> now = this->storeClock.now();
     if (!now) {
-        // The store has answered, but without its time: nobody could tell how old the job is.
+        // The store has answered, but without its time: the age of the job would be unknown.
         this->retry(submitting, SubmitOutcome::NotStored);
         return;
     }
@@ -176,29 +176,29 @@
     head.workspace = submission.workspace;
     head.submitted = *now;
     head.total = static_cast<std::uint32_t>(submission.items.size());
-    head.contentPieces = static_cast<std::uint32_t>(submitting->pieces.size());
+    head.contentPieces = static_cast<std::uint32_t>(submitting->chunks.size());
     const OpenJob open{submission.route, submission.workspace, submitting->tokens, this->self()};
     RowTransaction transaction;
     transaction.expectations.push_back({JobRows::head(submission.id), 0});
     transaction.puts.push_back({JobRows::head(submission.id), encode(head)});
     transaction.puts.push_back({JobRows::open(submission.id), encode(open)});
-    for (std::uint32_t piece = 0; piece < submitting->pieces.size(); ++piece) {
-        transaction.puts.push_back({JobRows::contentChunk(submission.id, piece), submitting->pieces[piece]});
+    for (std::uint32_t chunk = 0; chunk < submitting->chunks.size(); ++chunk) {
+        transaction.puts.push_back({JobRows::contentChunk(submission.id, chunk), submitting->chunks[chunk]});
     }
     if (submission.waitingTokensLimit > 0) {
-        // Each acceptance changes this row, so that two nodes can't both fill the last room.
+        // Each acceptance changes this row, so that two nodes can't both use the last capacity.
         const RowPlace order = JobRows::acceptanceOrder(submission.route, submission.workspace);
         transaction.expectations.push_back({order, orderVersion});
         transaction.puts.push_back({order, std::to_string(waiting + submitting->tokens)});
     }
     this->store.transact(std::move(transaction), [this, alive = this->alive, submitting](const RowTransactionResult &result) {
         if (*alive) {
-            this->takeWritten(submitting, result);
+            this->handleWritten(submitting, result);
         }
     });
 }
 
-void JobStore::takeWritten(const std::shared_ptr<Submitting> &submitting, const RowTransactionResult &result)
+void JobStore::handleWritten(const std::shared_ptr<PendingSubmission> &submitting, const RowTransactionResult &result)
 {
     const JobId &job = submitting->submission.id;
     switch (result.outcome) {
@@ -211,7 +211,7 @@
             return row.place == JobRows::head(job) && row.version > 0 && !row.isRemoved;
         });
         if (isKnown) {
-            this->takeFound(submitting);
+            this->handleFound(submitting);
             return;
         }
         this->retry(submitting, SubmitOutcome::NotStored);
@@ -221,29 +221,29 @@
         this->retryUnanswered(submitting);
         return;
     case WriteOutcome::Unknown:
-        submitting->isMaybeWritten = true;
+        submitting->mayBeWritten = true;
         this->confirm(submitting, SubmitOutcome::Unknown);
         return;
     }
 }
 
-void JobStore::confirm(const std::shared_ptr<Submitting> &submitting, SubmitOutcome otherwise)
+void JobStore::confirm(const std::shared_ptr<PendingSubmission> &submitting, SubmitOutcome otherwise)
 {
     this->loadHead(submitting->submission.id, [this, submitting, otherwise](const LoadedJob &loaded) {
         if (loaded.outcome == JobReadOutcome::Found) {
-            this->takeFound(submitting);
+            this->handleFound(submitting);
         } else if (loaded.outcome == JobReadOutcome::Absent && otherwise == SubmitOutcome::Full) {
-            submitting->done(submitting->isMaybeWritten ? SubmitOutcome::Unknown : SubmitOutcome::Full);
+            submitting->done(submitting->mayBeWritten ? SubmitOutcome::Unknown : SubmitOutcome::Full);
         } else {
             this->retry(submitting, otherwise == SubmitOutcome::Full ? SubmitOutcome::NotStored : otherwise);
         }
     });
 }
 
-// What was found may be what this submission's unanswered write has stored. Then its open row names this node.
-void JobStore::takeFound(const std::shared_ptr<Submitting> &submitting)
+// The job that was found may have been stored by this submission's unanswered write; then its open row names this node.
+void JobStore::handleFound(const std::shared_ptr<PendingSubmission> &submitting)
 {
-    if (!submitting->isMaybeWritten) {
+    if (!submitting->mayBeWritten) {
         submitting->done(SubmitOutcome::Known);
         return;
     }
@@ -253,33 +253,33 @@
                          if (!*alive) {
                              return;
                          }
-                         const bool isOurs = std::ranges::any_of(result.rows, [this, &place](const StoredRow &row) {
+                         const bool isLocal = std::ranges::any_of(result.rows, [this, &place](const StoredRow &row) {
                              const std::optional<OpenJob> open = row.place == place ? decode<OpenJob>(row.value) : std::nullopt;
                              return open && open->runner == this->self();
                          });
-                         submitting->done(isOurs ? SubmitOutcome::Accepted : SubmitOutcome::Known);
+                         submitting->done(isLocal ? SubmitOutcome::Accepted : SubmitOutcome::Known);
                      });
 }
 
-void JobStore::retry(const std::shared_ptr<Submitting> &submitting, SubmitOutcome otherwise)
+void JobStore::retry(const std::shared_ptr<PendingSubmission> &submitting, SubmitOutcome otherwise)
 {
     const std::chrono::milliseconds delay = this->pause(submitting->tries);
     const bool hasTime = this->clock.now() + delay + answerMargin < submitting->submission.deadline;
-    if (++submitting->tries > mostTries || !hasTime) {
-        submitting->done(submitting->isMaybeWritten ? SubmitOutcome::Unknown : otherwise);
+    if (++submitting->tries > maxTries || !hasTime) {
+        submitting->done(submitting->mayBeWritten ? SubmitOutcome::Unknown : otherwise);
         return;
     }
     this->scheduler.schedule(delay, [this, alive = this->alive, submitting] {
         if (*alive) {
-            this->checkRoom(submitting);
+            this->checkCapacity(submitting);
         }
     });
 }
 
-void JobStore::retryUnanswered(const std::shared_ptr<Submitting> &submitting)
+void JobStore::retryUnanswered(const std::shared_ptr<PendingSubmission> &submitting)
 {
     ++submitting->unanswered;
-    if (submitting->unanswered >= mostUnanswered && !submitting->isMaybeWritten) {
+    if (submitting->unanswered >= maxUnanswered && !submitting->mayBeWritten) {
         submitting->done(SubmitOutcome::NotStored);
         return;
     }
@@ -329,7 +329,7 @@
                              if (head) {
                                  loaded.head = head->first;
                                  loaded.version = head->second;
-                                 if (this->totals.size() > totalsKept) {
+                                 if (this->totals.size() > maxTotals) {
                                      this->totals.clear();
                                  }
                                  this->totals[job] = head->first.total;
@@ -381,10 +381,10 @@
 
 void JobStore::end(const JobId &job, SteadyTime deadline, std::function<void(JobReadOutcome)> done)
 {
-    this->tryEnd(std::make_shared<Ending>(Ending{job, deadline, 0, std::move(done)}));
+    this->tryEnd(std::make_shared<PendingEnd>(PendingEnd{job, deadline, 0, std::move(done)}));
 }
 
-void JobStore::tryEnd(const std::shared_ptr<Ending> &ending)
+void JobStore::tryEnd(const std::shared_ptr<PendingEnd> &ending)
 {
     this->loadHead(ending->job, [this, ending](LoadedJob loaded) {
         if (loaded.outcome == JobReadOutcome::Absent || loaded.head.isEnded) {
@@ -407,7 +407,7 @@
     });
 }
 
-void JobStore::retryEnd(const std::shared_ptr<Ending> &ending)
+void JobStore::retryEnd(const std::shared_ptr<PendingEnd> &ending)
 {
     const std::chrono::milliseconds delay = this->pause(ending->tries++);
     if (this->clock.now() + delay + answerMargin > ending->deadline) {
@@ -473,7 +473,7 @@
     this->store.transact(std::move(transaction), [job](const RowTransactionResult &result) {
         if (result.outcome != WriteOutcome::Done) {
             log(LogLevel::Debug,
-                "progress not kept",
+                "progress of batch items not stored",
                 {{"job", job.value()}, {"outcome", static_cast<std::int64_t>(result.outcome)}});
         }
     });
--- a/Services/Gateway/JobStore.h
+++ b/Services/Gateway/JobStore.h
@@ -19,46 +19,46 @@
 namespace Dogwoodkeel
 {
 
-/** What came of a submission. */
+/** Outcome of a submission. */
 enum class SubmitOutcome {
-    /** The job is kept now, by this submission. */
+    /** This submission stored the job. */
     Accepted,
-    /** The job is kept since an earlier submission. */
+    /** An earlier submission stored the job. */
     Known,
-    /** Too many tokens wait on its route; nothing is kept and nothing will run. */
+    /** Too many tokens wait on the route; nothing is stored and nothing will run. */
     Full,
-    /** Nothing is kept and nothing will run. */
+    /** Nothing is stored and nothing will run. */
     NotStored,
-    /** It may be kept, or may yet be: a repeat will tell. */
+    /** The job may be stored now or later; a repeated submission resolves this. */
     Unknown,
 };
 
-/** A job to be accepted. */
+/** A job that a caller submits. */
 struct Submission
 {
     JobId id;
     std::string route;
     std::string host;
-    /** Whose it is; empty if callers need no key. */
+    /** The workspace that the job belongs to; empty if callers need no key. */
     WorkspaceName workspace;
     /** Tokens of the workspace that may wait on the route; 0: no limit. */
     std::uint64_t waitingTokensLimit = 0;
     std::chrono::milliseconds completionTarget{0};
     std::vector<JobItem> items;
-    /** Until when the caller waits for the answer. */
+    /** When the caller stops waiting for the answer. */
     SteadyTime deadline{};
 };
 
-/** What a job was read as. */
+/** Outcome of reading a job. */
 enum class JobReadOutcome {
     Found,
     /** There is no such job. */
     Absent,
-    /** It can't be told now. */
+    /** The store did not answer. */
     Failed,
 };
 
-/** The results of a job from some position on. */
+/** The results of a job from a position on. */
 struct JobResults
 {
     JobReadOutcome outcome = JobReadOutcome::Failed;
@@ -66,7 +66,7 @@
     std::vector<ItemResult> results;
 };
 
-/** A job as its runner needs it. */
+/** The head of a job and, where they were read, its items. */
 struct LoadedJob
 {
     JobReadOutcome outcome = JobReadOutcome::Failed;
@@ -75,14 +75,14 @@
     std::vector<JobItem> items;
 };
 
-/** Accepts, reads and ends batch jobs in the platform's store. Any node can, at any moment, for any job. */
+/** Accepts, reads and ends batch jobs in the platform's store. Any node can do so for any job at any time. */
 class JobStore
 {
 public:
     /**
-     * @param storeClock by which the ages of jobs are told
-     * @param self gives the session number of this node
-     * @param rowBytes the largest row that the store takes
+     * @param storeClock clock for the submission times of jobs
+     * @param self returns the session number of this node
+     * @param rowBytes the largest row that the store accepts
      */
     JobStore(Scheduler &scheduler,
              const Clock &clock,
@@ -99,22 +99,22 @@
 
     void readResults(const JobId &job, std::uint64_t from, std::function<void(JobResults)> done);
 
-    /** Read a job's head and items. */
+    /** Reads a job's head and items. */
     void load(const JobId &job, std::function<void(LoadedJob)> done);
 
-    /** Read a job's head alone; the items stay empty. */
+    /** Reads only a job's head; the items stay empty. */
     void loadHead(const JobId &job, std::function<void(LoadedJob)> done);
 
-    /** End a job; Found when it is ended, now or before. */
+    /** Ends a job; the outcome is Found if it is ended now or was ended before. */
     void end(const JobId &job, SteadyTime deadline, std::function<void(JobReadOutcome)> done);
 
     /**
-     * Change a job in one step.
-     * @param version of the head that the change is based on
+     * Changes a job in one transaction.
+     * @param version version of the head that the change is based on
      * @param head the new head
-     * @param results that are added behind those that the head had before
+     * @param results results that are added behind those that the previous head lists
      * @param open the new row among the open jobs, or nothing to remove it
-     * @param done gets, with Done, the head's new version
+     * @param done receives, with Done, the head's new version
      */
     void update(const JobId &job,
                 RowVersion version,
@@ -123,26 +123,26 @@
                 const std::optional<OpenJob> &open,
                 std::function<void(WriteOutcome, RowVersion)> done);
 
-    /** Read what the items of a job have generated so far; nothing if it can't be told now. */
+    /** Reads the output of a job's items so far; nothing if the store did not answer. */
     void readProgress(const JobId &job, std::function<void(std::optional<std::map<std::uint32_t, JobRows::Generated>>)> done);
 
-    /** Keep what items have generated since it was kept last. Lost without harm: the items then generate it again. */
+    /** Stores the output of items since the last call. If the write is lost, the items generate that output again. */
     void saveProgress(const JobId &job, const std::vector<ItemProgress> &parts);
 
 private:
-    struct Submitting;
-    struct Ending;
-
-    void storeContent(const std::shared_ptr<Submitting> &submitting);
-    void checkRoom(const std::shared_ptr<Submitting> &submitting);
-    void write(const std::shared_ptr<Submitting> &submitting, std::uint64_t waiting, RowVersion orderVersion);
-    void takeWritten(const std::shared_ptr<Submitting> &submitting, const RowTransactionResult &result);
-    void confirm(const std::shared_ptr<Submitting> &submitting, SubmitOutcome otherwise);
-    void takeFound(const std::shared_ptr<Submitting> &submitting);
-    void retry(const std::shared_ptr<Submitting> &submitting, SubmitOutcome otherwise);
-    void retryUnanswered(const std::shared_ptr<Submitting> &submitting);
-    void tryEnd(const std::shared_ptr<Ending> &ending);
-    void retryEnd(const std::shared_ptr<Ending> &ending);
+    struct PendingSubmission;
+    struct PendingEnd;
+
+    void storeContent(const std::shared_ptr<PendingSubmission> &submitting);
+    void checkCapacity(const std::shared_ptr<PendingSubmission> &submitting);
+    void write(const std::shared_ptr<PendingSubmission> &submitting, std::uint64_t waiting, RowVersion orderVersion);
+    void handleWritten(const std::shared_ptr<PendingSubmission> &submitting, const RowTransactionResult &result);
+    void confirm(const std::shared_ptr<PendingSubmission> &submitting, SubmitOutcome otherwise);
+    void handleFound(const std::shared_ptr<PendingSubmission> &submitting);
+    void retry(const std::shared_ptr<PendingSubmission> &submitting, SubmitOutcome otherwise);
+    void retryUnanswered(const std::shared_ptr<PendingSubmission> &submitting);
+    void tryEnd(const std::shared_ptr<PendingEnd> &ending);
+    void retryEnd(const std::shared_ptr<PendingEnd> &ending);
     std::chrono::milliseconds pause(int tries);
 
     Scheduler &scheduler;
@@ -152,7 +152,7 @@
     std::function<SessionNumber()> self;
     std::size_t rowBytes;
     std::minstd_rand random;
-    /** Totals never change; knowing one saves a read. */
+    /** The number of items of jobs. It never changes; a cached one saves a read. */
     std::map<JobId, std::uint64_t> totals;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/Services/Gateway/QuotaService.cpp
+++ b/Services/Gateway/QuotaService.cpp
@@ -12,32 +12,33 @@
 namespace
 {
 
-/** Longer than a question is repeated, or travels. */
+/** Longer than a query is repeated or in transit. */
 constexpr std::chrono::milliseconds answersRetained{2000};
 constexpr std::chrono::milliseconds cleanInterval{500};
 constexpr std::chrono::milliseconds handoverRetained{1000};
-/** Entries of one datagram; with names of some tens of bytes it stays below what a network carries whole. */
-constexpr std::size_t restsAtOnce = 24;
-/** A node that has met nobody by then is the only one. */
-constexpr std::chrono::milliseconds aloneAfter{3000};
+/** Max levels in one datagram; with names of some tens of bytes it stays below the MTU of networks. */
+constexpr std::size_t maxLevelsPerDatagram = 24;
+/** A node that has found no other after this time is the only one. */
+constexpr std::chrono::milliseconds aloneTimeout{3000};
 /**
- * A counter that receives nothing for so long is cut off from all others: these have another one by then or soon, and two would
- * each grant the whole limit. Before that it asks others for a sign of life.
+ * A counter that receives nothing for this long is cut off from all other nodes. These have another counter by then or soon, and
+ * each of the two would grant the whole limit. Before that it probes other members.
  */
-constexpr std::chrono::milliseconds touchLostAfter{400};
+constexpr std::chrono::milliseconds isolatedAfter{400};
 constexpr std::chrono::milliseconds probeAfter{200};
 constexpr std::chrono::milliseconds probeInterval{100};
-/** A machine that stood still for longer has most likely lost its duty without knowing it. */
-constexpr std::chrono::milliseconds longestPause{200};
+/** A machine that was suspended for longer has most likely lost its role without knowing it. */
+constexpr std::chrono::milliseconds maxSuspension{200};
 
-/** After a refusal, quotas are used up, and it matters at once if another part of the fleet counts for itself. */
-constexpr std::chrono::seconds pressedTime{2};
+/** For this long after a refusal quotas are used up, and a partition of the fleet must be detected faster. */
+constexpr std::chrono::seconds refusalPeriod{2};
 
-/** How often those are left out that were lost too long ago; a change of the members is taken at once. */
-constexpr std::chrono::milliseconds othersInterval{1000};
+/** Interval at which members lost too long ago are left out; a change of the members is applied at once. */
+constexpr std::chrono::milliseconds recentMembersInterval{1000};
 
-/** For the log: below the one a part of the fleet is cut off, above the other none is. The estimate moves between them. */
-constexpr double cutShare = 0.6;
+/** For the log: below the first share a part of the fleet is cut off, above the second none is. The gap absorbs the noise of the
+ * estimate. */
+constexpr double partitionedShare = 0.6;
 constexpr double wholeShare = 0.9;
 
 QuotaAnswer answerOf(QuotaAsker::Ticket ticket, const QuotaDecision &decision)
@@ -47,10 +48,10 @@
 
 } // namespace
 
-QuotaService::QuotaService(const Clock &clock, PeerNetwork &peers, CoordinatorElections &duties, const QuotaBounds &bounds)
+QuotaService::QuotaService(const Clock &clock, PeerNetwork &peers, CoordinatorElections &elections, const QuotaBounds &bounds)
     : clock(clock)
     , peers(peers)
-    , duties(duties)
+    , elections(elections)
     , bounds(bounds)
     , started(clock.now())
     , view(peers.roleView())
@@ -59,29 +60,29 @@
             bounds,
             {.ask =
                  [this](const QuotaQuestion &question, QuotaAsker::Counter counter) {
-                     return this->askCounter(question, counter);
+                     return this->queryCounter(question, counter);
                  },
              .suspectHolder =
                  [this](std::size_t number) {
-                     const std::string &duty = this->parts[number].duty;
-                     log(LogLevel::Warning, "counter of quotas does not answer", {{"duty", duty}});
-                     this->duties.suspectCoordinator(duty);
+                     const std::string &role = this->parts[number].role;
+                     log(LogLevel::Warning, "counter of quotas does not answer", {{"duty", role}});
+                     this->elections.suspectCoordinator(role);
                  }})
     , recent(clock)
-    , contact(clock, peers.self().value(), [this](const Address &other) {
-        this->duties.probe(other, this->parts.front().duty);
+    , reachability(clock, peers.self().value(), [this](const Address &other) {
+        this->elections.probe(other, this->parts.front().role);
     })
 {
     for (std::size_t number = 0; number < this->parts.size(); ++number) {
-        this->parts[number].duty = "quota/" + std::to_string(number);
+        this->parts[number].role = "quota/" + std::to_string(number);
     }
 }
 
 void QuotaService::start()
 {
     for (std::size_t number = 0; number < this->parts.size(); ++number) {
-        this->duties.follow(this->parts[number].duty, [this, number](const CoordinatorElections::Change &move) {
-            this->handOver(number, move);
+        this->elections.follow(this->parts[number].role, [this, number](const CoordinatorElections::Change &change) {
+            this->handOver(number, change);
         });
     }
 }
@@ -96,39 +97,39 @@
     this->asker.cancel(ticket);
 }
 
-bool QuotaService::askCounter(const QuotaQuestion &question, QuotaAsker::Counter counter)
+bool QuotaService::queryCounter(const QuotaQuestion &question, QuotaAsker::Counter counter)
 {
     const std::size_t number = quotaPartOf(question.workspace);
-    const std::string &duty = this->parts[number].duty;
+    const std::string &role = this->parts[number].role;
     const bool isToSuccessor = counter == QuotaAsker::Counter::Successor;
-    const Member *const member = isToSuccessor ? this->duties.successor(duty) : this->duties.coordinator(duty);
+    const Member *const member = isToSuccessor ? this->elections.successor(role) : this->elections.coordinator(role);
     if (member == nullptr) {
         return false;
     }
     if (member->session == this->peers.self()) {
-        if (this->isOutOfTouch() || !this->mayCount(duty)) {
+        if (this->isIsolated() || !this->mayCount(role)) {
             return false;
         }
         this->asker.take(question.ticket, this->count(number, {this->peers.self(), question.ticket}, question));
         return true;
     }
-    QuotaAsk ask;
-    ask.from = this->peers.self();
-    ask.ticket = question.ticket;
-    ask.workspace = question.workspace;
-    ask.perSecond = question.quota.perSecond;
-    ask.burst = question.quota.burst;
-    ask.version = question.version;
-    ask.isToSuccessor = isToSuccessor;
-    this->peers.datagrams().send(member->gossip, ask);
+    QuotaAsk query;
+    query.from = this->peers.self();
+    query.ticket = question.ticket;
+    query.workspace = question.workspace;
+    query.perSecond = question.quota.perSecond;
+    query.burst = question.quota.burst;
+    query.version = question.version;
+    query.isToSuccessor = isToSuccessor;
+    this->peers.datagrams().send(member->gossip, query);
     return true;
 }
 
 bool QuotaService::receive(const Datagram &datagram)
 {
     if (datagram.number == QuotaAsk::number) {
-        if (const auto ask = decode<QuotaAsk>(datagram.payload)) {
-            this->receive(datagram, *ask);
+        if (const auto query = decode<QuotaAsk>(datagram.payload)) {
+            this->receive(datagram, *query);
         }
         return true;
     }
@@ -148,29 +149,29 @@
     return false;
 }
 
-void QuotaService::receive(const Datagram &datagram, const QuotaAsk &ask)
+void QuotaService::receive(const Datagram &datagram, const QuotaAsk &query)
 {
-    const std::size_t number = quotaPartOf(ask.workspace);
-    const std::string &duty = this->parts[number].duty;
-    const bool isPassedOn = ask.replyTo != Address();
-    const Member *const other = isPassedOn || ask.isToSuccessor ? nullptr : this->duties.remoteCoordinator(duty);
+    const std::size_t number = quotaPartOf(query.workspace);
+    const std::string &role = this->parts[number].role;
+    const bool isForwarded = query.replyTo != Address();
+    const Member *const other = isForwarded || query.isToSuccessor ? nullptr : this->elections.remoteCoordinator(role);
     if (other != nullptr) {
-        // Who asks does not know the holder yet. Were it answered here, two would count the same workspace.
-        QuotaAsk passed = ask;
-        passed.replyTo = datagram.from;
-        this->peers.datagrams().send(other->gossip, passed);
-        this->duties.sendClaim(datagram.from, duty);
+        // The sender does not know the coordinator yet. If this node answered, two nodes would count the same workspace.
+        QuotaAsk forwarded = query;
+        forwarded.replyTo = datagram.from;
+        this->peers.datagrams().send(other->gossip, forwarded);
+        this->elections.sendClaim(datagram.from, role);
         return;
     }
-    if (!this->mayCount(duty)) {
+    if (!this->mayCount(role)) {
         return;
     }
-    const QuotaQuestion question{ask.ticket, ask.workspace, {ask.perSecond, ask.burst}, ask.version};
-    const QuotaDecision decision = this->count(number, {ask.from, ask.ticket}, question);
-    this->peers.datagrams().send(isPassedOn ? ask.replyTo : datagram.from, answerOf(ask.ticket, decision));
+    const QuotaQuestion question{query.ticket, query.workspace, {query.perSecond, query.burst}, query.version};
+    const QuotaDecision decision = this->count(number, {query.from, query.ticket}, question);
+    this->peers.datagrams().send(isForwarded ? query.replyTo : datagram.from, answerOf(query.ticket, decision));
 }
 
-QuotaDecision QuotaService::count(std::size_t number, const QuestionId &id, const QuotaQuestion &question)
+QuotaDecision QuotaService::count(std::size_t number, const QueryId &id, const QuotaQuestion &question)
 {
     Part &part = this->parts[number];
     const auto known = part.answered.find(id);
@@ -179,7 +180,7 @@
     }
     const QuotaDecision decision = this->counterOf(part).take(question.workspace, question.quota, question.version);
     if (decision.kind == QuotaDecision::Kind::OverLimit) {
-        this->refused = this->clock.now();
+        this->lastRefusal = this->clock.now();
     }
     part.answered.emplace(id, decision);
     part.answeredOrder.emplace_back(this->clock.now(), id);
@@ -189,58 +190,58 @@
 QuotaCounter &QuotaService::counterOf(Part &part)
 {
     if (!part.counter) {
-        const auto beginning
-            = this->duties.isClaimed(part.duty) ? QuotaCounter::Beginning::HolderSilent : QuotaCounter::Beginning::NobodyClaimed;
+        const auto beginning = this->elections.isClaimed(part.role) ? QuotaCounter::Beginning::HolderSilent
+                                                                    : QuotaCounter::Beginning::NobodyClaimed;
         part.counter = std::make_unique<QuotaCounter>(this->clock, this->bounds, beginning);
         if (this->share) {
             part.counter->setShare(*this->share);
         }
     }
-    if (this->duties.isClaimedLocally(part.duty) || this->isAlone()) {
+    if (this->elections.isClaimedLocally(part.role) || this->isAlone()) {
         part.counter->confirm();
-        this->takeHandover(part);
+        this->applyHandover(part);
     }
     return *part.counter;
 }
 
-// While a fleet starts, each node sees a few others, and many would count for themselves.
-bool QuotaService::mayCount(const std::string &duty) const
+// While a fleet starts, each node knows only a few others. Without this check, many nodes would count for themselves.
+bool QuotaService::mayCount(const std::string &role) const
 {
-    return this->duties.isClaimed(duty) || this->isAlone();
+    return this->elections.isClaimed(role) || this->isAlone();
 }
 
 bool QuotaService::isAlone() const
 {
-    const bool isSure = !this->peers.hasSeeds() || this->clock.now() - this->started > aloneAfter;
+    const bool isSure = !this->peers.hasSeeds() || this->clock.now() - this->started > aloneTimeout;
     return this->view->members().size() <= 1 && isSure;
 }
 
-void QuotaService::handOver(std::size_t number, const CoordinatorElections::Change &move)
+void QuotaService::handOver(std::size_t number, const CoordinatorElections::Change &change)
 {
     Part &part = this->parts[number];
     this->asker.noteHolderChanged(number);
-    if (move.former != this->peers.self() || !part.counter) {
+    if (change.former != this->peers.self() || !part.counter) {
         return;
     }
-    const Member *const next = this->duties.remoteCoordinator(part.duty);
-    if (next != nullptr && move.isHandedOver) {
+    const Member *const next = this->elections.remoteCoordinator(part.role);
+    if (next != nullptr && change.isHandedOver) {
         const std::vector<QuotaLevel> levels = part.counter->levels();
-        const std::size_t datagrams = std::max<std::size_t>(1, (levels.size() + restsAtOnce - 1) / restsAtOnce);
+        const std::size_t datagrams = std::max<std::size_t>(1, (levels.size() + maxLevelsPerDatagram - 1) / maxLevelsPerDatagram);
         for (std::size_t index = 0; index < datagrams; ++index) {
             QuotaHandover handover;
             handover.from = this->peers.self();
             handover.part = static_cast<std::uint32_t>(number);
             handover.index = static_cast<std::uint32_t>(index);
             handover.count = static_cast<std::uint32_t>(datagrams);
-            const std::size_t end = std::min(levels.size(), (index + 1) * restsAtOnce);
-            for (std::size_t place = index * restsAtOnce; place < end; ++place) {
-                handover.rests.push_back({levels[place].workspace, levels[place].level});
+            const std::size_t end = std::min(levels.size(), (index + 1) * maxLevelsPerDatagram);
+            for (std::size_t position = index * maxLevelsPerDatagram; position < end; ++position) {
+                handover.rests.push_back({levels[position].workspace, levels[position].level});
             }
             this->peers.datagrams().send(next->gossip, handover);
         }
         log(LogLevel::Info,
             "counter of quotas handed over",
-            {{"duty", part.duty}, {"to_vm", next->vm.value()}, {"workspaces", static_cast<std::int64_t>(levels.size())}});
+            {{"duty", part.role}, {"to_vm", next->vm.value()}, {"workspaces", static_cast<std::int64_t>(levels.size())}});
     }
     part.counter.reset();
 }
@@ -256,17 +257,17 @@
     });
     part.handover.insert_or_assign(handover.index, handover);
     part.handoverReceived = this->clock.now();
-    if (this->duties.isClaimedLocally(part.duty)) {
+    if (this->elections.isClaimedLocally(part.role)) {
         this->counterOf(part);
     }
 }
 
-void QuotaService::takeHandover(Part &part)
+void QuotaService::applyHandover(Part &part)
 {
     if (part.handover.empty() || part.handover.size() < part.handover.begin()->second.count) {
         return;
     }
-    // One that comes long before the claim tells of a duty that somebody else took.
+    // A handover that arrived long before the claim belongs to a role that another node took over.
     const bool isCurrent = this->clock.now() - part.handoverReceived < handoverRetained;
     std::vector<QuotaLevel> levels;
     for (const auto &[index, received] : part.handover) {
@@ -280,32 +281,32 @@
     }
 }
 
-bool QuotaService::isOutOfTouch() const
+bool QuotaService::isIsolated() const
 {
-    return this->view->members().size() > 1 && this->clock.now() - this->peers.lastReceived() > touchLostAfter;
+    return this->view->members().size() > 1 && this->clock.now() - this->peers.lastReceived() > isolatedAfter;
 }
 
-void QuotaService::watchTouch()
+void QuotaService::checkIsolation()
 {
     const SteadyTime now = this->clock.now();
     const std::chrono::nanoseconds paused = this->clock.suspended() - this->suspended;
     this->suspended += paused;
-    if (paused > longestPause) {
-        this->dropCounters("the machine stood still");
-    } else if (this->isOutOfTouch()) {
-        this->dropCounters("no other node answers");
+    if (paused > maxSuspension) {
+        this->dropCounters("the machine was suspended");
+    } else if (this->isIsolated()) {
+        this->dropCounters("nothing received from other nodes");
     }
     const auto inUse = std::ranges::find_if(this->parts, [](const Part &part) {
         return part.counter != nullptr;
     });
     if (inUse != this->parts.end() && now - this->peers.lastReceived() > probeAfter && now >= this->nextProbe) {
         this->nextProbe = now + probeInterval;
-        this->duties.probeSomeMembers(inUse->duty);
+        this->elections.probeSomeMembers(inUse->role);
     }
 }
 
-// Beside a part of the fleet that is cut off from this one, each grants its share: both may have a counter.
-void QuotaService::watchContact()
+// If a part of the fleet is cut off from this one, both may have a counter, so each grants only its share.
+void QuotaService::updateReachability()
 {
     const bool isCounting = std::ranges::any_of(this->parts, [](const Part &part) {
         return part.counter != nullptr;
@@ -314,20 +315,20 @@
         return;
     }
     const SteadyTime now = this->clock.now();
-    if (now >= this->nextOthers) {
-        this->nextOthers = now + othersInterval;
-        this->contact.setOthers(this->recent.others());
+    if (now >= this->nextRecentMembers) {
+        this->nextRecentMembers = now + recentMembersInterval;
+        this->reachability.setOthers(this->recent.others());
     }
-    const bool isPressed = now - this->refused < pressedTime;
-    this->contact.tick(isPressed ? ReachabilityEstimator::Pace::Fast : ReachabilityEstimator::Pace::Normal);
-    const std::optional<double> measured = this->contact.share();
+    const bool hasRecentRefusal = now - this->lastRefusal < refusalPeriod;
+    this->reachability.tick(hasRecentRefusal ? ReachabilityEstimator::Pace::Fast : ReachabilityEstimator::Pace::Normal);
+    const std::optional<double> measured = this->reachability.share();
     if (!measured || measured == this->share) {
         return;
     }
-    if (this->isCut ? *measured > wholeShare : *measured < cutShare) {
-        this->isCut = !this->isCut;
+    if (this->isPartitioned ? *measured > wholeShare : *measured < partitionedShare) {
+        this->isPartitioned = !this->isPartitioned;
         log(LogLevel::Info,
-            this->isCut ? "a part of the fleet is cut off" : "no part of the fleet is cut off",
+            this->isPartitioned ? "a part of the fleet is cut off" : "no part of the fleet is cut off",
             {{"share", *measured}, {"members", static_cast<std::int64_t>(this->view->members().size())}});
     }
     this->share = measured;
@@ -342,7 +343,7 @@
 {
     for (Part &part : this->parts) {
         if (part.counter) {
-            log(LogLevel::Warning, "counter of quotas dropped", {{"duty", part.duty}, {"reason", std::string(reason)}});
+            log(LogLevel::Warning, "counter of quotas dropped", {{"duty", part.role}, {"reason", std::string(reason)}});
             part.counter.reset();
         }
     }
@@ -352,18 +353,18 @@
 {
     this->view = view;
     this->recent.update(*view, this->peers.self());
-    this->nextOthers = {};
+    this->nextRecentMembers = {};
 }
 
 void QuotaService::recordReceived(const Address &from)
 {
-    this->contact.receive(from);
+    this->reachability.receive(from);
 }
 
 void QuotaService::tick()
 {
-    this->watchTouch();
-    this->watchContact();
+    this->checkIsolation();
+    this->updateReachability();
     this->asker.tick();
     bool isInTouch = false;
     for (std::size_t number = 0; number < this->parts.size(); ++number) {
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -21,34 +21,34 @@
 namespace Dogwoodkeel
 {
 
-/** Has the requests of workspaces counted over all nodes: asks for this node's requests, and counts for all where it has the
- * duty. */
+/** Enforces the quotas of workspaces over all nodes: queries the counters for this node's requests, and counts for all nodes in
+ * the roles whose coordinator this node is. */
 class QuotaService
 {
 public:
-    QuotaService(const Clock &clock, PeerNetwork &peers, CoordinatorElections &duties, const QuotaBounds &bounds);
+    QuotaService(const Clock &clock, PeerNetwork &peers, CoordinatorElections &elections, const QuotaBounds &bounds);
     QuotaService(const QuotaService &) = delete;
     QuotaService &operator=(const QuotaService &) = delete;
 
-    /** Take part in counting; to be called when there are workspaces. */
+    /** Starts to take part in counting; called when workspaces are configured. */
     void start();
 
-    /** See QuotaAsker::ask(). @param version of the configuration that names the workspace */
+    /** See QuotaAsker::ask(). @param version version of the configuration that names the workspace */
     QuotaAsker::Ticket request(const Workspace &workspace, std::uint64_t version, QuotaAsker::Decided decided);
 
-    /** The answer is not wanted any more. */
+    /** Cancels a request; its callback is not called any more. */
     void cancel(QuotaAsker::Ticket ticket);
 
-    /** Any datagram of another node came. */
+    /** Records that a datagram of another node was received. */
     void recordReceived(const Address &from);
 
     /** @return whether the datagram was about quotas. */
     bool receive(const Datagram &datagram);
 
-    /** The members changed, see PeerNetwork::dutyView(). */
+    /** Applies a change of the members, see PeerNetwork::roleView(). */
     void setView(const MemberViewPointer &view);
 
-    /** Look after what time brings. */
+    /** Runs periodic checks and timeouts. */
     void tick();
 
     /** @return requests of this node that were decided without a counter. */
@@ -58,42 +58,42 @@
     std::size_t counted() const;
 
 private:
-    /** Names a question among all nodes. */
-    using QuestionId = std::pair<SessionNumber, QuotaAsker::Ticket>;
+    /** Identifies a query among all nodes. */
+    using QueryId = std::pair<SessionNumber, QuotaAsker::Ticket>;
 
-    /** One of the counters. */
+    /** A part of the workspaces, and the counter for it. */
     struct Part
     {
-        std::string duty;
-        /** Made when somebody asks this node. */
+        std::string role;
+        /** Created at the first query to this node. */
         std::unique_ptr<QuotaCounter> counter;
-        /** What was answered: a question that is repeated must not be counted twice. */
-        std::map<QuestionId, QuotaDecision> answered;
-        std::deque<std::pair<SteadyTime, QuestionId>> answeredOrder;
-        /** Datagrams of a handover that have come, of the node that sends them. */
+        /** Recent answers: a repeated query must not be counted twice. */
+        std::map<QueryId, QuotaDecision> answered;
+        std::deque<std::pair<SteadyTime, QueryId>> answeredOrder;
+        /** Datagrams received of the current handover, all from one node. */
         std::map<std::uint32_t, QuotaHandover> handover;
         SteadyTime handoverReceived{};
         SteadyTime nextClean{};
     };
 
-    bool askCounter(const QuotaQuestion &question, QuotaAsker::Counter counter);
-    void receive(const Datagram &datagram, const QuotaAsk &ask);
+    bool queryCounter(const QuotaQuestion &question, QuotaAsker::Counter counter);
+    void receive(const Datagram &datagram, const QuotaAsk &query);
     void receive(const QuotaHandover &handover);
-    void takeHandover(Part &part);
-    QuotaDecision count(std::size_t number, const QuestionId &id, const QuotaQuestion &question);
+    void applyHandover(Part &part);
+    QuotaDecision count(std::size_t number, const QueryId &id, const QuotaQuestion &question);
     QuotaCounter &counterOf(Part &part);
-    void handOver(std::size_t number, const CoordinatorElections::Change &move);
+    void handOver(std::size_t number, const CoordinatorElections::Change &change);
     void clean(Part &part);
-    bool mayCount(const std::string &duty) const;
+    bool mayCount(const std::string &role) const;
     bool isAlone() const;
-    bool isOutOfTouch() const;
-    void watchTouch();
-    void watchContact();
+    bool isIsolated() const;
+    void checkIsolation();
+    void updateReachability();
     void dropCounters(std::string_view reason);
 
     const Clock &clock;
     PeerNetwork &peers;
-    CoordinatorElections &duties;
+    CoordinatorElections &elections;
     QuotaBounds bounds;
     SteadyTime started;
     MemberViewPointer view;
@@ -102,14 +102,14 @@
     std::array<Part, quotaParts> parts;
     QuotaAsker asker;
     RecentMembers recent;
-    ReachabilityEstimator contact;
-    /** When the sample is next told who the others are. */
-    SteadyTime nextOthers{};
+    ReachabilityEstimator reachability;
+    /** When the reachability estimator next gets the recent members. */
+    SteadyTime nextRecentMembers{};
     /** When a request was last refused by a counter of this node. */
-    SteadyTime refused{};
-    /** The share of the fleet that the counters were last given. */
+    SteadyTime lastRefusal{};
+    /** The share of the fleet last set in the counters. */
     std::optional<double> share;
-    bool isCut = false;
+    bool isPartitioned = false;
 };
 
 } // namespace Dogwoodkeel
