--- a/Tests/ServiceGateway/TestEndedJobs.cpp
+++ b/Tests/ServiceGateway/TestEndedJobs.cpp
@@ -20,7 +20,7 @@
     return nlohmann::json{{"requests", {{{"id", "a"}, {"path", "/b/a"}, {"body", ""}, {"tokens", 9}}}}}.dump();
 }
 
-/** @return the usual configuration, in which jobs are accepted without counting those that are open. */
+/** @return the default configuration without limits on jobs, so that jobs are accepted without counting the open ones. */
 std::string withoutJobLimit()
 {
     nlohmann::json configuration = nlohmann::json::parse(benchConfiguration);
@@ -30,7 +30,7 @@
     return configuration.dump();
 }
 
-/** Write into the job's head that it was ended, as another node does for its caller. */
+/** Marks the job as ended in its head, as another node does for its caller. */
 void endHead(GatewayBench &bench)
 {
     for (const StoredRow &row : bench.store.rows().rowsOf(JobRows::jobTable)) {
@@ -42,11 +42,11 @@
     }
 }
 
-/** A node before one replica that leaves its callers waiting. */
-class Waiting : public RunningGateway
+/** A node with one replica that does not answer until the test sends the answer. */
+class NodeWithWaitingReplica : public RunningGateway
 {
 public:
-    explicit Waiting(const std::string &configuration = benchConfiguration)
+    explicit NodeWithWaitingReplica(const std::string &configuration = benchConfiguration)
         : RunningGateway([this, &configuration](GatewayBench &bench) {
             bench.configure(configuration);
             bench.settings.gateway.jobEndBound = endBound;
@@ -57,7 +57,7 @@
     {
     }
 
-    ~Waiting()
+    ~NodeWithWaitingReplica()
     {
         this->host.ask<bool>([this](GatewayBench &) {
             this->held.clear();
@@ -82,10 +82,10 @@
 
 } // namespace
 
-// Nothing tells the runner that its job was ended: the datagram was lost, and the table of open jobs is late.
-TEST_CASE("an item that waited for its place is not sent once its job was ended, though nothing told its runner")
+// The runner is not notified that its job was ended: the datagram was lost, and changes of the open jobs arrive late.
+TEST_CASE("an item that waited for its slot is not sent once its job was ended, although its runner was not notified")
 {
-    Waiting running;
+    NodeWithWaitingReplica running;
     RawConnection first(running.address(&Gateway::callerAddress));
     RawConnection second(running.address(&Gateway::callerAddress));
     for (RawConnection *caller : {&first, &second}) {
@@ -114,10 +114,10 @@
     CHECK(running.sent() == 2);
 }
 
-// The store drops its history between a job's acceptance and its end: the runner never reads the row, nor that it was removed.
-TEST_CASE("a run whose job's row was never seen ends once a whole reading of the open jobs lacks it")
+// The store drops its history between a job's acceptance and its end, so the runner reads neither the row nor its removal.
+TEST_CASE("a run whose job's row was never read ends once a complete snapshot of the open jobs lacks it")
 {
-    Waiting running(withoutJobLimit());
+    NodeWithWaitingReplica running(withoutJobLimit());
     running.host.ask<bool>([](GatewayBench &bench) {
         bench.store.withhold(JobRows::openTable);
         return true;
--- a/Tests/ServiceGateway/TestJobCleaner.cpp
+++ b/Tests/ServiceGateway/TestJobCleaner.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-constexpr std::chrono::minutes kept{2};
+constexpr std::chrono::minutes retention{2};
 
-/** A cleaner before a stand-in store with jobs of several ages. */
+/** A cleaner with a fake store that holds jobs of several ages. */
 class Bench
 {
 public:
@@ -54,7 +54,7 @@
     JobCleaner cleaner{this->clock,
                        this->storeClock,
                        this->store,
-                       kept,
+                       retention,
                        {.isCoordinator =
                             [this] {
                                 return this->isCoordinator;
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("a job's rows go when its time is over, however many they are, and no earlier")
+TEST_CASE("all rows of a job are removed when its retention has ended, and no earlier")
 {
     Bench bench;
     bench.addJob("old", 250);
@@ -79,8 +79,8 @@
     CHECK(bench.store.rowsOf(JobRows::jobTable).size() == 4);
 }
 
-// A node has just started and has not read which jobs are open. A job that waits for its items for a long time must not go.
-TEST_CASE("a job with items that are not listed is kept, whatever is known of open jobs")
+// A node has just started and has not read which jobs are open. A job that has been unfinished for long must not be removed.
+TEST_CASE("a job with unlisted items is kept, even if it is not known as open")
 {
     Bench bench;
     bench.addJob("unfinished", 1, 2);
@@ -88,7 +88,7 @@
     CHECK(bench.jobs() == std::set<std::string>{"unfinished"});
 }
 
-TEST_CASE("a job that is open is kept, and a node that has not the duty removes nothing")
+TEST_CASE("an open job is kept, and a node that is not the coordinator removes nothing")
 {
     Bench bench;
     bench.addJob("open", 1);
--- a/Tests/ServiceGateway/TestJobRunners.cpp
+++ b/Tests/ServiceGateway/TestJobRunners.cpp
@@ -15,7 +15,7 @@
 
 constexpr double smallShare = 0.12;
 constexpr double largeShare = 0.5;
-/** Longer than a node follows the open jobs after its last run. */
+/** Longer than a node follows the open jobs after its last run has ended. */
 constexpr std::chrono::seconds longAfterStart{60};
 
 std::size_t runsOf(RunningGateway &running)
@@ -25,7 +25,7 @@
     });
 }
 
-/** Start a small node and a large one, and wait until the small one does not follow the open jobs any more. */
+/** Starts a small node and a large one, and waits until the small one no longer follows the open jobs. */
 void startSmallBesideLarge(RunningGateway &running)
 {
     running.host.ask<bool>([](GatewayBench &bench) {
@@ -62,14 +62,14 @@
     bench.store.rows().put(JobRows::open(lateJob), encode(OpenJob{"batch", {}, 9, runner}));
 }
 
-/** Write a job's rows as a node does that accepts it. */
+/** Writes the rows of a job as a node does that accepts it. */
 void putJob(GatewayBench &bench, SessionNumber runner)
 {
     putHead(bench);
     putOpenRow(bench, runner);
 }
 
-/** Write that a node runs the job, as if it had. */
+/** Changes the open row of the job so that it names the node as its runner. */
 void nameRunner(GatewayBench &bench, const Gateway &node)
 {
     const RowPlace place = JobRows::open(JobId("q1"));
@@ -84,9 +84,9 @@
 
 } // namespace
 
-// Two nodes took one job and each heard of the other: the row named a node that had given the job up and did not follow the open
-// jobs any more, as its VM is too small to take jobs over. The item was never run again.
-TEST_CASE("a node that is too small to take jobs over still takes up one that names it as its runner")
+// Guards against an item that never runs again: two nodes ran one job and each learned of the other, so the row named a node that
+// had stopped its run. That node no longer followed the open jobs, as its VM is too small to take jobs over.
+TEST_CASE("a node that is too small to take jobs over still runs one that names it as its runner")
 {
     RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", ignore);
@@ -104,7 +104,7 @@
     await([&running] {
         return runsOf(running) == 1;
     });
-    // By now it would have ended to follow the jobs if it ran none.
+    // After this time the node would no longer follow the jobs if it ran none.
     std::this_thread::sleep_for(std::chrono::milliseconds(2500));
     running.host.ask<bool>([](GatewayBench &bench) {
         nameRunner(bench, *bench.other);
@@ -123,8 +123,8 @@
     });
 }
 
-// The write of an acceptance took effect after its answer was lost. The row named a node that ran nothing and did not follow the
-// open jobs, and the others left the job to it: its items never ran.
+// Guards against items that never run: the write of an acceptance took effect after its answer was lost. The row named a node
+// that did not run the job and did not follow the open jobs, and the others left the job to that node.
 TEST_CASE("a job whose row names a node that does not know of it is run")
 {
     RunningGateway running([](GatewayBench &bench) {
@@ -141,7 +141,7 @@
     });
 }
 
-// The node that accepted a job took another session before its write took effect: the row names a member that never was.
+// The node that accepted a job started another session before its write took effect, so the row names no member.
 TEST_CASE("a job whose row names a session that was never a member is run")
 {
     RunningGateway running([](GatewayBench &bench) {
@@ -158,8 +158,8 @@
     });
 }
 
-// A run ended as the store had answered with what it knew before the job. Its row was forgotten with the run, and nothing began
-// another.
+// Guards against a job that never runs: a run ended because the store had answered with data from before the job. The node
+// dropped its copy of the open row with the run, and started no other run.
 TEST_CASE("a job that the store does not show at first is run once it does")
 {
     RunningGateway running([](GatewayBench &bench) {
--- a/Tests/ServiceGateway/TestJobStore.cpp
+++ b/Tests/ServiceGateway/TestJobStore.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** @return the store's time as a node knows it after an answer. */
+/** @return a store clock that has received one answer of the store. */
 StoreClock reportedClock(const Clock &clock)
 {
     StoreClock reported(clock);
@@ -41,7 +41,7 @@
 class Bench
 {
 public:
-    /** @param wait how long the answer is waited for */
+    /** @param wait time that the test waits for the answer */
     std::optional<SubmitOutcome>
     submit(JobStore &node, const Submission &submission, std::chrono::milliseconds wait = std::chrono::seconds(5))
     {
@@ -87,7 +87,7 @@
     }
 
     ManualClock clock;
-    /** What became of the last submission. */
+    /** Outcome of the last submission, if it was reported. */
     std::optional<SubmitOutcome> reported;
     FakeRowStore store{this->clock};
     StoreClock storeClock = reportedClock(this->clock);
@@ -113,7 +113,7 @@
 
 } // namespace
 
-TEST_CASE("a job that was accepted at one node is whole at every other")
+TEST_CASE("a job accepted at one node can be read completely at every other")
 {
     Bench bench;
     CHECK(bench.submit(bench.one, submissionOf("j", 3, bench.clock)) == SubmitOutcome::Accepted);
@@ -125,7 +125,7 @@
     CHECK(bench.results(bench.two, "unknown", 0).outcome == JobReadOutcome::Absent);
 }
 
-TEST_CASE("a content that is too large for rows lies in an object")
+TEST_CASE("content that is too large for rows is stored in an object")
 {
     Bench bench;
     Submission submission = submissionOf("j", 20, bench.clock);
@@ -138,7 +138,7 @@
     CHECK(loaded.items[19].body == submission.items[19].body);
 }
 
-TEST_CASE("a job that is sent again is accepted again, and kept once")
+TEST_CASE("a job that is submitted again is accepted again, and stored once")
 {
     Bench bench;
     CHECK(bench.submit(bench.one, submissionOf("j", 3, bench.clock, 400)) == SubmitOutcome::Accepted);
@@ -146,9 +146,9 @@
     CHECK(bench.store.rowsOf("jobs").size() == 2);
 }
 
-// Two nodes take jobs at the same moment, and only one of them fits. Each sees room; without the row that orders them, both
-// would be accepted, and more tokens wait than the operator allows.
-TEST_CASE("two nodes can't both fill the last room of a route")
+// Two nodes accept jobs at the same moment, and the route has capacity for one of them. Without the row that orders acceptances,
+// both would be accepted, and more tokens would wait than the operator allows.
+TEST_CASE("two nodes can't both use the last capacity of a route")
 {
     Bench bench;
     std::vector<SubmitOutcome> reported;
@@ -162,9 +162,9 @@
     CHECK(reported == std::vector{SubmitOutcome::Accepted, SubmitOutcome::Full});
 }
 
-// More jobs are open than one answer of the store holds. Their tokens fit, so a refusal would be wrong; and two nodes that
-// read page after page must still not both fill the last room.
-TEST_CASE("the room of a route is told from all its open jobs")
+// More jobs are open than fit into one answer of the store. Their tokens are within the limit, so a refusal would be wrong; and
+// two nodes that read several pages must not both use the last capacity.
+TEST_CASE("the capacity of a route is computed from all its open jobs")
 {
     Bench bench;
     bench.store.setPageSize(2);
@@ -182,9 +182,9 @@
     CHECK(reported == std::vector{SubmitOutcome::Accepted, SubmitOutcome::Full});
 }
 
-// The answer to the write is lost, but the job is kept. A refusal would say that it never runs; it will. Taken for a job that was
-// known before, it would not be begun by the node that its row names.
-TEST_CASE("a job whose write was done without an answer is found, and accepted")
+// The answer to the write is lost, but the job is stored. A refusal would state that it never runs, which is false. If it were
+// reported as known before, the node that its row names would not start it.
+TEST_CASE("a job whose write took effect without an answer is found and accepted")
 {
     Bench bench;
     bench.store.loseAnswers(1);
@@ -192,7 +192,7 @@
     CHECK(bench.submit(bench.two, submissionOf("j", 3, bench.clock)) == SubmitOutcome::Known);
 }
 
-TEST_CASE("a job whose write was done without an answer is accepted also where its route's room is counted")
+TEST_CASE("a job whose write took effect without an answer is accepted also on a route with limited capacity")
 {
     Bench bench;
     bench.store.loseAnswers(1);
@@ -200,8 +200,8 @@
     CHECK(bench.submit(bench.two, submissionOf("j", 3, bench.clock, 1000)) == SubmitOutcome::Known);
 }
 
-// The first of two submissions of one job is stored late, the second by the other node: that one runs it.
-TEST_CASE("a job that another node has stored while a write got no answer is known already")
+// The first node's write of a job gets no answer, and the other node stores the same job: the other node runs it.
+TEST_CASE("a job that another node has stored while a write got no answer is already known")
 {
     Bench bench;
     bench.store.delayWrites(1, std::chrono::seconds(2));
@@ -213,9 +213,9 @@
     CHECK(first == SubmitOutcome::Known);
 }
 
-// The write is done seconds after its answer is given up. Until then the job can't be found; whatever says now that it will
-// never run would be false.
-TEST_CASE("while a write may still take effect, nothing is promised")
+// The write takes effect seconds after the wait for its answer has ended. Until then the job can't be found, but an answer that
+// it will never run would be false.
+TEST_CASE("while a write may still take effect, the outcome is reported as unknown")
 {
     Bench bench;
     bench.store.delayWrites(100, std::chrono::seconds(6));
@@ -225,7 +225,7 @@
     CHECK(bench.store.rowsOf("jobs").size() == 2);
 }
 
-TEST_CASE("a job that the store turned away is refused, truly")
+TEST_CASE("a job that the store rejected is refused and not stored")
 {
     Bench bench;
     bench.store.setDown(true);
@@ -235,9 +235,9 @@
     CHECK(bench.results(bench.two, "j", 0).outcome == JobReadOutcome::Absent);
 }
 
-// The store is away for longer than the caller waits. Kept on trying until then, the node would answer when the caller has no
-// time left to come back to a store that answers again.
-TEST_CASE("a job that can't be stored is refused while its caller has time to come back")
+// The store is unreachable for longer than the caller waits. If the node retried until then, the caller would have no time left
+// to retry when the store answers again.
+TEST_CASE("a job that can't be stored is refused while its caller has time to retry")
 {
     Bench bench;
     bench.store.setDown(true);
@@ -245,8 +245,8 @@
     CHECK(bench.submit(bench.one, submission, std::chrono::milliseconds(100)) == SubmitOutcome::NotStored);
 }
 
-// One call fails, because the store had closed the connection just then; the next one is answered.
-TEST_CASE("a job is stored though one call to the store failed")
+// One call fails because the store has just closed the connection; the next one is answered.
+TEST_CASE("a job is stored although one call to the store failed")
 {
     Bench bench;
     bench.store.setDown(true);
@@ -256,8 +256,8 @@
     CHECK(bench.reported == SubmitOutcome::Accepted);
 }
 
-// Two nodes run the same job for a while, because each believes the other gone. The one that lists an item first decides
-// what stands at the position; the other's write has no effect.
+// Two nodes run the same job for a while, because each regards the other as failed. The first write of a position decides its
+// result; the other node's write has no effect.
 TEST_CASE("a result's position and content never change")
 {
     Bench bench;
@@ -274,7 +274,7 @@
     CHECK(bench.results(bench.one, "j", 1).results.size() == 1);
 }
 
-TEST_CASE("a job is ended once, and a runner that did not know lists nothing more")
+TEST_CASE("a job is ended once, and a runner that did not know of the end adds no results")
 {
     Bench bench;
     bench.submit(bench.one, submissionOf("j", 2, bench.clock));
--- a/Tests/ServiceGateway/TestWorkspaces.cpp
+++ b/Tests/ServiceGateway/TestWorkspaces.cpp
@@ -17,8 +17,8 @@
 
 using Json = nlohmann::json;
 
-/** The usual configuration, with two workspaces and a public route. */
-std::string keyedConfiguration(int version = 1, const std::vector<std::string> &keysOfA = {"key-of-a", "second-key-of-a"})
+/** The default configuration with two workspaces and a public route. */
+std::string configurationWithKeys(int version = 1, const std::vector<std::string> &keysOfA = {"key-of-a", "second-key-of-a"})
 {
     Json configuration = Json::parse(benchConfiguration);
     configuration["version"] = version;
@@ -39,12 +39,12 @@
     return "Authorization: Bearer " + key + "\r\n";
 }
 
-class Keyed : public RunningGateway
+class NodeWithKeys : public RunningGateway
 {
 public:
-    explicit Keyed(const StandInReplica::Script &script = answerWhole)
+    explicit NodeWithKeys(const StandInReplica::Script &script = answerWhole)
         : RunningGateway([&script](GatewayBench &bench) {
-            bench.configure(keyedConfiguration());
+            bench.configure(configurationWithKeys());
             bench.settings.gateway.quotaSlack = 8;
             bench.settings.gateway.quotaOverrun = 0;
             bench.addReplica("i-1", "api", script);
@@ -53,7 +53,7 @@
     {
     }
 
-    /** @return the heads of the requests that came to the replica of a service. */
+    /** @return the heads of the requests that a replica received. */
     std::vector<MessageHead> heads(std::size_t replica = 0)
     {
         return this->host.ask<std::vector<MessageHead>>([replica](GatewayBench &bench) {
@@ -67,7 +67,7 @@
     return R"({"requests":[{"id":"i","path":"/b/1","headers":)" + headers + R"(,"body":"AA==","tokens":10}]})";
 }
 
-/** Standard output as a file, as long as this lives. */
+/** Redirects standard output to a file until take() is called or the object is destroyed. */
 class CapturedOutput
 {
 public:
@@ -116,7 +116,7 @@
 
 TEST_CASE("a request with a key reaches its replica with the workspace's name and without the key")
 {
-    Keyed node;
+    NodeWithKeys node;
     CHECK(node.call("POST /s/x", withKey("key-of-a")).starts_with("HTTP/1.1 200"));
     CHECK(node.call("POST /s/x", "authorization: bearer second-key-of-a\r\n").starts_with("HTTP/1.1 200"));
     for (const MessageHead &head : node.heads()) {
@@ -126,10 +126,10 @@
     }
 }
 
-// Guards against a caller that names a workspace itself, or gets a key past the system to a replica.
-TEST_CASE("only the system names the workspace, also on a public route")
+// Guards against a caller that sets the workspace itself, or whose key is forwarded to a replica.
+TEST_CASE("only the system sets the workspace, also on a public route")
 {
-    Keyed node;
+    NodeWithKeys node;
     const std::string forged = "X-Tenant: b\r\nx-tenant: c\r\nX-TENANT: d\r\n";
     CHECK(node.call("POST /s/x", withKey("key-of-a") + forged).starts_with("HTTP/1.1 200"));
     CHECK(node.call("POST /open/x", forged).starts_with("HTTP/1.1 200"));
@@ -147,9 +147,9 @@
     }
 }
 
-TEST_CASE("without a known key a request is told so, and nothing runs")
+TEST_CASE("a request without a known key is refused with a challenge, and nothing runs")
 {
-    Keyed node;
+    NodeWithKeys node;
     struct Case
     {
         std::string headers;
@@ -171,9 +171,9 @@
     CHECK(node.heads().empty());
 }
 
-TEST_CASE("a key that is taken away opens nothing any more, and what it began goes on")
+TEST_CASE("a revoked key is refused, and requests that started with it continue")
 {
-    Keyed node([](const std::shared_ptr<CallerExchange> &exchange) {
+    NodeWithKeys node([](const std::shared_ptr<CallerExchange> &exchange) {
         if (exchange->head().target != "/s/slow") {
             answerWhole(exchange);
         }
@@ -185,7 +185,7 @@
         return node.heads().size() == 1;
     });
     node.host.ask<bool>([](GatewayBench &bench) {
-        bench.configure(keyedConfiguration(2, {"second-key-of-a"}));
+        bench.configure(configurationWithKeys(2, {"second-key-of-a"}));
         return true;
     });
     await([&node] {
@@ -195,9 +195,9 @@
     CHECK_FALSE(waiting.isClosed());
 }
 
-TEST_CASE("a job is met by all keys of its workspace, and by no other workspace's")
+TEST_CASE("a job is accessible with all keys of its workspace, and with no key of another")
 {
-    Keyed node;
+    NodeWithKeys node;
     CHECK(node.call("POST /b/1", withKey("key-of-a"), submission()).starts_with("HTTP/1.1 202"));
     CHECK(node.call("POST /b/1", withKey("second-key-of-a"), submission()).starts_with("HTTP/1.1 202"));
     CHECK(node.call("GET /lots/q1", withKey("second-key-of-a")).starts_with("HTTP/1.1 200"));
@@ -213,9 +213,9 @@
     CHECK(node.call("GET /lots/q1", withKey("key-of-b")).starts_with("HTTP/1.1 200"));
 }
 
-TEST_CASE("items carry the name of their job's workspace, whatever they were submitted with")
+TEST_CASE("items carry the name of their job's workspace, regardless of the submitted headers")
 {
-    Keyed node;
+    NodeWithKeys node;
     const std::string forged = R"({"X-Model":"m","x-tenant":"b","Authorization":"Bearer key-of-b"})";
     CHECK(node.call("POST /b/1", withKey("key-of-a"), submission(forged)).starts_with("HTTP/1.1 202"));
     await([&node] {
@@ -228,9 +228,9 @@
     CHECK(head.headers.find("X-Model") == "m");
 }
 
-TEST_CASE("a workspace over its limit is told when to come back, and others are served")
+TEST_CASE("a workspace over its limit is refused with a retry time, and others are served")
 {
-    Keyed node;
+    NodeWithKeys node;
     int served = 0;
     std::string refused;
     for (int request = 0; request < 4; ++request) {
@@ -243,7 +243,7 @@
     CHECK(node.call("POST /s/x", withKey("key-of-a")).starts_with("HTTP/1.1 200"));
 }
 
-// Guards against a key in whatever this system writes: who reads logs or metrics, or a peer, must not get to use it.
+// Guards against a key in anything that this system writes: neither readers of logs and metrics nor peers may obtain a key.
 TEST_CASE("no key appears in logs, metrics, answers or rows")
 {
     CapturedOutput output;
@@ -251,7 +251,7 @@
     std::string answers;
     std::string rows;
     {
-        Keyed node;
+        NodeWithKeys node;
         answers += node.call("POST /s/x", withKey("key-of-a"), "body");
         answers += node.call("POST /s/x", withKey("key-of-nobody"));
         answers += node.call("POST /s/x", withKey("key-of-a") + withKey("key-of-b"));
