--- a/Services/Gateway/ItemAttempt.cpp
+++ b/Services/Gateway/ItemAttempt.cpp
@@ -42,8 +42,8 @@
 void ItemAttempt::start(JobRows::Generated before)
 {
     this->output = std::move(before.output);
-    this->keptEvent = before.lastEvent;
-    this->keptBytes = this->output.size();
+    this->savedEvent = before.lastEvent;
+    this->savedBytes = this->output.size();
     if (before.lastEvent > 0) {
         this->lastEvent = before.lastEvent;
         this->version = std::move(before.version);
@@ -62,28 +62,28 @@
     this->lastEvent.reset();
     this->output.clear();
     this->version = SoftwareVersion();
-    this->keptEvent = 0;
-    this->keptBytes = 0;
+    this->savedEvent = 0;
+    this->savedBytes = 0;
 }
 
 std::optional<ItemProgress> ItemAttempt::takeProgress(std::uint32_t number)
 {
     const std::uint64_t last = this->lastEvent.value_or(0);
-    if (last <= this->keptEvent) {
+    if (last <= this->savedEvent) {
         return std::nullopt;
     }
     // The line feed between this part and the one before belongs to neither.
-    const std::size_t from = this->keptBytes + (this->keptEvent > 0 ? 1 : 0);
+    const std::size_t from = this->savedBytes + (this->savedEvent > 0 ? 1 : 0);
     ItemProgress part{number,
-                      this->keptEvent + 1,
+                      this->savedEvent + 1,
                       last,
                       this->output.substr(from),
-                      this->firstUnkept.name,
-                      this->firstUnkept.after,
+                      this->firstUnsaved.name,
+                      this->firstUnsaved.after,
                       this->lastGenerated.name,
                       this->version};
-    this->keptEvent = last;
-    this->keptBytes = this->output.size();
+    this->savedEvent = last;
+    this->savedBytes = this->output.size();
     return part;
 }
 
@@ -248,7 +248,7 @@
 void ItemAttempt::send(const ServingReplica &replica, std::chrono::milliseconds confirmedAge)
 {
     this->replica = replica;
-    this->sent = this->context.clock.now();
+    this->sentAt = this->context.clock.now();
     this->run
         = {(static_cast<std::uint64_t>(this->context.random()) << 32) ^ this->context.random(), this->lastEvent.value_or(0)};
     this->answer.reset();
@@ -306,8 +306,8 @@
         }
         this->output.append(expected > 1 ? "\n" : "").append(event.data);
         this->version = this->replica->version;
-        if (expected == this->keptEvent + 1) {
-            this->firstUnkept = this->run;
+        if (expected == this->savedEvent + 1) {
+            this->firstUnsaved = this->run;
         }
         this->lastGenerated = this->run;
         this->lastEvent = event.id;
@@ -347,7 +347,7 @@
     this->context.loop.cancel(std::exchange(this->responseTimer, 0));
     if (this->replica) {
         const std::uint64_t generated = this->lastEvent.value_or(0) - this->run.after;
-        this->context.itemEstimates[this->target.service].recordRun(generated, this->context.clock.now() - this->sent);
+        this->context.itemEstimates[this->target.service].recordRun(generated, this->context.clock.now() - this->sentAt);
     }
     if (this->call != 0) {
         this->context.replicaConnections.cancel(std::exchange(this->call, 0));
--- a/Services/Gateway/ItemAttempt.h
+++ b/Services/Gateway/ItemAttempt.h
@@ -16,7 +16,8 @@
 namespace Dogwoodkeel
 {
 
-/** Runs one batch item to its end. If a replica fails or is left, the next one continues behind the last event received. */
+/** Runs one batch item to its end. If a replica fails or is unresponsive, another one continues behind the last event
+ * received. */
 class ItemAttempt final : public ReplicaAnswerHandler, public std::enable_shared_from_this<ItemAttempt>
 {
 public:
@@ -113,9 +114,9 @@
     std::string output;
     /** The version of the replicas that generated the output; empty if there is no output. */
     SoftwareVersion version;
-    /** The last event whose output was taken for storing. */
-    std::uint64_t keptEvent = 0;
-    std::size_t keptBytes = 0;
+    /** The last event, and the size of the output, that takeProgress() has returned or that was stored before the start. */
+    std::uint64_t savedEvent = 0;
+    std::size_t savedBytes = 0;
     /** Identifies a run at a replica, and the event behind which it was requested to continue. */
     struct Run
     {
@@ -123,9 +124,9 @@
         std::uint64_t after = 0;
     };
     Run run;
-    SteadyTime sent{};
+    SteadyTime sentAt{};
     /** The runs that generated the first event not yet stored, and the last event. */
-    Run firstUnkept;
+    Run firstUnsaved;
     Run lastGenerated;
     TimerId responseTimer = 0;
     TimerId retryTimer = 0;
--- a/Services/Gateway/JobCleaner.h
+++ b/Services/Gateway/JobCleaner.h
@@ -29,7 +29,7 @@
         std::function<bool(const JobId &)> isOpen;
     };
 
-    /** @param retention retention of a job, counted from its submission */
+    /** @param retention how long a job is kept after its submission */
     JobCleaner(
         Scheduler &scheduler, const StoreClock &storeClock, RowStore &store, std::chrono::milliseconds retention, Hooks hooks);
     ~JobCleaner();
--- a/Services/Gateway/JobRun.cpp
+++ b/Services/Gateway/JobRun.cpp
@@ -20,7 +20,7 @@
 /** An item runs for some seconds; if its node is lost, at most this much of its output must be generated again. */
 constexpr std::chrono::milliseconds progressInterval{1000};
 constexpr std::chrono::milliseconds takeoverDelay{100};
-/** Entries of one transaction of the store. */
+/** Max entries in one transaction of the store. */
 constexpr std::size_t maxParts = 90;
 
 } // namespace
@@ -40,7 +40,7 @@
         return "its head says that it is closed";
     case RunEnd::Absent:
         return "the store has no such job";
-    case RunEnd::HandedOn:
+    case RunEnd::HandedOver:
         return "another node runs it";
     case RunEnd::NodeLeaving:
         return "this node is leaving";
@@ -216,9 +216,9 @@
 
 void JobRun::endRun(RunEnd end)
 {
-    const std::function<void(RunEnd)> over = this->hooks.over;
+    const std::function<void(RunEnd)> runEnded = this->hooks.runEnded;
     this->cancel(end);
-    over(end);
+    runEnded(end);
 }
 
 void JobRun::startItems()
--- a/Services/Gateway/JobRun.h
+++ b/Services/Gateway/JobRun.h
@@ -30,7 +30,7 @@
     /** The store has no such job. */
     Absent,
     /** Another node runs it. */
-    HandedOn,
+    HandedOver,
     NodeLeaving,
 };
 
@@ -53,7 +53,7 @@
         /** @return the route of the job, or null if it was removed. */
         std::function<const Route *(const std::string &name)> route;
         /** Called when the run has ended by itself. */
-        std::function<void(RunEnd)> over;
+        std::function<void(RunEnd)> runEnded;
     };
 
     /** Whether another node may have run items of the job before. */
--- a/Services/Gateway/JobRunners.cpp
+++ b/Services/Gateway/JobRunners.cpp
@@ -22,9 +22,9 @@
 constexpr std::chrono::milliseconds refreshDelay{100};
 constexpr std::chrono::milliseconds stabilityCheckInterval{50};
 constexpr std::chrono::milliseconds followingInterval{1000};
-/** Several times the delay with which the change of a row arrives at a node. */
+/** How long a node follows the open jobs after its last run: several times the delay with which a change of a row arrives. */
 constexpr std::chrono::seconds followedAfterRun{15};
-/** At most this many jobs are checked at once; the others follow at the next check. */
+/** The max number bounds the work of one check; the remaining jobs follow at the next. */
 constexpr std::chrono::milliseconds checkInterval{250};
 constexpr std::size_t maxJobsPerCheck = 250;
 /** Max jobs in one reminder, so that its datagram fits into one network frame. */
@@ -185,7 +185,7 @@
         this->startRun(job, JobRun::Origin::TakenOver);
     } else if (!isLocal && isRunning) {
         run->second->saveProgress();
-        this->stopRun(job, RunEnd::HandedOn);
+        this->stopRun(job, RunEnd::HandedOver);
     }
 }
 
@@ -204,7 +204,7 @@
             const ServingConfigurationPointer current = this->configuration();
             return current ? current->findRoute(name) : nullptr;
         },
-        .over =
+        .runEnded =
             [this, job, alive = this->alive](RunEnd end) {
                 this->context.loop.post([this, job, end, alive] {
                     if (*alive) {
--- a/Services/Gateway/JobRunners.h
+++ b/Services/Gateway/JobRunners.h
@@ -104,7 +104,7 @@
     TimerId followingTimer = 0;
     TimerId checkTimer = 0;
     ViewStability viewStability;
-    /** When a check last found that this node runs a job, or may have to. */
+    /** When this node last ran a job or was reminded of one, to the precision of the periodic check. */
     SteadyTime lastBusy;
 };
 
--- a/Services/Gateway/JobStore.h
+++ b/Services/Gateway/JobStore.h
@@ -54,7 +54,7 @@
     Found,
     /** There is no such job. */
     Absent,
-    /** The store did not answer. */
+    /** The job could not be read now. */
     Failed,
 };
 
@@ -123,7 +123,7 @@
                 const std::optional<OpenJob> &open,
                 std::function<void(WriteOutcome, RowVersion)> done);
 
-    /** Reads the output of a job's items so far; nothing if the store did not answer. */
+    /** Reads the output of a job's items so far; nothing if it could not be read now. */
     void readProgress(const JobId &job, std::function<void(std::optional<std::map<std::uint32_t, JobRows::Generated>>)> done);
 
     /** Stores the output of items since the last call. If the write is lost, the items generate that output again. */
--- a/Services/Gateway/QuotaService.cpp
+++ b/Services/Gateway/QuotaService.cpp
@@ -16,7 +16,7 @@
 constexpr std::chrono::milliseconds answersRetained{2000};
 constexpr std::chrono::milliseconds cleanInterval{500};
 constexpr std::chrono::milliseconds handoverRetained{1000};
-/** Max levels in one datagram; with names of some tens of bytes it stays below the MTU of networks. */
+/** Max levels in one datagram; with names of some tens of bytes it is sent without fragmentation. */
 constexpr std::size_t maxLevelsPerDatagram = 24;
 /** A node that has found no other after this time is the only one. */
 constexpr std::chrono::milliseconds aloneTimeout{3000};
@@ -36,8 +36,8 @@
 /** Interval at which members lost too long ago are left out; a change of the members is applied at once. */
 constexpr std::chrono::milliseconds recentMembersInterval{1000};
 
-/** For the log: below the first share a part of the fleet is cut off, above the second none is. The gap absorbs the noise of the
- * estimate. */
+/** For the log: below the first share a part of the fleet is cut off, above the second none is. The estimate
+ * fluctuates between them. */
 constexpr double partitionedShare = 0.6;
 constexpr double wholeShare = 0.9;
 
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -51,10 +51,10 @@
     /** Runs periodic checks and timeouts. */
     void tick();
 
-    /** @return requests of this node that were decided without a counter. */
+    /** @return number of requests of this node that were decided without a counter. */
     std::uint64_t decidedAlone() const;
 
-    /** @return workspaces that this node counts for all. */
+    /** @return number of workspaces that this node counts for all nodes. */
     std::size_t counted() const;
 
 private:
--- a/Tests/ServiceGateway/TestJobStore.cpp
+++ b/Tests/ServiceGateway/TestJobStore.cpp
@@ -200,7 +200,7 @@
     CHECK(bench.submit(bench.two, submissionOf("j", 3, bench.clock, 1000)) == SubmitOutcome::Known);
 }
 
-// The first node's write of a job gets no answer, and the other node stores the same job: the other node runs it.
+// The first node's write of a job is delayed and gets no answer, and the other node stores the same job: the other node runs it.
 TEST_CASE("a job that another node has stored while a write got no answer is already known")
 {
     Bench bench;
