--- a/Libraries/LibWire/Generated/Messages.h
+++ b/Libraries/LibWire/Generated/Messages.h
@@ -424,7 +424,7 @@
 /** What a relay says to a node that follows a table through it. */
 enum class FeedOutcome : std::uint8_t {
     /** The rows are enclosed, possibly none. */
-    Told,
+    Delivered,
     /** What was removed since that version is not kept: the table has to be read anew. */
     HistoryLost,
     /** The node does not follow the table, or has not read it yet. */
@@ -435,7 +435,7 @@
 constexpr std::string_view toString(FeedOutcome value)
 {
     switch (value) {
-    case FeedOutcome::Told:
+    case FeedOutcome::Delivered:
         return "Told";
     case FeedOutcome::HistoryLost:
         return "HistoryLost";
@@ -500,16 +500,16 @@
 struct EndpointLeaving;
 struct LimitDemands;
 struct LimitShares;
-struct DutyClaim;
-struct DutySuspicion;
-struct QuotaAsk;
+struct CoordinatorClaim;
+struct CoordinatorSuspicion;
+struct QuotaQuery;
 struct QuotaAnswer;
 struct QuotaHandover;
-struct PlacementAsk;
+struct SlotRequest;
 struct PlacementAnswer;
 struct PlacementEnd;
 struct PlacementsRunning;
-struct PlacementBegun;
+struct PlacementStarted;
 struct ConfigurationText;
 struct ConfigurationTextRequest;
 struct JobEnded;
@@ -522,10 +522,10 @@
 struct CrashNotice;
 struct PromptPartsServed;
 struct RequestServed;
-struct CrashQuestion;
+struct CrashQuery;
 struct CrashCounts;
-struct StreamBegun;
-struct StreamOriginQuestion;
+struct StreamStarted;
+struct StreamOriginQuery;
 struct StreamOriginAnswer;
 struct ReplicaRecords;
 struct ReplicaRecordsRequest;
@@ -1105,7 +1105,7 @@
 };
 
 /** A change of a member whose description the hearer has. */
-struct MemberNews
+struct MemberUpdate
 {
     /** The member. */
     SessionNumber session;
@@ -1124,7 +1124,7 @@
     /** As in Member. */
     bool isRelay = false;
 
-    bool operator==(const MemberNews &) const = default;
+    bool operator==(const MemberUpdate &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -1183,7 +1183,7 @@
     /** Of the sender. */
     MemberLoad load;
     /** Recent changes. */
-    std::vector<MemberNews> news;
+    std::vector<MemberUpdate> news;
     /** Members that were heard of recently. */
     std::vector<Member> members;
     /** Recent changes of load. */
@@ -1368,14 +1368,14 @@
 };
 
 /** What is left of a workspace's quota. */
-struct QuotaRest
+struct QuotaBalance
 {
     /** Whose quota it is. */
     WorkspaceName workspace;
     /** Requests that may run at once. */
     double level = 0;
 
-    bool operator==(const QuotaRest &) const = default;
+    bool operator==(const QuotaBalance &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -2205,7 +2205,7 @@
     /** Members of the parts that differ. */
     std::vector<Member> members;
     /** Members of those parts that are dead or left. */
-    std::vector<MemberNews> departed;
+    std::vector<MemberUpdate> departed;
 
     bool operator==(const MembersPush &) const = default;
 
@@ -2533,7 +2533,7 @@
 
 /** Datagram: which node has a duty from now on. Of two claims the one with the higher term counts; at the same term, that of the
  * higher session. */
-struct DutyClaim
+struct CoordinatorClaim
 {
     static constexpr MessageNumber number{144};
     /** Names it; of a dispatcher: its service. */
@@ -2543,7 +2543,7 @@
     /** Who has it. */
     SessionNumber holder;
 
-    bool operator==(const DutyClaim &) const = default;
+    bool operator==(const CoordinatorClaim &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -2554,17 +2554,17 @@
 
 /** Datagram: the holder of a duty does not answer the sender. Told to the member that would have the duty if the holder were
  * gone. */
-struct DutySuspicion
+struct CoordinatorSuspicion
 {
     static constexpr MessageNumber number{145};
-    /** As in DutyClaim. */
+    /** As in CoordinatorClaim. */
     std::string duty;
     /** Who does not answer. */
     SessionNumber holder;
     /** Who did not get an answer. */
     SessionNumber from;
 
-    bool operator==(const DutySuspicion &) const = default;
+    bool operator==(const CoordinatorSuspicion &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -2574,7 +2574,7 @@
 };
 
 /** Datagram: a node asks a counter whether a request of a workspace may run. It is sent again until there is an answer. */
-struct QuotaAsk
+struct QuotaQuery
 {
     static constexpr MessageNumber number{146};
     /** Who asks. */
@@ -2594,7 +2594,7 @@
     /** Where the asking node is, if this was passed on by another one. */
     Address replyTo;
 
-    bool operator==(const QuotaAsk &) const = default;
+    bool operator==(const QuotaQuery &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -2610,11 +2610,11 @@
     }
 };
 
-/** Datagram: the answer to QuotaAsk. */
+/** Datagram: the answer to QuotaQuery. */
 struct QuotaAnswer
 {
     static constexpr MessageNumber number{147};
-    /** Of the QuotaAsk. */
+    /** Of the QuotaQuery. */
     std::uint64_t ticket = 0;
     /** Whether the request may run. */
     bool isGranted = false;
@@ -2643,7 +2643,7 @@
     /** Datagrams of the handover. */
     std::uint32_t count = 0;
     /** The quotas that are not whole. */
-    std::vector<QuotaRest> rests;
+    std::vector<QuotaBalance> rests;
 
     bool operator==(const QuotaHandover &) const = default;
 
@@ -2655,7 +2655,7 @@
 };
 
 /** Datagram: a node asks the dispatcher of a service for a place. It is sent again until there is an answer. */
-struct PlacementAsk
+struct SlotRequest
 {
     static constexpr MessageNumber number{120};
     /** Who asks. */
@@ -2691,7 +2691,7 @@
     /** Where the asking node is, if this was passed on by another one. */
     Address replyTo;
 
-    bool operator==(const PlacementAsk &) const = default;
+    bool operator==(const SlotRequest &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -2719,7 +2719,7 @@
 struct PlacementAnswer
 {
     static constexpr MessageNumber number{121};
-    /** Of the PlacementAsk. */
+    /** Of the SlotRequest. */
     std::uint64_t ticket = 0;
     /** The service. */
     std::string service;
@@ -2812,7 +2812,7 @@
 };
 
 /** Datagram: a replica has begun to answer, and said how much it has. */
-struct PlacementBegun
+struct PlacementStarted
 {
     static constexpr MessageNumber number{143};
     /** The replica's service. */
@@ -2824,7 +2824,7 @@
     /** Whether this was passed on by another node. */
     bool isPassedOn = false;
 
-    bool operator==(const PlacementBegun &) const = default;
+    bool operator==(const PlacementStarted &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -3071,13 +3071,13 @@
 
 /** Datagram: asks another node for the crashes that it knows. Notices may have been lost, or came before the asking node was
  * there. */
-struct CrashQuestion
+struct CrashQuery
 {
     static constexpr MessageNumber number{153};
     /** Who asks. */
     SessionNumber from;
 
-    bool operator==(const CrashQuestion &) const = default;
+    bool operator==(const CrashQuery &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -3105,7 +3105,7 @@
 };
 
 /** Datagram: where a stream began. Its receiver remembers it for whoever goes on with the stream. */
-struct StreamBegun
+struct StreamStarted
 {
     static constexpr MessageNumber number{155};
     /** Hash of the id of the attempt that brought its first event. */
@@ -3117,7 +3117,7 @@
     /** How long its caller may take it up again. */
     std::chrono::milliseconds lifetime = std::chrono::milliseconds(0);
 
-    bool operator==(const StreamBegun &) const = default;
+    bool operator==(const StreamStarted &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -3127,15 +3127,15 @@
 };
 
 /** Datagram: asks where a stream began. It is sent again until there is an answer. */
-struct StreamOriginQuestion
+struct StreamOriginQuery
 {
     static constexpr MessageNumber number{156};
     /** Names the question at the asking node. */
     std::uint64_t ticket = 0;
-    /** Of the StreamBegun. */
+    /** Of the StreamStarted. */
     std::uint64_t request = 0;
 
-    bool operator==(const StreamOriginQuestion &) const = default;
+    bool operator==(const StreamOriginQuery &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -3144,7 +3144,7 @@
     }
 };
 
-/** Datagram: the answer to StreamOriginQuestion. */
+/** Datagram: the answer to StreamOriginQuery. */
 struct StreamOriginAnswer
 {
     static constexpr MessageNumber number{157};
@@ -3154,9 +3154,9 @@
     std::uint64_t ticket = 0;
     /** Whether it remembers the stream. */
     bool isKnown = false;
-    /** Of the StreamBegun. */
+    /** Of the StreamStarted. */
     std::string service;
-    /** Of the StreamBegun. */
+    /** Of the StreamStarted. */
     SoftwareVersion version;
 
     bool operator==(const StreamOriginAnswer &) const = default;
@@ -3353,7 +3353,7 @@
 {
     static constexpr MessageNumber number{149};
     /** Whether it could answer. */
-    FeedOutcome outcome = FeedOutcome::Told;
+    FeedOutcome outcome = FeedOutcome::Delivered;
     /** The changes in their order, or a part of the table in the order of its keys. */
     std::vector<FeedRow> rows;
     /** Of the table: what came later is not enclosed. */
--- a/Meta/generate.py
+++ b/Meta/generate.py
@@ -43,6 +43,11 @@
     return result.stdout
 
 
+def outer_name(entry):
+    """The name that logs and metrics show: the attribute `outer` keeps it when the name in the code changes."""
+    return entry.get("outer", entry["name"])
+
+
 def enum_code(enum):
     lines = [f"/** {enum['doc']} */", f"enum class {enum['name']} : std::uint8_t {{"]
     for value in enum["values"]:
@@ -50,7 +55,7 @@
     lines += ["};", "", f"/** @return the value's name, for logs. */",
               f"constexpr std::string_view toString({enum['name']} value)", "{", "    switch (value) {"]
     for value in enum["values"]:
-        lines += [f"    case {enum['name']}::{value['name']}:", f'        return "{value["name"]}";']
+        lines += [f"    case {enum['name']}::{value['name']}:", f'        return "{outer_name(value)}";']
     lines += ["    }", '    return "invalid";', "}", "",
               "/** @return whether a decoded number is a value of the enum. */",
               f"constexpr bool isValid({enum['name']} value)", "{",
@@ -133,7 +138,7 @@
               "constexpr std::string_view messageName(MessageNumber number)", "{",
               "    switch (static_cast<std::uint16_t>(number)) {"]
     for message in schema["message"]:
-        lines += [f"    case {message['number']}:", f'        return "{message["name"]}";']
+        lines += [f"    case {message['number']}:", f'        return "{outer_name(message)}";']
     lines += ["    default:", '        return "unknown";', "    }", "}", ""]
     lines += ["}", ""]
     return formatted("\n".join(lines))
