--- a/Libraries/LibMembership/CoordinatorElection.cpp
+++ b/Libraries/LibMembership/CoordinatorElection.cpp
@@ -52,7 +52,7 @@
 /** Several gossip rounds, after which all members know why a member gave up the role. */
 constexpr std::chrono::milliseconds resignationRetention{3000};
 
-auto rankOf(const DutyClaim &claim)
+auto rankOf(const CoordinatorClaim &claim)
 {
     return std::tuple(claim.term, claim.holder);
 }
@@ -91,7 +91,7 @@
     return this->members->isMinority() || (isRecent && lost > 1 && lost * lostMembersDivisor > this->maxMembers);
 }
 
-CoordinatorElection::ReceiveOutcome CoordinatorElection::receive(const DutyClaim &claim)
+CoordinatorElection::ReceiveOutcome CoordinatorElection::receive(const CoordinatorClaim &claim)
 {
     if (!this->current && claim == this->claimQuery()) {
         return ReceiveOutcome::Known;
@@ -117,7 +117,7 @@
     return this->selected;
 }
 
-const std::optional<DutyClaim> &CoordinatorElection::claim() const
+const std::optional<CoordinatorClaim> &CoordinatorElection::claim() const
 {
     return this->current;
 }
@@ -127,7 +127,7 @@
     return !this->current && this->othersSeenAt;
 }
 
-DutyClaim CoordinatorElection::claimQuery() const
+CoordinatorClaim CoordinatorElection::claimQuery() const
 {
     return {this->role, 0, SessionNumber()};
 }
@@ -141,7 +141,7 @@
     return coordinatorFor(*this->members, this->key, RoleCandidates::Relays, except);
 }
 
-void CoordinatorElection::receiveSuspicion(const DutySuspicion &suspicion)
+void CoordinatorElection::receiveSuspicion(const CoordinatorSuspicion &suspicion)
 {
     if (!this->current || this->current->holder != suspicion.holder || suspicion.holder == this->self) {
         return;
@@ -182,7 +182,7 @@
     return this->suspectedSince && this->clock.now() - *this->suspectedSince >= unresponsiveTimeout;
 }
 
-std::optional<DutyClaim> CoordinatorElection::makeClaim()
+std::optional<CoordinatorClaim> CoordinatorElection::makeClaim()
 {
     if (this->suspectedSince || this->coordinatorMissingSince) {
         this->selectCoordinator();
@@ -201,7 +201,7 @@
         return std::nullopt;
     }
     const std::uint64_t term = this->current ? this->current->term + 1 : 1;
-    this->receive(DutyClaim{this->role, term, next});
+    this->receive(CoordinatorClaim{this->role, term, next});
     return this->current;
 }
 
@@ -262,7 +262,7 @@
 
 // If two members become ineligible at once, each may regard the other as eligible until the view shows otherwise. Without this
 // record they would name each other in turn.
-void CoordinatorElection::recordResignation(const DutyClaim &claim)
+void CoordinatorElection::recordResignation(const CoordinatorClaim &claim)
 {
     const bool isNamedByCoordinator = this->current && claim.holder == this->self && this->current->holder != this->self;
     if (isNamedByCoordinator) {
--- a/Libraries/LibMembership/CoordinatorElection.h
+++ b/Libraries/LibMembership/CoordinatorElection.h
@@ -51,25 +51,25 @@
     void setView(SessionNumber self, const MemberViewPointer &members, const MemberViewPointer &stableMembers);
 
     /** Handles a claim from another node. */
-    ReceiveOutcome receive(const DutyClaim &claim);
+    ReceiveOutcome receive(const CoordinatorClaim &claim);
 
     /** @return the coordinator, or null if no member is eligible; valid until the next call of a non-const function. */
     const Member *coordinator() const;
 
     /** @return the current claim, if any is known. */
-    const std::optional<DutyClaim> &claim() const;
+    const std::optional<CoordinatorClaim> &claim() const;
 
     /** @return whether this node knows other members but no claim, and has to query them for one. */
     bool isQuerying() const;
 
     /** @return a query for the claim that other nodes know: an empty claim, which is outdated for any node that knows one. */
-    DutyClaim claimQuery() const;
+    CoordinatorClaim claimQuery() const;
 
     /** @return the member that would become the coordinator if the current one departed, or null if there is none. */
     const Member *successor() const;
 
     /** Records that a node received no answer from the coordinator. */
-    void receiveSuspicion(const DutySuspicion &suspicion);
+    void receiveSuspicion(const CoordinatorSuspicion &suspicion);
 
     /** Records that the coordinator has responded, and clears the suspicions against it. */
     void recordCoordinatorAlive();
@@ -78,11 +78,11 @@
     const Member *suspectedCoordinator() const;
 
     /** @return a claim that this node makes now and that has to be sent to all other members; nothing if it makes none. */
-    std::optional<DutyClaim> makeClaim();
+    std::optional<CoordinatorClaim> makeClaim();
 
 private:
     void selectCoordinator();
-    void recordResignation(const DutyClaim &claim);
+    void recordResignation(const CoordinatorClaim &claim);
     std::set<SessionNumber> recentlyResigned() const;
     const Member *findClaimedCoordinator();
     bool mayKeep(const Member &claimed) const;
@@ -98,7 +98,7 @@
     SessionNumber self;
     MemberViewPointer members;
     MemberViewPointer stableMembers;
-    std::optional<DutyClaim> current;
+    std::optional<CoordinatorClaim> current;
     SteadyTime receivedAt{};
     /** When this node first had another member in its view. */
     std::optional<SteadyTime> othersSeenAt;
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -13,7 +13,7 @@
     return member.state >= MemberState::Dead;
 }
 
-MemberNews updateOf(const Member &member)
+MemberUpdate updateOf(const Member &member)
 {
     return {member.session,
             member.incarnation,
@@ -58,7 +58,7 @@
     }
 }
 
-bool MemberTable::isNewer(const MemberNews &reported, const Member &known)
+bool MemberTable::isNewer(const MemberUpdate &reported, const Member &known)
 {
     if (known.state == MemberState::Left || reported.state == MemberState::Left) {
         return known.state != MemberState::Left;
@@ -81,7 +81,7 @@
     const bool wasDescribed = std::exchange(entry.isDescribed, true);
     if (!wasDescribed) {
         // Only the state was known. It is kept, because the sender of the description may not know it yet.
-        const MemberNews current = updateOf(entry.member);
+        const MemberUpdate current = updateOf(entry.member);
         this->removeFromTotals(entry);
         entry.member = reported;
         entry.member.incarnation = current.incarnation;
@@ -96,7 +96,7 @@
     return load;
 }
 
-MergeResult MemberTable::merge(const MemberNews &reported, SteadyTime now)
+MergeResult MemberTable::merge(const MemberUpdate &reported, SteadyTime now)
 {
     const auto found = this->known.find(reported.session);
     if (found == this->known.end()) {
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -52,7 +52,7 @@
     explicit MemberTable(Member self, SteadyTime now);
 
     MergeResult merge(const Member &reported, SteadyTime now);
-    MergeResult merge(const MemberNews &reported, SteadyTime now);
+    MergeResult merge(const MemberUpdate &reported, SteadyTime now);
     MergeResult merge(const MemberLoad &reported);
 
     /** @return this node itself. The caller may change it and calls ownChanged() afterwards. */
@@ -84,7 +84,7 @@
     void forget(SteadyTime before);
 
 private:
-    static bool isNewer(const MemberNews &reported, const Member &known);
+    static bool isNewer(const MemberUpdate &reported, const Member &known);
     void updateTotals(Entry &entry);
     void removeFromTotals(Entry &entry);
 
@@ -100,7 +100,7 @@
 bool isDeparted(const Member &member);
 
 /** @return the update that is sent to members that have the description. */
-MemberNews updateOf(const Member &member);
+MemberUpdate updateOf(const Member &member);
 
 /** @return the load of a member as it is sent to others. */
 MemberLoad loadOf(const Member &member);
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -306,14 +306,14 @@
     if (entry == nullptr || isDeparted(entry->member)) {
         return;
     }
-    MemberNews memberUpdate = updateOf(entry->member);
+    MemberUpdate memberUpdate = updateOf(entry->member);
     memberUpdate.state = MemberState::Suspect;
     memberUpdate.accuser = this->self;
     this->apply(memberUpdate);
     this->publish();
 }
 
-void Membership::startSuspicion(const MemberNews &memberUpdate)
+void Membership::startSuspicion(const MemberUpdate &memberUpdate)
 {
     const SessionNumber target = memberUpdate.session;
     const std::vector<const Member *> confirmers = this->confirmersOf(target);
@@ -370,7 +370,7 @@
         this->scheduleDeath(target);
         return;
     }
-    MemberNews memberUpdate = updateOf(entry->member);
+    MemberUpdate memberUpdate = updateOf(entry->member);
     memberUpdate.state = MemberState::Dead;
     this->apply(memberUpdate);
     this->publish();
@@ -492,7 +492,7 @@
         return;
     }
     this->lastReceived = this->clock.now();
-    for (const MemberNews &departed : push.departed) {
+    for (const MemberUpdate &departed : push.departed) {
         this->apply(departed);
     }
     for (const Member &member : push.members) {
@@ -516,7 +516,7 @@
     for (const Member &member : gossip.members) {
         this->apply(member);
     }
-    for (const MemberNews &memberUpdate : gossip.news) {
+    for (const MemberUpdate &memberUpdate : gossip.news) {
         this->apply(memberUpdate);
     }
     this->apply(gossip.load);
@@ -590,7 +590,7 @@
     }
 }
 
-void Membership::apply(const MemberNews &reported)
+void Membership::apply(const MemberUpdate &reported)
 {
     if (!isValid(reported.state)) {
         return;
@@ -665,7 +665,7 @@
 {
     // A socket belongs to one process: of two sessions with the same gossip address the earlier has ended, without any need to
     // suspect it first.
-    std::vector<MemberNews> ended;
+    std::vector<MemberUpdate> ended;
     std::vector<SessionNumber> uncertain;
     for (const auto &[session, entry] : this->table.entries()) {
         const bool isSame = entry.isDescribed && entry.member.gossip == newcomer.gossip && session != newcomer.session;
@@ -684,7 +684,7 @@
             this->probe(session);
         }
     }
-    for (MemberNews &memberUpdate : ended) {
+    for (MemberUpdate &memberUpdate : ended) {
         memberUpdate.state = MemberState::Left;
         if (memberUpdate.session != this->self) {
             this->apply(memberUpdate);
@@ -701,7 +701,7 @@
     if (!isKnown || isDeparted(predecessor->member) || successor->member.gossip != predecessor->member.gossip) {
         return;
     }
-    MemberNews memberUpdate = updateOf(predecessor->member);
+    MemberUpdate memberUpdate = updateOf(predecessor->member);
     memberUpdate.state = MemberState::Left;
     this->apply(memberUpdate);
     this->publish();
@@ -732,7 +732,7 @@
     this->publish();
 }
 
-void Membership::refute(const MemberNews &memberUpdate)
+void Membership::refute(const MemberUpdate &memberUpdate)
 {
     if (memberUpdate.state == MemberState::Left && !this->hasLeft) {
         this->loseSession("the other members regard the session as ended");
@@ -833,9 +833,9 @@
     return gossip;
 }
 
-MemberNews Membership::updateToSend(const Member &member) const
+MemberUpdate Membership::updateToSend(const Member &member) const
 {
-    MemberNews memberUpdate = updateOf(member);
+    MemberUpdate memberUpdate = updateOf(member);
     const auto suspectingMember = this->lastSuspectingMember.find(member.session);
     if (member.state == MemberState::Suspect && suspectingMember != this->lastSuspectingMember.end()) {
         memberUpdate.accuser = suspectingMember->second;
--- a/Libraries/LibMembership/Membership.h
+++ b/Libraries/LibMembership/Membership.h
@@ -172,7 +172,7 @@
     std::vector<const Member *> confirmersOf(SessionNumber target) const;
 
     void suspect(SessionNumber target);
-    void startSuspicion(const MemberNews &memberUpdate);
+    void startSuspicion(const MemberUpdate &memberUpdate);
     void notifyConfirmers(SessionNumber target);
     void scheduleDeath(SessionNumber target);
     void expire(SessionNumber target);
@@ -183,16 +183,16 @@
     std::vector<MembersPush> answerTo(const MembersPull &pull) const;
     void notifyIfSuspected(SessionNumber session);
     void apply(const Member &reported);
-    void apply(const MemberNews &reported);
+    void apply(const MemberUpdate &reported);
     void apply(const MemberLoad &reported);
     void applyLeaving(const std::vector<VmName> &vms);
     void supersede(const Member &newcomer);
     void endReplacedSession(SessionNumber answered, SessionNumber expected);
     void handleDuplicateSession(const Address &from, const Ping &ping);
-    void refute(const MemberNews &memberUpdate);
+    void refute(const MemberUpdate &memberUpdate);
     void loseSession(std::string_view reason);
     Gossip gossipFor(SessionNumber receiver);
-    MemberNews updateToSend(const Member &member) const;
+    MemberUpdate updateToSend(const Member &member) const;
     void publish();
     bool isViewDue();
     bool isMinority() const;
--- a/Services/Gateway/CoordinatorElections.cpp
+++ b/Services/Gateway/CoordinatorElections.cpp
@@ -90,7 +90,7 @@
     if (next == nullptr) {
         return;
     }
-    const DutySuspicion suspicion{role, suspected->session, this->peers.self()};
+    const CoordinatorSuspicion suspicion{role, suspected->session, this->peers.self()};
     if (next->session == this->peers.self()) {
         this->roles.at(role).election->receiveSuspicion(suspicion);
     } else {
@@ -141,7 +141,7 @@
 
 void CoordinatorElections::claim(const std::string &role, RoleState &state)
 {
-    const std::optional<DutyClaim> claim = state.election->makeClaim();
+    const std::optional<CoordinatorClaim> claim = state.election->makeClaim();
     if (!claim) {
         return;
     }
@@ -187,14 +187,14 @@
 
 bool CoordinatorElections::receive(const Datagram &datagram)
 {
-    if (datagram.number == DutyClaim::number) {
-        if (const auto claim = decode<DutyClaim>(datagram.payload)) {
+    if (datagram.number == CoordinatorClaim::number) {
+        if (const auto claim = decode<CoordinatorClaim>(datagram.payload)) {
             this->receive(datagram.from, *claim);
         }
         return true;
     }
-    if (datagram.number == DutySuspicion::number) {
-        const auto suspicion = decode<DutySuspicion>(datagram.payload);
+    if (datagram.number == CoordinatorSuspicion::number) {
+        const auto suspicion = decode<CoordinatorSuspicion>(datagram.payload);
         const auto found = suspicion ? this->roles.find(suspicion->duty) : this->roles.end();
         if (found != this->roles.end()) {
             found->second.election->receiveSuspicion(*suspicion);
@@ -204,7 +204,7 @@
     return false;
 }
 
-void CoordinatorElections::receive(const Address &from, const DutyClaim &claim)
+void CoordinatorElections::receive(const Address &from, const CoordinatorClaim &claim)
 {
     const auto found = this->roles.find(claim.duty);
     if (found == this->roles.end()) {
--- a/Services/Gateway/CoordinatorElections.h
+++ b/Services/Gateway/CoordinatorElections.h
@@ -93,7 +93,7 @@
     void claim(const std::string &role, RoleState &state);
     void queryClaim(const CoordinatorElection &election);
     void sendClaimToNewMembers(const CoordinatorElection &election, const MemberView &before);
-    void receive(const Address &from, const DutyClaim &claim);
+    void receive(const Address &from, const CoordinatorClaim &claim);
 
     const Clock &clock;
     PeerNetwork &peers;
--- a/Services/Gateway/CrashExchange.cpp
+++ b/Services/Gateway/CrashExchange.cpp
@@ -169,7 +169,7 @@
     });
     if (member != nullptr) {
         this->nextQuery = now + queryInterval;
-        this->peers.datagrams().send(member->gossip, CrashQuestion{this->peers.self()});
+        this->peers.datagrams().send(member->gossip, CrashQuery{this->peers.self()});
     }
 }
 
@@ -187,7 +187,7 @@
         if (const auto served = decode<RequestServed>(datagram.payload)) {
             this->crashes.recordServed(served->fingerprint);
         }
-    } else if (datagram.number == CrashQuestion::number) {
+    } else if (datagram.number == CrashQuery::number) {
         this->answerQuery(datagram.from);
     } else if (datagram.number == CrashCounts::number) {
         if (const auto reported = decode<CrashCounts>(datagram.payload)) {
--- a/Services/Gateway/PlacementClient.cpp
+++ b/Services/Gateway/PlacementClient.cpp
@@ -111,7 +111,7 @@
     const SteadyTime now = this->clock.now();
     request.lastSent = now;
     const PlacementQuery &query = request.query;
-    PlacementAsk slotRequest;
+    SlotRequest slotRequest;
     slotRequest.from = this->peers.self();
     slotRequest.ticket = ticket;
     slotRequest.service = query.service.value();
@@ -216,7 +216,7 @@
     if (!this->stateOf(service).isDispatched) {
         return;
     }
-    this->sendToDispatcher(service, PlacementBegun{service.value(), *found->second.replica, load, false});
+    this->sendToDispatcher(service, PlacementStarted{service.value(), *found->second.replica, load, false});
 }
 
 void PlacementClient::decide(Ticket ticket, const Placement &placement)
--- a/Services/Gateway/PlacementServer.cpp
+++ b/Services/Gateway/PlacementServer.cpp
@@ -134,8 +134,8 @@
 
 void PlacementServer::receive(const Datagram &datagram)
 {
-    if (datagram.number == PlacementAsk::number) {
-        const auto slotRequest = decode<PlacementAsk>(datagram.payload);
+    if (datagram.number == SlotRequest::number) {
+        const auto slotRequest = decode<SlotRequest>(datagram.payload);
         if (slotRequest && !this->forward(datagram, *slotRequest)) {
             this->handle(*slotRequest, clientAddress(datagram, *slotRequest));
         }
@@ -145,8 +145,8 @@
             // This node may have been the dispatcher until a moment ago.
             this->handle(*end);
         }
-    } else if (datagram.number == PlacementBegun::number) {
-        const auto started = decode<PlacementBegun>(datagram.payload);
+    } else if (datagram.number == PlacementStarted::number) {
+        const auto started = decode<PlacementStarted>(datagram.payload);
         if (started && !this->forward(*started)) {
             this->handle(*started);
         }
@@ -196,14 +196,14 @@
     }
 }
 
-void PlacementServer::handle(const PlacementBegun &started)
+void PlacementServer::handle(const PlacementStarted &started)
 {
     if (Dispatcher *const dispatcher = this->findDispatcher(ServiceName(started.service))) {
         dispatcher->recordLoad(started.replica, started.load);
     }
 }
 
-void PlacementServer::handle(const PlacementAsk &slotRequest, const Address &client)
+void PlacementServer::handle(const SlotRequest &slotRequest, const Address &client)
 {
     const ServiceName service(slotRequest.service);
     Dispatcher &dispatcher = this->dispatcherFor(service);
--- a/Services/Gateway/PlacementServer.h
+++ b/Services/Gateway/PlacementServer.h
@@ -69,10 +69,10 @@
      * Handles a message of a node while this one dispatches the service.
      * @param client address of that node; not needed for this node itself
      */
-    void handle(const PlacementAsk &slotRequest, const Address &client = {});
+    void handle(const SlotRequest &slotRequest, const Address &client = {});
     void handle(const PlacementsRunning &report, const Address &client = {});
     void handle(const PlacementEnd &end);
-    void handle(const PlacementBegun &started);
+    void handle(const PlacementStarted &started);
 
     /** Handles a datagram of another node. */
     void receive(const Datagram &datagram);
--- a/Services/Gateway/QuotaService.cpp
+++ b/Services/Gateway/QuotaService.cpp
@@ -112,7 +112,7 @@
         this->asker.take(question.ticket, this->count(number, {this->peers.self(), question.ticket}, question));
         return true;
     }
-    QuotaAsk ask;
+    QuotaQuery ask;
     ask.from = this->peers.self();
     ask.ticket = question.ticket;
     ask.workspace = question.workspace;
@@ -126,8 +126,8 @@
 
 bool QuotaService::receive(const Datagram &datagram)
 {
-    if (datagram.number == QuotaAsk::number) {
-        if (const auto ask = decode<QuotaAsk>(datagram.payload)) {
+    if (datagram.number == QuotaQuery::number) {
+        if (const auto ask = decode<QuotaQuery>(datagram.payload)) {
             this->receive(datagram, *ask);
         }
         return true;
@@ -148,7 +148,7 @@
     return false;
 }
 
-void QuotaService::receive(const Datagram &datagram, const QuotaAsk &ask)
+void QuotaService::receive(const Datagram &datagram, const QuotaQuery &ask)
 {
     const std::size_t number = quotaPartOf(ask.workspace);
     const std::string &duty = this->parts[number].duty;
@@ -156,7 +156,7 @@
     const Member *const other = isPassedOn || ask.isToSuccessor ? nullptr : this->duties.remoteCoordinator(duty);
     if (other != nullptr) {
         // Who asks does not know the holder yet. Were it answered here, two would count the same workspace.
-        QuotaAsk passed = ask;
+        QuotaQuery passed = ask;
         passed.replyTo = datagram.from;
         this->peers.datagrams().send(other->gossip, passed);
         this->duties.sendClaim(datagram.from, duty);
@@ -270,7 +270,7 @@
     const bool isCurrent = this->clock.now() - part.handoverReceived < handoverRetained;
     std::vector<QuotaLevel> levels;
     for (const auto &[index, received] : part.handover) {
-        for (const QuotaRest &rest : received.rests) {
+        for (const QuotaBalance &rest : received.rests) {
             levels.push_back({rest.workspace, rest.level});
         }
     }
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -77,7 +77,7 @@
     };
 
     bool askCounter(const QuotaQuestion &question, QuotaAsker::Counter counter);
-    void receive(const Datagram &datagram, const QuotaAsk &ask);
+    void receive(const Datagram &datagram, const QuotaQuery &ask);
     void receive(const QuotaHandover &handover);
     void takeHandover(Part &part);
     QuotaDecision count(std::size_t number, const QuestionId &id, const QuotaQuestion &question);
--- a/Services/Gateway/StreamOriginExchange.cpp
+++ b/Services/Gateway/StreamOriginExchange.cpp
@@ -41,7 +41,8 @@
     const MemberViewPointer view = this->peers.view();
     for (const Member *const member : spreadMembers(*view, request, membersPerStream)) {
         if (member->session != this->peers.self()) {
-            this->peers.datagrams().send(member->gossip, StreamBegun{request, origin.service.value(), origin.version, lifetime});
+            this->peers.datagrams().send(member->gossip,
+                                         StreamStarted{request, origin.service.value(), origin.version, lifetime});
         }
     }
 }
@@ -82,7 +83,7 @@
     const MemberViewPointer view = this->peers.view();
     for (const SessionNumber session : query.pendingMembers) {
         if (const Member *const member = view->find(session)) {
-            this->peers.datagrams().send(member->gossip, StreamOriginQuestion{ticket, query.request});
+            this->peers.datagrams().send(member->gossip, StreamOriginQuery{ticket, query.request});
         }
     }
 }
@@ -109,11 +110,11 @@
 
 bool StreamOriginExchange::receive(const Datagram &datagram)
 {
-    if (datagram.number == StreamBegun::number) {
-        if (const auto message = decode<StreamBegun>(datagram.payload)) {
+    if (datagram.number == StreamStarted::number) {
+        if (const auto message = decode<StreamStarted>(datagram.payload)) {
             this->origins.record(message->request, {ServiceName(message->service), message->version}, message->lifetime);
         }
-    } else if (datagram.number == StreamOriginQuestion::number) {
+    } else if (datagram.number == StreamOriginQuery::number) {
         this->answerQuery(datagram);
     } else if (datagram.number == StreamOriginAnswer::number) {
         this->handleAnswer(datagram);
@@ -125,7 +126,7 @@
 
 void StreamOriginExchange::answerQuery(const Datagram &datagram)
 {
-    const auto query = decode<StreamOriginQuestion>(datagram.payload);
+    const auto query = decode<StreamOriginQuery>(datagram.payload);
     if (!query) {
         return;
     }
--- a/Services/Gateway/TableRelay.cpp
+++ b/Services/Gateway/TableRelay.cpp
@@ -39,7 +39,7 @@
 {
     switch (result.outcome) {
     case FollowOutcome::Followed:
-        return {FeedOutcome::Told, encodeRows(result.rows), result.version, false};
+        return {FeedOutcome::Delivered, encodeRows(result.rows), result.version, false};
     case FollowOutcome::HistoryLost:
         return {FeedOutcome::HistoryLost, {}, result.version, false};
     case FollowOutcome::Failed:
@@ -54,7 +54,7 @@
     if (answer.outcome == FeedOutcome::NotRelay) {
         return result;
     }
-    result.outcome = answer.outcome == FeedOutcome::Told ? FollowOutcome::Followed : FollowOutcome::HistoryLost;
+    result.outcome = answer.outcome == FeedOutcome::Delivered ? FollowOutcome::Followed : FollowOutcome::HistoryLost;
     result.version = answer.version;
     for (const FeedRow &row : answer.rows) {
         result.rows.push_back({{table, row.part, row.key}, row.value, row.version, row.isRemoved});
@@ -171,7 +171,7 @@
     if (result.outcome != ReadOutcome::Found) {
         return {FeedOutcome::NotRelay, {}, 0, false};
     }
-    return {FeedOutcome::Told, encodeRows(result.rows), result.version, result.isTruncated};
+    return {FeedOutcome::Delivered, encodeRows(result.rows), result.version, result.isTruncated};
 }
 
 void TableRelay::follow(const std::string &table,
--- a/Tests/Fakes/DutyNetwork.cpp
+++ b/Tests/Fakes/DutyNetwork.cpp
@@ -105,7 +105,7 @@
     if (asked) {
         this->tell(number, *asked, node.duty->claimQuery());
     }
-    if (const std::optional<DutyClaim> claim = node.duty->makeClaim()) {
+    if (const std::optional<CoordinatorClaim> claim = node.duty->makeClaim()) {
         this->tellAll(number, *claim);
     }
     if (now >= node.nextAsk) {
@@ -140,13 +140,13 @@
     if (!to || (this->gossip.isCut && this->gossip.isCut(number, *to))) {
         return;
     }
-    this->gossip.clock.schedule(answerTimeout,
-                                [this, to, suspicion = DutySuspicion{dutyName, holder.session, this->gossip.sessionOf(number)}] {
-                                    const auto found = this->nodes.find(*to);
-                                    if (found != this->nodes.end() && !this->paused.contains(*to)) {
-                                        found->second.duty->receiveSuspicion(suspicion);
-                                    }
-                                });
+    this->gossip.clock.schedule(
+        answerTimeout, [this, to, suspicion = CoordinatorSuspicion{dutyName, holder.session, this->gossip.sessionOf(number)}] {
+            const auto found = this->nodes.find(*to);
+            if (found != this->nodes.end() && !this->paused.contains(*to)) {
+                found->second.duty->receiveSuspicion(suspicion);
+            }
+        });
 }
 
 void DutyNetwork::question(Number number, Node &node)
@@ -171,14 +171,14 @@
     }
 }
 
-void DutyNetwork::tellAll(Number from, const DutyClaim &claim)
+void DutyNetwork::tellAll(Number from, const CoordinatorClaim &claim)
 {
     for (const Member &member : this->gossip.member(from).view()->members()) {
         this->tell(from, GossipNetwork::numberOf(member.gossip), claim);
     }
 }
 
-void DutyNetwork::tell(Number from, Number to, const DutyClaim &claim)
+void DutyNetwork::tell(Number from, Number to, const CoordinatorClaim &claim)
 {
     const bool isLost = std::bernoulli_distribution(this->gossip.loss)(this->random);
     if (isLost || from == to || (this->gossip.isCut && this->gossip.isCut(from, to))) {
@@ -240,8 +240,8 @@
 
 void DutyNetwork::usurp(Number number)
 {
-    const std::optional<DutyClaim> &known = this->nodes.at(number).duty->claim();
-    const DutyClaim claim{dutyName, known ? known->term + 1 : 1, this->gossip.sessionOf(number)};
+    const std::optional<CoordinatorClaim> &known = this->nodes.at(number).duty->claim();
+    const CoordinatorClaim claim{dutyName, known ? known->term + 1 : 1, this->gossip.sessionOf(number)};
     this->nodes.at(number).duty->receive(claim);
     this->tellAll(number, claim);
 }
--- a/Tests/Fakes/DutyNetwork.h
+++ b/Tests/Fakes/DutyNetwork.h
@@ -81,8 +81,8 @@
     void question(Number number, Node &node);
     void tellNewcomers(Number number, Node &node, const MemberView &before);
     void askHolder(Number number, Node &node);
-    void tell(Number from, Number to, const DutyClaim &claim);
-    void tellAll(Number from, const DutyClaim &claim);
+    void tell(Number from, Number to, const CoordinatorClaim &claim);
+    void tellAll(Number from, const CoordinatorClaim &claim);
     void measure();
     std::optional<Number> numberOf(SessionNumber session) const;
 
--- a/Tests/LibMembership/TestCoordinatorElection.cpp
+++ b/Tests/LibMembership/TestCoordinatorElection.cpp
@@ -260,12 +260,12 @@
     const MemberViewPointer initialView = viewOf({memberOf(1), memberOf(2)});
     first.setView(SessionNumber(1), initialView, initialView);
     second.setView(SessionNumber(2), initialView, initialView);
-    const DutyClaim claim{"llm", 1, SessionNumber(1)};
+    const CoordinatorClaim claim{"llm", 1, SessionNumber(1)};
     first.receive(claim);
     second.receive(claim);
     first.setView(SessionNumber(1), viewWithLeaving(1), viewWithLeaving(1));
     second.setView(SessionNumber(2), viewWithLeaving(2), viewWithLeaving(2));
-    const std::optional<DutyClaim> successorClaim = first.makeClaim();
+    const std::optional<CoordinatorClaim> successorClaim = first.makeClaim();
     REQUIRE(successorClaim);
     CHECK(successorClaim->holder == SessionNumber(2));
     second.receive(*successorClaim);
@@ -307,7 +307,7 @@
     CHECK(!election.makeClaim());
     CHECK(election.receive(election.claimQuery()) == CoordinatorElection::ReceiveOutcome::Known);
     clock.advance(10s);
-    CHECK(election.makeClaim() == DutyClaim{"llm", 1, SessionNumber(1)});
+    CHECK(election.makeClaim() == CoordinatorClaim{"llm", 1, SessionNumber(1)});
     CHECK(!election.isQuerying());
     CHECK(election.receive(election.claimQuery()) == CoordinatorElection::ReceiveOutcome::Outdated);
 }
@@ -371,7 +371,7 @@
     CHECK(!election.makeClaim());
     fixture.suspectFrom(3, 5);
     fixture.clock.advance(300ms);
-    CHECK(election.makeClaim() == DutyClaim{"llm", 2, fixture.successor});
+    CHECK(election.makeClaim() == CoordinatorClaim{"llm", 2, fixture.successor});
     CHECK(coordinatorOf(election) == fixture.successor);
 }
 
@@ -400,9 +400,9 @@
     election.receive({"llm", 5, SessionNumber(2)});
     CHECK(!election.makeClaim());
     clock.advance(10s);
-    const std::optional<DutyClaim> claim = election.makeClaim();
+    const std::optional<CoordinatorClaim> claim = election.makeClaim();
     REQUIRE(claim);
-    CHECK(*claim == DutyClaim{"llm", 6, SessionNumber(1)});
+    CHECK(*claim == CoordinatorClaim{"llm", 6, SessionNumber(1)});
 }
 
 // Half of the nodes are killed at once, including the coordinator. The successor has lost many members, as if it were cut off,
@@ -429,7 +429,7 @@
         }
     }
     election.makeClaim();
-    CHECK(election.claim() == DutyClaim{"llm", 2, successor});
+    CHECK(election.claim() == CoordinatorClaim{"llm", 2, successor});
 }
 
 TEST_CASE("if half of the nodes die at once with the coordinator, the others agree on one successor")
@@ -456,5 +456,5 @@
     election.receive({"llm", 1, SessionNumber(1)});
     members[0].isLeaving = true;
     election.setView(SessionNumber(1), viewOf(members), viewOf(members));
-    CHECK(election.makeClaim() == DutyClaim{"llm", 2, SessionNumber(2)});
+    CHECK(election.makeClaim() == CoordinatorClaim{"llm", 2, SessionNumber(2)});
 }
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -42,7 +42,7 @@
     };
     for (int step = 0; step < 3000; ++step) {
         const std::uint64_t number = 2 + below(40);
-        MemberNews memberUpdate = updateOf(memberOf(number));
+        MemberUpdate memberUpdate = updateOf(memberOf(number));
         memberUpdate.incarnation = below(6);
         memberUpdate.state = static_cast<MemberState>(below(5));
         switch (below(5)) {
--- a/Tests/LibMembership/TestMembership.cpp
+++ b/Tests/LibMembership/TestMembership.cpp
@@ -230,7 +230,7 @@
     options.sessionOrder = Membership::SessionOrder::Random;
     GossipNetwork network(options);
     startFleet(network, 5);
-    MemberNews ended;
+    MemberUpdate ended;
     ended.session = SessionNumber(3);
     ended.state = MemberState::Left;
     network.member(1).receive(GossipNetwork::addressOf(2), MembersPush{SessionNumber(2), {}, {ended}});
@@ -275,16 +275,16 @@
 TEST_CASE("merging updates of a member gives the same result in any order")
 {
     CHECK(rc::check([] {
-        std::vector<MemberNews> updates;
+        std::vector<MemberUpdate> updates;
         const auto count = *rc::gen::inRange<std::size_t>(1, 12);
         for (std::size_t i = 0; i < count; ++i) {
-            MemberNews &memberUpdate = updates.emplace_back();
+            MemberUpdate &memberUpdate = updates.emplace_back();
             memberUpdate.session = SessionNumber(2);
             memberUpdate.incarnation = *rc::gen::inRange<std::uint64_t>(0, 4);
             memberUpdate.state
                 = *rc::gen::element(MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left);
         }
-        const auto mergeAll = [](const std::vector<MemberNews> &memberUpdates) {
+        const auto mergeAll = [](const std::vector<MemberUpdate> &memberUpdates) {
             Member self;
             self.session = SessionNumber(1);
             Member other;
@@ -292,7 +292,7 @@
             MemberTable table(self, SteadyTime());
             table.merge(other, SteadyTime());
             std::uint64_t incarnation = 0;
-            for (const MemberNews &memberUpdate : memberUpdates) {
+            for (const MemberUpdate &memberUpdate : memberUpdates) {
                 const bool wasLeft = table.find(SessionNumber(2))->member.state == MemberState::Left;
                 table.merge(memberUpdate, SteadyTime());
                 const Member &member = table.find(SessionNumber(2))->member;
@@ -302,7 +302,7 @@
             }
             return table.find(SessionNumber(2))->member.state;
         };
-        std::vector<MemberNews> reversed = updates;
+        std::vector<MemberUpdate> reversed = updates;
         std::ranges::reverse(reversed);
         RC_ASSERT(mergeAll(updates) == mergeAll(reversed));
     }));
--- a/Tests/ServiceGateway/TestPlacementPassOn.cpp
+++ b/Tests/ServiceGateway/TestPlacementPassOn.cpp
@@ -27,9 +27,9 @@
     std::vector<Address> answerSenders;
 };
 
-PlacementAsk slotRequestFor(const std::string &service)
+SlotRequest slotRequestFor(const std::string &service)
 {
-    PlacementAsk slotRequest;
+    SlotRequest slotRequest;
     slotRequest.from = SessionNumber(77);
     slotRequest.ticket = 1;
     slotRequest.service = service;
