--- a/Libraries/LibGateway/JobLedger.cpp
+++ b/Libraries/LibGateway/JobLedger.cpp
@@ -32,7 +32,7 @@
 {
     this->current = head;
     this->currentVersion = version;
-    this->listed = {head.listed.begin(), head.listed.end()};
+    this->listed = {head.finishedItems.begin(), head.finishedItems.end()};
     std::erase_if(this->pending, [this](const auto &entry) {
         return this->listed.contains(entry.first);
     });
@@ -80,7 +80,7 @@
         if (isOver && !write.results.empty()) {
             break;
         }
-        write.head.listed.push_back(item);
+        write.head.finishedItems.push_back(item);
         write.results.push_back(result);
     }
     write.head.failures.clear();
@@ -113,7 +113,7 @@
 
 bool JobLedger::isComplete() const
 {
-    return this->current.listed.size() >= this->current.total;
+    return this->current.finishedItems.size() >= this->current.total;
 }
 
 std::size_t JobLedger::unwrittenResults() const
--- a/Libraries/LibMembership/CoordinatorElection.cpp
+++ b/Libraries/LibMembership/CoordinatorElection.cpp
@@ -54,7 +54,7 @@
 
 auto rankOf(const CoordinatorClaim &claim)
 {
-    return std::tuple(claim.term, claim.holder);
+    return std::tuple(claim.term, claim.coordinator);
 }
 
 } // namespace
@@ -143,7 +143,7 @@
 
 void CoordinatorElection::receiveSuspicion(const CoordinatorSuspicion &suspicion)
 {
-    if (!this->current || this->current->holder != suspicion.holder || suspicion.holder == this->self) {
+    if (!this->current || this->current->coordinator != suspicion.coordinator || suspicion.coordinator == this->self) {
         return;
     }
     const SteadyTime now = this->clock.now();
@@ -191,9 +191,9 @@
         return std::nullopt;
     }
     const SessionNumber next = this->selected->session;
-    const bool isClaimed = this->current && this->current->holder == next;
+    const bool isClaimed = this->current && this->current->coordinator == next;
     const bool isLocal = next == this->self;
-    const bool isOwnClaim = this->current && this->current->holder == this->self;
+    const bool isOwnClaim = this->current && this->current->coordinator == this->self;
     // A node that receives suspicions from several others is not cut off itself.
     const bool isConfirmed = this->isUnresponsive() && this->hasEnoughSuspectingMembers();
     const bool isSure = isConfirmed || (!this->hasLostManyMembers() && !this->isAwaitingClaim() && !this->isCoordinatorUnknown());
@@ -228,7 +228,7 @@
     if (!this->current) {
         return nullptr;
     }
-    if (const Member *const claimed = this->stableMembers->find(this->current->holder)) {
+    if (const Member *const claimed = this->stableMembers->find(this->current->coordinator)) {
         this->lastSeenCoordinator = *claimed;
         this->coordinatorMissingSince.reset();
         return claimed;
@@ -255,7 +255,7 @@
     // A successor must reach the store now, however short its loss has been.
     std::set<SessionNumber> except = this->recentlyResigned();
     if (this->isUnresponsive() && this->current) {
-        except.insert(this->current->holder);
+        except.insert(this->current->coordinator);
     }
     this->selected = coordinatorFor(*this->members, this->key, RoleCandidates::Relays, except);
 }
@@ -264,9 +264,10 @@
 // record they would name each other in turn.
 void CoordinatorElection::recordResignation(const CoordinatorClaim &claim)
 {
-    const bool isNamedByCoordinator = this->current && claim.holder == this->self && this->current->holder != this->self;
+    const bool isNamedByCoordinator
+        = this->current && claim.coordinator == this->self && this->current->coordinator != this->self;
     if (isNamedByCoordinator) {
-        this->resignedMembers.insert_or_assign(this->current->holder, this->clock.now());
+        this->resignedMembers.insert_or_assign(this->current->coordinator, this->clock.now());
     }
 }
 
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -308,7 +308,7 @@
     }
     MemberUpdate memberUpdate = updateOf(entry->member);
     memberUpdate.state = MemberState::Suspect;
-    memberUpdate.accuser = this->self;
+    memberUpdate.suspectedBy = this->self;
     this->apply(memberUpdate);
     this->publish();
 }
@@ -320,10 +320,10 @@
     const std::size_t expected = this->isLikelyLastMember() ? 0 : std::min(confirmers.size() - 1, this->options.indirectProbers);
     const Suspicion::Options times{this->options.suspicion, this->options.suspicion * unconfirmedFactor, expected};
     this->stopSuspicion(target);
-    this->suspected.emplace(target, Suspected{Suspicion(this->clock.now(), memberUpdate.accuser, times), {}, 0});
-    this->lastSuspectingMember[target] = memberUpdate.accuser;
+    this->suspected.emplace(target, Suspected{Suspicion(this->clock.now(), memberUpdate.suspectedBy, times), {}, 0});
+    this->lastSuspectingMember[target] = memberUpdate.suspectedBy;
     this->scheduleDeath(target);
-    if (memberUpdate.accuser == this->self) {
+    if (memberUpdate.suspectedBy == this->self) {
         this->notifyConfirmers(target);
         return;
     }
@@ -516,7 +516,7 @@
     for (const Member &member : gossip.members) {
         this->apply(member);
     }
-    for (const MemberUpdate &memberUpdate : gossip.news) {
+    for (const MemberUpdate &memberUpdate : gossip.updates) {
         this->apply(memberUpdate);
     }
     this->apply(gossip.load);
@@ -603,13 +603,13 @@
     const MemberState before = entry != nullptr ? entry->member.state : MemberState::Alive;
     const auto suspected = this->suspected.find(reported.session);
     const bool isConfirmation = reported.state == MemberState::Suspect && suspected != this->suspected.end()
-        && reported.incarnation == entry->member.incarnation && reported.accuser.value() != 0;
+        && reported.incarnation == entry->member.incarnation && reported.suspectedBy.value() != 0;
     if (isConfirmation) {
-        if (suspected->second.suspicion.confirm(reported.accuser)) {
-            this->lastSuspectingMember[reported.session] = reported.accuser;
+        if (suspected->second.suspicion.confirm(reported.suspectedBy)) {
+            this->lastSuspectingMember[reported.session] = reported.suspectedBy;
             this->changedMembers.add(reported.session);
             this->scheduleDeath(reported.session);
-            if (reported.accuser == this->self) {
+            if (reported.suspectedBy == this->self) {
                 this->notifyConfirmers(reported.session);
             }
         }
@@ -625,7 +625,7 @@
             "member changed",
             {{"session", static_cast<std::int64_t>(reported.session.value())},
              {"member_vm", this->table.find(reported.session)->member.vm.value()},
-             {"accuser", static_cast<std::int64_t>(reported.accuser.value())},
+             {"accuser", static_cast<std::int64_t>(reported.suspectedBy.value())},
              {"state", std::string(toString(reported.state))}});
     }
     if (reported.state != MemberState::Suspect) {
@@ -792,7 +792,7 @@
         Gossip leaveGossip;
         leaveGossip.digest = this->table.digest();
         leaveGossip.load = loadOf(this->table.own());
-        leaveGossip.news.push_back(updateOf(this->table.own()));
+        leaveGossip.updates.push_back(updateOf(this->table.own()));
         this->hooks.sendPing(receiver->gossip, {this->self, ++this->lastSequence, leaveGossip});
     }
     this->hasLeft = true;
@@ -811,7 +811,7 @@
     gossip.load = loadOf(this->table.own());
     const MemberTable::Entry *const entry = this->table.find(receiver);
     if (entry != nullptr && (entry->member.state == MemberState::Suspect || entry->member.state == MemberState::Dead)) {
-        gossip.news.push_back(this->updateToSend(entry->member));
+        gossip.updates.push_back(this->updateToSend(entry->member));
     }
     const std::uint32_t transmissions = this->transmissions();
     for (const SessionNumber session : this->newMembers.selectNext(membersInDatagram, transmissions)) {
@@ -821,7 +821,7 @@
     }
     for (const SessionNumber session : this->changedMembers.selectNext(updatesInDatagram, transmissions)) {
         if (const MemberTable::Entry *const reported = this->table.find(session)) {
-            gossip.news.push_back(this->updateToSend(reported->member));
+            gossip.updates.push_back(this->updateToSend(reported->member));
         }
     }
     for (const SessionNumber session : this->changedLoads.selectNext(loadsInDatagram, transmissions / transmissionsPerDoubling)) {
@@ -838,7 +838,7 @@
     MemberUpdate memberUpdate = updateOf(member);
     const auto suspectingMember = this->lastSuspectingMember.find(member.session);
     if (member.state == MemberState::Suspect && suspectingMember != this->lastSuspectingMember.end()) {
-        memberUpdate.accuser = suspectingMember->second;
+        memberUpdate.suspectedBy = suspectingMember->second;
     }
     return memberUpdate;
 }
--- a/Services/Gateway/CoordinatorElections.cpp
+++ b/Services/Gateway/CoordinatorElections.cpp
@@ -61,7 +61,7 @@
 bool CoordinatorElections::isClaimedLocally(const std::string &role) const
 {
     const RoleState *const state = this->find(role);
-    return state != nullptr && state->election->claim() && state->election->claim()->holder == this->peers.self();
+    return state != nullptr && state->election->claim() && state->election->claim()->coordinator == this->peers.self();
 }
 
 bool CoordinatorElections::isAnyClaimedLocally() const
@@ -149,14 +149,14 @@
         "duty claimed",
         {{"duty", role},
          {"term", static_cast<std::int64_t>(claim->term)},
-         {"holder", static_cast<std::int64_t>(claim->holder.value())},
+         {"holder", static_cast<std::int64_t>(claim->coordinator.value())},
          {"members", static_cast<std::int64_t>(this->view->members().size())}});
     for (const Member &member : this->view->members()) {
         if (member.session != this->peers.self()) {
             this->peers.datagrams().send(member.gossip, *claim);
         }
     }
-    this->updateCoordinator(state, claim->holder != this->peers.self());
+    this->updateCoordinator(state, claim->coordinator != this->peers.self());
 }
 
 void CoordinatorElections::queryClaim(const CoordinatorElection &election)
@@ -195,7 +195,7 @@
     }
     if (datagram.number == CoordinatorSuspicion::number) {
         const auto suspicion = decode<CoordinatorSuspicion>(datagram.payload);
-        const auto found = suspicion ? this->roles.find(suspicion->duty) : this->roles.end();
+        const auto found = suspicion ? this->roles.find(suspicion->role) : this->roles.end();
         if (found != this->roles.end()) {
             found->second.election->receiveSuspicion(*suspicion);
         }
@@ -206,7 +206,7 @@
 
 void CoordinatorElections::receive(const Address &from, const CoordinatorClaim &claim)
 {
-    const auto found = this->roles.find(claim.duty);
+    const auto found = this->roles.find(claim.role);
     if (found == this->roles.end()) {
         return;
     }
@@ -222,7 +222,7 @@
         this->updateCoordinator(state);
         return;
     case CoordinatorElection::ReceiveOutcome::Outdated:
-        this->sendClaim(from, claim.duty);
+        this->sendClaim(from, claim.role);
         return;
     case CoordinatorElection::ReceiveOutcome::Known:
         return;
--- a/Services/Gateway/CrashExchange.cpp
+++ b/Services/Gateway/CrashExchange.cpp
@@ -205,7 +205,7 @@
         this->crashes.merge({count.fingerprint, count.replicas, count.age});
     }
     for (const BlockedPromptPart &blocked : reported.blocked) {
-        this->blocklist.merge({blocked.promptPart, blocked.age, blocked.times});
+        this->blocklist.merge({blocked.promptPart, blocked.age, blocked.blockCount});
     }
     this->waiting.recheckAll();
 }
--- a/Services/Gateway/JobCleaner.cpp
+++ b/Services/Gateway/JobCleaner.cpp
@@ -97,7 +97,7 @@
     this->store.read(JobRows::headOnly(job), [this, alive = this->alive, job](const RowRangeResult &result) {
         const auto head = *alive ? JobRows::readHead(result.rows, job) : std::nullopt;
         // Not only the word of the open jobs' table counts: a node that has just started may not have read it yet.
-        const bool isClosed = head && (head->first.isEnded || head->first.listed.size() >= head->first.total);
+        const bool isClosed = head && (head->first.isEnded || head->first.finishedItems.size() >= head->first.total);
         if (isClosed) {
             this->submitted[job] = head->first.submitted;
         } else if (!head && *alive && result.outcome == ReadOutcome::Found) {
--- a/Services/Gateway/JobRun.cpp
+++ b/Services/Gateway/JobRun.cpp
@@ -171,8 +171,8 @@
             answer(OpenConfirmation::Reply::Unknown);
             return;
         }
-        const bool isOpen
-            = loaded.outcome == JobReadOutcome::Found && !loaded.head.isEnded && loaded.head.listed.size() < loaded.head.total;
+        const bool isOpen = loaded.outcome == JobReadOutcome::Found && !loaded.head.isEnded
+            && loaded.head.finishedItems.size() < loaded.head.total;
         answer(isOpen ? OpenConfirmation::Reply::Open : OpenConfirmation::Reply::Closed);
     });
 }
@@ -206,7 +206,7 @@
             "running a job",
             {{"job", this->job.value()},
              {"items", static_cast<std::int64_t>(loaded.head.total)},
-             {"listed", static_cast<std::int64_t>(loaded.head.listed.size())}});
+             {"listed", static_cast<std::int64_t>(loaded.head.finishedItems.size())}});
     }
     this->startItems();
     if (this->ledger.hasUnwrittenChanges()) {
@@ -363,7 +363,7 @@
 {
     const JobLedger::Write next = this->ledger.nextWrite();
     std::optional<OpenJob> row;
-    if (next.head.listed.size() < next.head.total) {
+    if (next.head.finishedItems.size() < next.head.total) {
         row = OpenJob{next.head.route, next.head.workspace, this->waitingTokens(next.head), this->hooks.self()};
     }
     this->isBusyWithStore = true;
@@ -412,7 +412,7 @@
     log(LogLevel::Info,
         "results written",
         {{"job", this->job.value()},
-         {"listed", static_cast<std::int64_t>(written.listed.size())},
+         {"listed", static_cast<std::int64_t>(written.finishedItems.size())},
          {"items", static_cast<std::int64_t>(written.total)},
          {"age_ms", this->age().count()}});
     if (this->ledger.isComplete()) {
@@ -429,7 +429,7 @@
 {
     std::uint64_t tokens = 0;
     for (std::uint32_t number = 0; number < this->items.size(); ++number) {
-        const bool isListed = std::ranges::find(head.listed, number) != head.listed.end();
+        const bool isListed = std::ranges::find(head.finishedItems, number) != head.finishedItems.end();
         tokens += isListed ? 0 : this->items[number].tokens;
     }
     return tokens;
--- a/Services/Gateway/JobStore.cpp
+++ b/Services/Gateway/JobStore.cpp
@@ -176,7 +176,7 @@
     head.workspace = submission.workspace;
     head.submitted = *now;
     head.total = static_cast<std::uint32_t>(submission.items.size());
-    head.contentPieces = static_cast<std::uint32_t>(submitting->pieces.size());
+    head.contentChunks = static_cast<std::uint32_t>(submitting->pieces.size());
     const OpenJob open{submission.route, submission.workspace, submitting->tokens, this->self()};
     RowTransaction transaction;
     transaction.expectations.push_back({JobRows::head(submission.id), 0});
@@ -366,8 +366,8 @@
         loaded.outcome = JobReadOutcome::Found;
         loaded.head = head->first;
         loaded.version = head->second;
-        if (head->first.contentPieces > 0) {
-            finish(std::move(loaded), JobRows::readContent(result.rows, head->first.contentPieces));
+        if (head->first.contentChunks > 0) {
+            finish(std::move(loaded), JobRows::readContent(result.rows, head->first.contentChunks));
             return;
         }
         this->store.readObject(JobRows::contentObject(job),
@@ -431,7 +431,7 @@
     RowTransaction transaction;
     transaction.expectations.push_back({JobRows::head(job), version});
     transaction.puts.push_back({JobRows::head(job), encode(head)});
-    std::uint64_t position = head.listed.size() - results.size();
+    std::uint64_t position = head.finishedItems.size() - results.size();
     for (const ItemResult &result : results) {
         const std::vector<RowPut> puts = JobRows::putResult(job, position++, result, this->rowBytes);
         transaction.puts.insert(transaction.puts.end(), puts.begin(), puts.end());
--- a/Services/Gateway/QuotaService.cpp
+++ b/Services/Gateway/QuotaService.cpp
@@ -234,7 +234,7 @@
             handover.count = static_cast<std::uint32_t>(datagrams);
             const std::size_t end = std::min(levels.size(), (index + 1) * restsAtOnce);
             for (std::size_t place = index * restsAtOnce; place < end; ++place) {
-                handover.rests.push_back({levels[place].workspace, levels[place].level});
+                handover.balances.push_back({levels[place].workspace, levels[place].level});
             }
             this->peers.datagrams().send(next->gossip, handover);
         }
@@ -270,7 +270,7 @@
     const bool isCurrent = this->clock.now() - part.handoverReceived < handoverRetained;
     std::vector<QuotaLevel> levels;
     for (const auto &[index, received] : part.handover) {
-        for (const QuotaBalance &rest : received.rests) {
+        for (const QuotaBalance &rest : received.balances) {
             levels.push_back({rest.workspace, rest.level});
         }
     }
--- a/Services/Gateway/ReplicaFollower.cpp
+++ b/Services/Gateway/ReplicaFollower.cpp
@@ -455,7 +455,7 @@
 void ReplicaFollower::applyAllRecords(const ReplicaRecords &records)
 {
     // A request sent before this node became a relay is answered with a set.
-    if (!records.isWhole || (this->isComplete() && records.age >= this->age())) {
+    if (!records.isComplete || (this->isComplete() && records.age >= this->age())) {
         return;
     }
     this->lastReported = this->clock.now() - records.age;
@@ -479,7 +479,7 @@
 
 void ReplicaFollower::replaceList(const ReplicaRecords &records)
 {
-    if (records.isSame || (this->isListKnown && records.fingerprint == this->list.fingerprint())) {
+    if (records.isUnchanged || (this->isListKnown && records.fingerprint == this->list.fingerprint())) {
         return;
     }
     std::vector<ServingReplica> replicas;
@@ -494,7 +494,7 @@
 ReplicaRecords ReplicaFollower::records(const ReplicaRecordsRequest &request) const
 {
     ReplicaRecords records;
-    if (request.mostOfService > 0) {
+    if (request.maxPerService > 0) {
         records = this->selectedRecords(request);
     } else if (this->isComplete()) {
         records = this->allRecords(request);
@@ -507,11 +507,11 @@
 {
     ReplicaRecords records;
     records.isKnown = true;
-    records.isWhole = true;
+    records.isComplete = true;
     records.version = this->list.hasLapsed() ? 0 : this->follower->version();
     records.fingerprint = this->list.fingerprint();
-    records.isSame = request.fingerprint == records.fingerprint;
-    if (!records.isSame) {
+    records.isUnchanged = request.fingerprint == records.fingerprint;
+    if (!records.isUnchanged) {
         for (const auto &[instance, replica] : this->list.replicas()) {
             records.replicas.push_back(recordOf(replica));
         }
@@ -527,7 +527,7 @@
     ReplicaRing::Selection choice;
     if (this->isComplete()) {
         choice = this->ring.select(
-            stableHash(request.failureDomain.value(), request.from.value()), request.failureDomain, request.mostOfService);
+            stableHash(request.failureDomain.value(), request.from.value()), request.failureDomain, request.maxPerService);
     } else {
         // The set that this node received itself: few replicas, but better than none.
         for (const auto &[instance, replica] : this->list.replicas()) {
@@ -536,8 +536,8 @@
         choice.fingerprint = this->list.fingerprint();
     }
     records.fingerprint = choice.fingerprint;
-    records.isSame = request.fingerprint == records.fingerprint;
-    if (!records.isSame) {
+    records.isUnchanged = request.fingerprint == records.fingerprint;
+    if (!records.isUnchanged) {
         std::ranges::transform(choice.replicas, std::back_inserter(records.replicas), &recordOf);
     }
     return records;
--- a/Tests/LibGateway/TestJobLedger.cpp
+++ b/Tests/LibGateway/TestJobLedger.cpp
@@ -16,7 +16,7 @@
 {
     JobHead head;
     head.total = total;
-    head.listed = std::move(listed);
+    head.finishedItems = std::move(listed);
     head.failures = std::move(failures);
     return head;
 }
@@ -51,7 +51,7 @@
     ledger.add(1, resultOf("again"));
     ledger.add(2, resultOf("listed"));
     const JobLedger::Write write = ledger.nextWrite();
-    CHECK(write.head.listed == std::vector<std::uint32_t>{2, 1, 0});
+    CHECK(write.head.finishedItems == std::vector<std::uint32_t>{2, 1, 0});
     REQUIRE(write.results.size() == 2);
     CHECK(write.results[0].output == "b");
     ledger.confirm(write.head, 2);
--- a/Tests/LibMembership/TestCoordinatorElection.cpp
+++ b/Tests/LibMembership/TestCoordinatorElection.cpp
@@ -267,7 +267,7 @@
     second.setView(SessionNumber(2), viewWithLeaving(2), viewWithLeaving(2));
     const std::optional<CoordinatorClaim> successorClaim = first.makeClaim();
     REQUIRE(successorClaim);
-    CHECK(successorClaim->holder == SessionNumber(2));
+    CHECK(successorClaim->coordinator == SessionNumber(2));
     second.receive(*successorClaim);
     CHECK_FALSE(second.makeClaim());
     clock.advance(2s);
--- a/Tests/ServiceGateway/TestJobRunners.cpp
+++ b/Tests/ServiceGateway/TestJobRunners.cpp
@@ -52,7 +52,7 @@
     head.route = "batch";
     head.host = "h";
     head.total = 1;
-    head.contentPieces = 1;
+    head.contentChunks = 1;
     bench.store.rows().put(JobRows::head(lateJob), encode(head));
     bench.store.rows().put(JobRows::contentChunk(lateJob, 0), encode(content));
 }
--- a/Tests/ServiceGateway/TestJobStore.cpp
+++ b/Tests/ServiceGateway/TestJobStore.cpp
@@ -76,7 +76,7 @@
     WriteOutcome add(JobStore &node, const LoadedJob &loaded, std::uint32_t item, const std::string &output)
     {
         JobHead head = loaded.head;
-        head.listed.push_back(item);
+        head.finishedItems.push_back(item);
         WriteOutcome reported = WriteOutcome::Unknown;
         const ItemResult result{loaded.items[item].id, ItemOutcome::Completed, output};
         node.update(JobId("j"), loaded.version, head, {result}, OpenJob{}, [&reported](WriteOutcome outcome, RowVersion) {
