--- a/Libraries/LibSettings/Generated/SettingsTables.cpp
+++ b/Libraries/LibSettings/Generated/SettingsTables.cpp
@@ -39,14 +39,14 @@
     reader.readEnum<PlatformKind>(
         table, "kind", target.kind, Presence::Optional, {{"http", PlatformKind::Http}, {"embedded", PlatformKind::Embedded}});
     reader.readAddress(table, "address", target.address, Presence::Optional);
-    reader.readInteger(table, "writes_per_second", target.writesPerSecond, Presence::Optional, {.least = 1, .most = 100000});
-    reader.readInteger(table, "reads_per_second", target.readsPerSecond, Presence::Optional, {.least = 1, .most = 1000000});
+    reader.readInteger(table, "writes_per_second", target.writesPerSecond, Presence::Optional, {.min = 1, .max = 100000});
+    reader.readInteger(table, "reads_per_second", target.readsPerSecond, Presence::Optional, {.min = 1, .max = 1000000});
     reader.readDuration(table,
                         "timeout",
                         target.timeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(10), .most = std::chrono::milliseconds(60000)});
-    reader.readInteger(table, "row_bytes", target.rowBytes, Presence::Optional, {.least = 1024, .most = 1048576});
+                        {.min = std::chrono::milliseconds(10), .max = std::chrono::milliseconds(60000)});
+    reader.readInteger(table, "row_bytes", target.rowBytes, Presence::Optional, {.min = 1024, .max = 1048576});
 }
 
 void readPeerSettings(SettingsReader &reader, const toml::table &table, PeerSettings &target)
@@ -58,8 +58,8 @@
                         "call_timeout",
                         target.callTimeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(50), .most = std::chrono::milliseconds(120000)});
-    reader.readInteger(table, "frame_bytes", target.frameBytes, Presence::Optional, {.least = 65536, .most = 268435456});
+                        {.min = std::chrono::milliseconds(50), .max = std::chrono::milliseconds(120000)});
+    reader.readInteger(table, "frame_bytes", target.frameBytes, Presence::Optional, {.min = 65536, .max = 268435456});
 }
 
 void readMembershipSettings(SettingsReader &reader, const toml::table &table, MembershipSettings &target)
@@ -69,17 +69,17 @@
                         "probe_interval",
                         target.probeInterval,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(20), .most = std::chrono::milliseconds(10000)});
+                        {.min = std::chrono::milliseconds(20), .max = std::chrono::milliseconds(10000)});
     reader.readDuration(table,
                         "probe_timeout",
                         target.probeTimeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(5), .most = std::chrono::milliseconds(10000)});
+                        {.min = std::chrono::milliseconds(5), .max = std::chrono::milliseconds(10000)});
     reader.readDuration(table,
                         "suspicion",
                         target.suspicion,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(50), .most = std::chrono::milliseconds(60000)});
+                        {.min = std::chrono::milliseconds(50), .max = std::chrono::milliseconds(60000)});
 }
 
 void readOwnerSettings(SettingsReader &reader, const toml::table &table, OwnerSettings &target)
@@ -94,31 +94,31 @@
                               "checkpoint_bytes",
                               "checkpoint_groups",
                               "held_results"});
-    reader.readInteger(table, "shards", target.shards, Presence::Optional, {.least = 1, .most = 65536});
+    reader.readInteger(table, "shards", target.shards, Presence::Optional, {.min = 1, .max = 65536});
     reader.readDuration(table,
                         "group_interval",
                         target.groupInterval,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1), .most = std::chrono::milliseconds(5000)});
+                        {.min = std::chrono::milliseconds(1), .max = std::chrono::milliseconds(5000)});
     reader.readDuration(table,
                         "group_gather",
                         target.groupGather,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(0), .most = std::chrono::milliseconds(5000)});
+                        {.min = std::chrono::milliseconds(0), .max = std::chrono::milliseconds(5000)});
     reader.readDuration(table,
                         "claim_lease",
                         target.claimLease,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1000), .most = std::chrono::milliseconds(3600000)});
+                        {.min = std::chrono::milliseconds(1000), .max = std::chrono::milliseconds(3600000)});
     reader.readDuration(table,
                         "result_retention",
                         target.resultRetention,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(60000), .most = std::chrono::milliseconds(315360000000)});
-    reader.readInteger(table, "recent_bytes", target.recentBytes, Presence::Optional, {.least = 65536, .most = 1073741824});
-    reader.readInteger(table, "checkpoint_bytes", target.checkpointBytes, Presence::Optional, {.least = 4096, .most = 268435456});
-    reader.readInteger(table, "checkpoint_groups", target.checkpointGroups, Presence::Optional, {.least = 10, .most = 1000000});
-    reader.readInteger(table, "held_results", target.heldResults, Presence::Optional, {.least = 0, .most = 10000000});
+                        {.min = std::chrono::milliseconds(60000), .max = std::chrono::milliseconds(315360000000)});
+    reader.readInteger(table, "recent_bytes", target.recentBytes, Presence::Optional, {.min = 65536, .max = 1073741824});
+    reader.readInteger(table, "checkpoint_bytes", target.checkpointBytes, Presence::Optional, {.min = 4096, .max = 268435456});
+    reader.readInteger(table, "checkpoint_groups", target.checkpointGroups, Presence::Optional, {.min = 10, .max = 1000000});
+    reader.readInteger(table, "held_results", target.heldResults, Presence::Optional, {.min = 0, .max = 10000000});
 }
 
 void readEntrySettings(SettingsReader &reader, const toml::table &table, EntrySettings &target)
@@ -140,74 +140,74 @@
                               "queue_length",
                               "overcommit",
                               "attempts"});
-    reader.readInteger(table, "body_bytes", target.bodyBytes, Presence::Optional, {.least = 1024, .most = 1073741824});
-    reader.readInteger(table, "job_bytes", target.jobBytes, Presence::Optional, {.least = 1024, .most = 17179869184});
-    reader.readInteger(table, "header_bytes", target.headerBytes, Presence::Optional, {.least = 1024, .most = 1048576});
+    reader.readInteger(table, "body_bytes", target.bodyBytes, Presence::Optional, {.min = 1024, .max = 1073741824});
+    reader.readInteger(table, "job_bytes", target.jobBytes, Presence::Optional, {.min = 1024, .max = 17179869184});
+    reader.readInteger(table, "header_bytes", target.headerBytes, Presence::Optional, {.min = 1024, .max = 1048576});
     reader.readDuration(table,
                         "header_timeout",
                         target.headerTimeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(100), .most = std::chrono::milliseconds(600000)});
+                        {.min = std::chrono::milliseconds(100), .max = std::chrono::milliseconds(600000)});
     reader.readDuration(table,
                         "idle_timeout",
                         target.idleTimeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1000), .most = std::chrono::milliseconds(3600000)});
-    reader.readInteger(table, "unread_bytes", target.unreadBytes, Presence::Optional, {.least = 65536, .most = 1073741824});
+                        {.min = std::chrono::milliseconds(1000), .max = std::chrono::milliseconds(3600000)});
+    reader.readInteger(table, "unread_bytes", target.unreadBytes, Presence::Optional, {.min = 65536, .max = 1073741824});
     reader.readDuration(table,
                         "entry_ttl",
                         target.entryTtl,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1000), .most = std::chrono::milliseconds(3600000)});
-    reader.readInteger(table, "entry_count", target.entryCount, Presence::Optional, {.least = 1, .most = 64});
+                        {.min = std::chrono::milliseconds(1000), .max = std::chrono::milliseconds(3600000)});
+    reader.readInteger(table, "entry_count", target.entryCount, Presence::Optional, {.min = 1, .max = 64});
     reader.readDuration(table,
                         "drain",
                         target.drain,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(0), .most = std::chrono::milliseconds(3600000)});
+                        {.min = std::chrono::milliseconds(0), .max = std::chrono::milliseconds(3600000)});
     reader.readDuration(table,
                         "connect_timeout",
                         target.connectTimeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(10), .most = std::chrono::milliseconds(60000)});
+                        {.min = std::chrono::milliseconds(10), .max = std::chrono::milliseconds(60000)});
     reader.readDuration(table,
                         "first_byte_timeout",
                         target.firstByteTimeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(20), .most = std::chrono::milliseconds(600000)});
+                        {.min = std::chrono::milliseconds(20), .max = std::chrono::milliseconds(600000)});
     reader.readDuration(table,
                         "progress_timeout",
                         target.progressTimeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(20), .most = std::chrono::milliseconds(600000)});
+                        {.min = std::chrono::milliseconds(20), .max = std::chrono::milliseconds(600000)});
     reader.readDuration(table,
                         "request_timeout",
                         target.requestTimeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(100), .most = std::chrono::milliseconds(3600000)});
-    reader.readInteger(table, "queue_length", target.queueLength, Presence::Optional, {.least = 0, .most = 1000000});
-    reader.readNumber(table, "overcommit", target.overcommit, Presence::Optional, {.least = 1.0, .most = 100.0});
-    reader.readInteger(table, "attempts", target.attempts, Presence::Optional, {.least = 1, .most = 10});
+                        {.min = std::chrono::milliseconds(100), .max = std::chrono::milliseconds(3600000)});
+    reader.readInteger(table, "queue_length", target.queueLength, Presence::Optional, {.min = 0, .max = 1000000});
+    reader.readNumber(table, "overcommit", target.overcommit, Presence::Optional, {.min = 1.0, .max = 100.0});
+    reader.readInteger(table, "attempts", target.attempts, Presence::Optional, {.min = 1, .max = 10});
 }
 
 void readRetrySettings(SettingsReader &reader, const toml::table &table, RetrySettings &target)
 {
     reader.rejectUnknownKeys(table, {"per_success", "per_second", "burst"});
-    reader.readNumber(table, "per_success", target.perSuccess, Presence::Optional, {.least = 0.0, .most = 1.0});
-    reader.readNumber(table, "per_second", target.perSecond, Presence::Optional, {.least = 0.0, .most = 1000000.0});
-    reader.readNumber(table, "burst", target.burst, Presence::Optional, {.least = 1.0, .most = 1000000.0});
+    reader.readNumber(table, "per_success", target.perSuccess, Presence::Optional, {.min = 0.0, .max = 1.0});
+    reader.readNumber(table, "per_second", target.perSecond, Presence::Optional, {.min = 0.0, .max = 1000000.0});
+    reader.readNumber(table, "burst", target.burst, Presence::Optional, {.min = 1.0, .max = 1000000.0});
 }
 
 void readQuarantineSettings(SettingsReader &reader, const toml::table &table, QuarantineSettings &target)
 {
     reader.rejectUnknownKeys(table, {"losses", "duration", "remembered"});
-    reader.readInteger(table, "losses", target.losses, Presence::Optional, {.least = 1, .most = 100});
+    reader.readInteger(table, "losses", target.losses, Presence::Optional, {.min = 1, .max = 100});
     reader.readDuration(table,
                         "duration",
                         target.duration,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1000), .most = std::chrono::milliseconds(2592000000)});
-    reader.readInteger(table, "remembered", target.remembered, Presence::Optional, {.least = 1, .most = 10000000});
+                        {.min = std::chrono::milliseconds(1000), .max = std::chrono::milliseconds(2592000000)});
+    reader.readInteger(table, "remembered", target.remembered, Presence::Optional, {.min = 1, .max = 10000000});
 }
 
 void readBatchSettings(SettingsReader &reader, const toml::table &table, BatchSettings &target)
@@ -226,40 +226,40 @@
                               "slowdown",
                               "reaction",
                               "prefetch"});
-    reader.readInteger(table, "items", target.items, Presence::Optional, {.least = 1, .most = 10000000});
-    reader.readInteger(table, "item_bytes", target.itemBytes, Presence::Optional, {.least = 64, .most = 67108864});
-    reader.readInteger(table, "items_per_object", target.itemsPerObject, Presence::Optional, {.least = 1, .most = 100000});
+    reader.readInteger(table, "items", target.items, Presence::Optional, {.min = 1, .max = 10000000});
+    reader.readInteger(table, "item_bytes", target.itemBytes, Presence::Optional, {.min = 64, .max = 67108864});
+    reader.readInteger(table, "items_per_object", target.itemsPerObject, Presence::Optional, {.min = 1, .max = 100000});
     reader.readDuration(table,
                         "item_lease",
                         target.itemLease,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1000), .most = std::chrono::milliseconds(3600000)});
-    reader.readInteger(table, "item_attempts", target.itemAttempts, Presence::Optional, {.least = 1, .most = 100});
+                        {.min = std::chrono::milliseconds(1000), .max = std::chrono::milliseconds(3600000)});
+    reader.readInteger(table, "item_attempts", target.itemAttempts, Presence::Optional, {.min = 1, .max = 100});
     reader.readDuration(table,
                         "due",
                         target.due,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(60000), .most = std::chrono::milliseconds(2592000000)});
+                        {.min = std::chrono::milliseconds(60000), .max = std::chrono::milliseconds(2592000000)});
     reader.readDuration(table,
                         "pull_interval",
                         target.pullInterval,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1), .most = std::chrono::milliseconds(10000)});
-    reader.readInteger(table, "headroom", target.headroom, Presence::Optional, {.least = 0, .most = 10000});
+                        {.min = std::chrono::milliseconds(1), .max = std::chrono::milliseconds(10000)});
+    reader.readInteger(table, "headroom", target.headroom, Presence::Optional, {.min = 0, .max = 10000});
     reader.readEnum<BatchPolicy>(
         table,
         "policy",
         target.policy,
         Presence::Optional,
         {{"yield", BatchPolicy::Yield}, {"fixed_limit", BatchPolicy::FixedLimit}, {"unlimited", BatchPolicy::Unlimited}});
-    reader.readInteger(table, "fixed_limit", target.fixedLimit, Presence::Optional, {.least = 0, .most = 100000});
-    reader.readNumber(table, "slowdown", target.slowdown, Presence::Optional, {.least = 0.0, .most = 10.0});
+    reader.readInteger(table, "fixed_limit", target.fixedLimit, Presence::Optional, {.min = 0, .max = 100000});
+    reader.readNumber(table, "slowdown", target.slowdown, Presence::Optional, {.min = 0.0, .max = 10.0});
     reader.readDuration(table,
                         "reaction",
                         target.reaction,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1), .most = std::chrono::milliseconds(10000)});
-    reader.readInteger(table, "prefetch", target.prefetch, Presence::Optional, {.least = 1, .most = 10000});
+                        {.min = std::chrono::milliseconds(1), .max = std::chrono::milliseconds(10000)});
+    reader.readInteger(table, "prefetch", target.prefetch, Presence::Optional, {.min = 1, .max = 10000});
 }
 
 void readFleetSettings(SettingsReader &reader, const toml::table &table, FleetSettings &target)
@@ -282,48 +282,48 @@
                         "load_poll",
                         target.loadPoll,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(20), .most = std::chrono::milliseconds(60000)});
+                        {.min = std::chrono::milliseconds(20), .max = std::chrono::milliseconds(60000)});
     reader.readInteger(
-        table, "load_bytes_per_second", target.loadBytesPerSecond, Presence::Optional, {.least = 64, .most = 10000000});
+        table, "load_bytes_per_second", target.loadBytesPerSecond, Presence::Optional, {.min = 64, .max = 10000000});
     reader.readDuration(table,
                         "load_lag",
                         target.loadLag,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(0), .most = std::chrono::milliseconds(60000)});
+                        {.min = std::chrono::milliseconds(0), .max = std::chrono::milliseconds(60000)});
     reader.readDuration(table,
                         "load_half_life",
                         target.loadHalfLife,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(10), .most = std::chrono::milliseconds(600000)});
+                        {.min = std::chrono::milliseconds(10), .max = std::chrono::milliseconds(600000)});
     reader.readDuration(table,
                         "latency_half_life",
                         target.latencyHalfLife,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(10), .most = std::chrono::milliseconds(3600000)});
+                        {.min = std::chrono::milliseconds(10), .max = std::chrono::milliseconds(3600000)});
     reader.readDuration(table,
                         "failure_half_life",
                         target.failureHalfLife,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(10), .most = std::chrono::milliseconds(3600000)});
-    reader.readInteger(table, "prefix_bytes", target.prefixBytes, Presence::Optional, {.least = 1, .most = 1048576});
-    reader.readNumber(table, "prefix_load_bound", target.prefixLoadBound, Presence::Optional, {.least = 1.0, .most = 100.0});
-    reader.readInteger(table, "eject_failures", target.ejectFailures, Presence::Optional, {.least = 1, .most = 1000});
-    reader.readNumber(table, "eject_share", target.ejectShare, Presence::Optional, {.least = 0.0, .most = 1.0});
+                        {.min = std::chrono::milliseconds(10), .max = std::chrono::milliseconds(3600000)});
+    reader.readInteger(table, "prefix_bytes", target.prefixBytes, Presence::Optional, {.min = 1, .max = 1048576});
+    reader.readNumber(table, "prefix_load_bound", target.prefixLoadBound, Presence::Optional, {.min = 1.0, .max = 100.0});
+    reader.readInteger(table, "eject_failures", target.ejectFailures, Presence::Optional, {.min = 1, .max = 1000});
+    reader.readNumber(table, "eject_share", target.ejectShare, Presence::Optional, {.min = 0.0, .max = 1.0});
     reader.readDuration(table,
                         "eject_time",
                         target.ejectTime,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(10), .most = std::chrono::milliseconds(3600000)});
+                        {.min = std::chrono::milliseconds(10), .max = std::chrono::milliseconds(3600000)});
     reader.readDuration(table,
                         "eject_time_most",
                         target.ejectTimeMost,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(10), .most = std::chrono::milliseconds(86400000)});
+                        {.min = std::chrono::milliseconds(10), .max = std::chrono::milliseconds(86400000)});
     reader.readDuration(table,
                         "slow_start",
                         target.slowStart,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(0), .most = std::chrono::milliseconds(3600000)});
+                        {.min = std::chrono::milliseconds(0), .max = std::chrono::milliseconds(3600000)});
 }
 
 void readEndpointSettings(SettingsReader &reader, const toml::table &table, EndpointSettings &target)
@@ -336,7 +336,7 @@
     reader.readString(table, "failure_domain", target.failureDomain, Presence::Required);
     reader.readString(table, "model", target.model, Presence::Optional);
     reader.readString(table, "service", target.service, Presence::Optional);
-    reader.readInteger(table, "capacity", target.capacity, Presence::Optional, {.least = 1, .most = 100000});
+    reader.readInteger(table, "capacity", target.capacity, Presence::Optional, {.min = 1, .max = 100000});
     reader.readString(table, "generation", target.generation, Presence::Optional);
     reader.readString(table, "vm", target.vm, Presence::Optional);
     reader.readBool(table, "checks_fencing", target.checksFencing, Presence::Optional);
@@ -352,12 +352,12 @@
                         "timeout",
                         target.timeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(10), .most = std::chrono::milliseconds(600000)});
+                        {.min = std::chrono::milliseconds(10), .max = std::chrono::milliseconds(600000)});
     reader.readDuration(table,
                         "first_byte_timeout",
                         target.firstByteTimeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(10), .most = std::chrono::milliseconds(600000)});
+                        {.min = std::chrono::milliseconds(10), .max = std::chrono::milliseconds(600000)});
 }
 
 void readTenantSettings(SettingsReader &reader, const toml::table &table, TenantSettings &target)
@@ -367,10 +367,10 @@
     reader.readString(table, "name", target.name, Presence::Required);
     reader.readStrings(table, "key_hashes", target.keyHashes, Presence::Optional);
     reader.readBool(table, "is_operator", target.isOperator, Presence::Optional);
-    reader.readInteger(table, "concurrency", target.concurrency, Presence::Optional, {.least = 1, .most = 1000000});
-    reader.readNumber(table, "rate", target.rate, Presence::Optional, {.least = 0.1, .most = 1000000.0});
-    reader.readInteger(table, "lookup_concurrency", target.lookupConcurrency, Presence::Optional, {.least = 1, .most = 1000000});
-    reader.readNumber(table, "lookup_rate", target.lookupRate, Presence::Optional, {.least = 0.1, .most = 1000000.0});
+    reader.readInteger(table, "concurrency", target.concurrency, Presence::Optional, {.min = 1, .max = 1000000});
+    reader.readNumber(table, "rate", target.rate, Presence::Optional, {.min = 0.1, .max = 1000000.0});
+    reader.readInteger(table, "lookup_concurrency", target.lookupConcurrency, Presence::Optional, {.min = 1, .max = 1000000});
+    reader.readNumber(table, "lookup_rate", target.lookupRate, Presence::Optional, {.min = 0.1, .max = 1000000.0});
 }
 
 void readModelSettings(SettingsReader &reader, const toml::table &table, ModelSettings &target)
@@ -380,9 +380,9 @@
     reader.readString(table, "name", target.name, Presence::Required);
     reader.readString(table, "version", target.version, Presence::Required);
     reader.readString(table, "next_version", target.nextVersion, Presence::Optional);
-    reader.readNumber(table, "next_share", target.nextShare, Presence::Optional, {.least = 0.0, .most = 1.0});
+    reader.readNumber(table, "next_share", target.nextShare, Presence::Optional, {.min = 0.0, .max = 1.0});
     reader.readStrings(table, "adapters", target.adapters, Presence::Optional);
-    reader.readInteger(table, "weight_bytes", target.weightBytes, Presence::Optional, {.least = 0, .most = 100000000000000});
+    reader.readInteger(table, "weight_bytes", target.weightBytes, Presence::Optional, {.min = 0, .max = 100000000000000});
     reader.readBool(table, "may_interrupt", target.mayInterrupt, Presence::Optional);
 }
 
@@ -401,27 +401,27 @@
                         "interval",
                         target.interval,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(50), .most = std::chrono::milliseconds(600000)});
+                        {.min = std::chrono::milliseconds(50), .max = std::chrono::milliseconds(600000)});
     reader.readDuration(table,
                         "lease",
                         target.lease,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(500), .most = std::chrono::milliseconds(600000)});
+                        {.min = std::chrono::milliseconds(500), .max = std::chrono::milliseconds(600000)});
     reader.readDuration(table,
                         "lease_margin",
                         target.leaseMargin,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(100), .most = std::chrono::milliseconds(60000)});
-    reader.readInteger(table, "loads_per_domain", target.loadsPerDomain, Presence::Optional, {.least = 1, .most = 1000});
+                        {.min = std::chrono::milliseconds(100), .max = std::chrono::milliseconds(60000)});
+    reader.readInteger(table, "loads_per_domain", target.loadsPerDomain, Presence::Optional, {.min = 1, .max = 1000});
     reader.readInteger(
-        table, "weight_bytes_per_second", target.weightBytesPerSecond, Presence::Optional, {.least = 1, .most = 1000000000000});
+        table, "weight_bytes_per_second", target.weightBytesPerSecond, Presence::Optional, {.min = 1, .max = 1000000000000});
     reader.readDuration(table,
                         "load_timeout",
                         target.loadTimeout,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1000), .most = std::chrono::milliseconds(86400000)});
-    reader.readNumber(table, "error_limit", target.errorLimit, Presence::Optional, {.least = 0.0, .most = 1.0});
-    reader.readInteger(table, "error_requests", target.errorRequests, Presence::Optional, {.least = 1, .most = 1000000});
+                        {.min = std::chrono::milliseconds(1000), .max = std::chrono::milliseconds(86400000)});
+    reader.readNumber(table, "error_limit", target.errorLimit, Presence::Optional, {.min = 0.0, .max = 1.0});
+    reader.readInteger(table, "error_requests", target.errorRequests, Presence::Optional, {.min = 1, .max = 1000000});
 }
 
 void readGatewaySettings(SettingsReader &reader, const toml::table &table, GatewaySettings &target)
@@ -449,46 +449,46 @@
                         "grace",
                         target.grace,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1000), .most = std::chrono::milliseconds(600000)});
+                        {.min = std::chrono::milliseconds(1000), .max = std::chrono::milliseconds(600000)});
     reader.readDuration(table,
                         "address_ttl",
                         target.addressTtl,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(100), .most = std::chrono::milliseconds(60000)});
+                        {.min = std::chrono::milliseconds(100), .max = std::chrono::milliseconds(60000)});
     reader.readDuration(table,
                         "apply_bound",
                         target.applyBound,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(100), .most = std::chrono::milliseconds(60000)});
+                        {.min = std::chrono::milliseconds(100), .max = std::chrono::milliseconds(60000)});
     reader.readDuration(table,
                         "store_wait",
                         target.storeWait,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(100), .most = std::chrono::milliseconds(30000)});
+                        {.min = std::chrono::milliseconds(100), .max = std::chrono::milliseconds(30000)});
     reader.readDuration(table,
                         "lapsed_kept",
                         target.lapsedKept,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(0), .most = std::chrono::milliseconds(60000)});
+                        {.min = std::chrono::milliseconds(0), .max = std::chrono::milliseconds(60000)});
     reader.readDuration(table,
                         "jobs_kept",
                         target.jobsKept,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(1000), .most = std::chrono::milliseconds(31536000000)});
+                        {.min = std::chrono::milliseconds(1000), .max = std::chrono::milliseconds(31536000000)});
     reader.readDuration(table,
                         "job_end_bound",
                         target.jobEndBound,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(100), .most = std::chrono::milliseconds(60000)});
-    reader.readNumber(table, "processor_share", target.processorShare, Presence::Optional, {.least = 0.01, .most = 1000.0});
-    reader.readInteger(table, "memory_mb", target.memoryMb, Presence::Optional, {.least = 16, .most = 1048576});
+                        {.min = std::chrono::milliseconds(100), .max = std::chrono::milliseconds(60000)});
+    reader.readNumber(table, "processor_share", target.processorShare, Presence::Optional, {.min = 0.01, .max = 1000.0});
+    reader.readInteger(table, "memory_mb", target.memoryMb, Presence::Optional, {.min = 16, .max = 1048576});
     reader.readDuration(table,
                         "quota_window",
                         target.quotaWindow,
                         Presence::Optional,
-                        {.least = std::chrono::milliseconds(100), .most = std::chrono::milliseconds(3600000)});
-    reader.readNumber(table, "quota_overrun", target.quotaOverrun, Presence::Optional, {.least = 0.0, .most = 10.0});
-    reader.readNumber(table, "quota_slack", target.quotaSlack, Presence::Optional, {.least = 0.0, .most = 1000000.0});
+                        {.min = std::chrono::milliseconds(100), .max = std::chrono::milliseconds(3600000)});
+    reader.readNumber(table, "quota_overrun", target.quotaOverrun, Presence::Optional, {.min = 0.0, .max = 10.0});
+    reader.readNumber(table, "quota_slack", target.quotaSlack, Presence::Optional, {.min = 0.0, .max = 1000000.0});
 }
 
 } // namespace
--- a/Libraries/LibSettings/SettingsReader.cpp
+++ b/Libraries/LibSettings/SettingsReader.cpp
@@ -80,10 +80,10 @@
         return;
     }
     const auto value = node->value_exact<std::int64_t>();
-    if (!value || *value < bounds.least || *value > bounds.most) {
+    if (!value || *value < bounds.min || *value > bounds.max) {
         this->add(*node,
-                  std::string(key) + " must be a whole number from " + std::to_string(bounds.least) + " to "
-                      + std::to_string(bounds.most));
+                  std::string(key) + " must be a whole number from " + std::to_string(bounds.min) + " to "
+                      + std::to_string(bounds.max));
         return;
     }
     target = *value;
@@ -97,10 +97,10 @@
         return;
     }
     const auto value = node->value<double>();
-    if (!value || *value < bounds.least || *value > bounds.most) {
+    if (!value || *value < bounds.min || *value > bounds.max) {
         this->add(*node,
-                  std::string(key) + " must be a number from " + std::to_string(bounds.least) + " to "
-                      + std::to_string(bounds.most));
+                  std::string(key) + " must be a number from " + std::to_string(bounds.min) + " to "
+                      + std::to_string(bounds.max));
         return;
     }
     target = *value;
@@ -118,10 +118,10 @@
     }
     const auto text = node->value_exact<std::string>();
     const auto duration = text ? parseDuration(*text) : std::nullopt;
-    if (!duration || *duration < bounds.least || *duration > bounds.most) {
+    if (!duration || *duration < bounds.min || *duration > bounds.max) {
         this->add(*node,
-                  std::string(key) + " must be a duration such as \"250ms\", from " + std::to_string(bounds.least.count())
-                      + "ms to " + std::to_string(bounds.most.count()) + "ms");
+                  std::string(key) + " must be a duration such as \"250ms\", from " + std::to_string(bounds.min.count())
+                      + "ms to " + std::to_string(bounds.max.count()) + "ms");
         return;
     }
     target = *duration;
--- a/Libraries/LibSettings/SettingsReader.h
+++ b/Libraries/LibSettings/SettingsReader.h
@@ -29,8 +29,8 @@
 template <typename Value>
 struct Bounds
 {
-    Value least = std::numeric_limits<Value>::lowest();
-    Value most = std::numeric_limits<Value>::max();
+    Value min = std::numeric_limits<Value>::lowest();
+    Value max = std::numeric_limits<Value>::max();
 };
 
 /**
--- a/Libraries/LibWire/Generated/Messages.h
+++ b/Libraries/LibWire/Generated/Messages.h
@@ -1118,7 +1118,7 @@
     /** As in Member. */
     bool isReady = false;
     /** With Suspect: the member that got no answer. */
-    SessionNumber accuser;
+    SessionNumber suspectedBy;
     /** As in Member. */
     bool hasLostStore = false;
     /** As in Member. */
@@ -1134,7 +1134,7 @@
                 this->state,
                 this->isLeaving,
                 this->isReady,
-                Compact::field(this->accuser),
+                Compact::field(this->suspectedBy),
                 this->hasLostStore,
                 this->isRelay);
         if constexpr (Archive::is_loading::value) {
@@ -1183,7 +1183,7 @@
     /** Of the sender. */
     MemberLoad load;
     /** Recent changes. */
-    std::vector<MemberUpdate> news;
+    std::vector<MemberUpdate> updates;
     /** Members that were heard of recently. */
     std::vector<Member> members;
     /** Recent changes of load. */
@@ -1198,7 +1198,7 @@
     {
         archive(Compact::field(this->digest),
                 this->load,
-                Compact::field(this->news),
+                Compact::field(this->updates),
                 Compact::field(this->members),
                 Compact::field(this->loads),
                 Compact::field(this->leavingVms));
@@ -1468,14 +1468,14 @@
     /** How long ago the last crash was that it explains. */
     std::chrono::milliseconds age = std::chrono::milliseconds(0);
     /** How often it was blocked. */
-    std::uint32_t times = 0;
+    std::uint32_t blockCount = 0;
 
     bool operator==(const BlockedPromptPart &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->promptPart, this->age, this->times);
+        archive(this->promptPart, this->age, this->blockCount);
     }
 };
 
@@ -2537,18 +2537,18 @@
 {
     static constexpr MessageNumber number{144};
     /** Names it; of a dispatcher: its service. */
-    std::string duty;
+    std::string role;
     /** Grows with each change of the holder. */
     std::uint64_t term = 0;
     /** Who has it. */
-    SessionNumber holder;
+    SessionNumber coordinator;
 
     bool operator==(const CoordinatorClaim &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->duty, this->term, this->holder);
+        archive(this->role, this->term, this->coordinator);
     }
 };
 
@@ -2558,9 +2558,9 @@
 {
     static constexpr MessageNumber number{145};
     /** As in CoordinatorClaim. */
-    std::string duty;
+    std::string role;
     /** Who does not answer. */
-    SessionNumber holder;
+    SessionNumber coordinator;
     /** Who did not get an answer. */
     SessionNumber from;
 
@@ -2569,7 +2569,7 @@
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->duty, this->holder, this->from);
+        archive(this->role, this->coordinator, this->from);
     }
 };
 
@@ -2643,14 +2643,14 @@
     /** Datagrams of the handover. */
     std::uint32_t count = 0;
     /** The quotas that are not whole. */
-    std::vector<QuotaBalance> rests;
+    std::vector<QuotaBalance> balances;
 
     bool operator==(const QuotaHandover &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->from, this->part, this->index, this->count, this->rests);
+        archive(this->from, this->part, this->index, this->count, this->balances);
     }
 };
 
@@ -2929,9 +2929,9 @@
     /** How many items it has. */
     std::uint32_t total = 0;
     /** Rows that hold its content; 0: an object of the job's name does. */
-    std::uint32_t contentPieces = 0;
+    std::uint32_t contentChunks = 0;
     /** The items that have a result, by their number in the submission, in the order of the results. */
-    std::vector<std::uint32_t> listed;
+    std::vector<std::uint32_t> finishedItems;
     /** The items whose run failed at a replica, once for each failure. */
     std::vector<std::uint32_t> failures;
     /** Whether its caller ended it. */
@@ -2948,8 +2948,8 @@
                 this->host,
                 this->submitted,
                 this->total,
-                this->contentPieces,
-                this->listed,
+                this->contentChunks,
+                this->finishedItems,
                 this->failures,
                 this->isEnded,
                 this->workspace);
@@ -3183,16 +3183,16 @@
     /** The list, unless the asking node has it. */
     std::vector<ReplicaRecord> replicas;
     /** Whether it is the list of all replicas, or a set that was chosen for the asking node. */
-    bool isWhole = false;
+    bool isComplete = false;
     /** Whether the asking node had the same list when it asked, which is not enclosed then. */
-    bool isSame = false;
+    bool isUnchanged = false;
 
     bool operator==(const ReplicaRecords &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->isKnown, this->age, this->version, this->fingerprint, this->replicas, this->isWhole, this->isSame);
+        archive(this->isKnown, this->age, this->version, this->fingerprint, this->replicas, this->isComplete, this->isUnchanged);
     }
 };
 
@@ -3206,7 +3206,7 @@
     /** Hash of the list that it has; 0: none. */
     std::uint64_t fingerprint = 0;
     /** How many replicas of each service it wants to know; 0: all. */
-    std::uint32_t mostOfService = 0;
+    std::uint32_t maxPerService = 0;
     /** Where it is: replicas there are told before others. */
     FailureDomain failureDomain;
 
@@ -3215,7 +3215,7 @@
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->from, this->fingerprint, this->mostOfService, this->failureDomain);
+        archive(this->from, this->fingerprint, this->maxPerService, this->failureDomain);
     }
 };
 
--- a/Meta/generate.py
+++ b/Meta/generate.py
@@ -219,12 +219,12 @@
 
 def bounds_of(key):
     if key["type"] == "integer":
-        return f", {{.least = {key['min']}, .most = {key['max']}}}"
+        return f", {{.min = {key['min']}, .max = {key['max']}}}"
     if key["type"] == "number":
-        return f", {{.least = {float(key['min'])}, .most = {float(key['max'])}}}"
+        return f", {{.min = {float(key['min'])}, .max = {float(key['max'])}}}"
     if key["type"] == "duration":
-        return (f", {{.least = std::chrono::milliseconds({milliseconds(key['min'])}), "
-                f".most = std::chrono::milliseconds({milliseconds(key['max'])})}}")
+        return (f", {{.min = std::chrono::milliseconds({milliseconds(key['min'])}), "
+                f".max = std::chrono::milliseconds({milliseconds(key['max'])})}}")
     return ""
 
 
