--- a/Libraries/LibWire/Generated/Messages.h
+++ b/Libraries/LibWire/Generated/Messages.h
@@ -19,23 +19,23 @@
 namespace Dogwoodkeel
 {
 
-/** What the owner of a request says to a node that wants to run it. */
+/** The owner's answer to a node that wants to run a request. */
 enum class ClaimDecision : std::uint8_t {
-    /** The asking node runs it. */
+    /** The requesting node runs it. */
     Run,
-    /** It has run; the answer is enclosed. */
+    /** It has already run; the answer is enclosed. */
     Done,
     /** The same id was used for another request. */
     Mismatch,
     /** A non-idempotent request whose runner was lost: it may have run, and never runs again. */
     OutcomeUnknown,
-    /** Another node runs it and has not finished within the wait that was asked for. */
+    /** Another node runs it and did not finish within the requested wait. */
     StillRunning,
     /** This node does not own the shard. */
     NotOwner,
-    /** Cannot be decided now (the platform is down, or recovery is going on); nothing was run. */
+    /** Cannot be decided now, because the platform is down or recovery is in progress; nothing was run. */
     Unavailable,
-    /** The owner holds as many unwritten results as it may, as the platform takes no writes; nothing was run. */
+    /** The platform accepts no writes and the owner already holds the maximum of unwritten results; nothing was run. */
     Full,
 };
 
@@ -69,13 +69,13 @@
     return value <= ClaimDecision::Full;
 }
 
-/** What the owner says to a result. */
+/** The owner's answer to a result. */
 enum class CommitDecision : std::uint8_t {
     /** The result is journalled. */
     Committed,
-    /** Another result was first; it is enclosed. */
+    /** An earlier result exists; it is enclosed. */
     Superseded,
-    /** The platform does not take writes; the owner holds the result until it does. */
+    /** The platform accepts no writes; the owner holds the result until it does. */
     Held,
     /** This node does not own the shard. */
     NotOwner,
@@ -107,13 +107,13 @@
     return value <= CommitDecision::Unavailable;
 }
 
-/** Where a request stands. */
+/** The state of a request. */
 enum class RequestState : std::uint8_t {
-    /** Nothing is known of it. */
+    /** The request is not known. */
     Absent,
     /** A node runs it. */
     Running,
-    /** Its answer is kept. */
+    /** Its answer is stored. */
     Done,
     /** Non-idempotent, and its runner was lost. */
     OutcomeUnknown,
@@ -145,7 +145,7 @@
     return value <= RequestState::NotOwner;
 }
 
-/** Where a batch job stands. */
+/** The state of a batch job. */
 enum class JobState : std::uint8_t {
     /** No such job. */
     Absent,
@@ -183,11 +183,11 @@
     return value <= JobState::NotOwner;
 }
 
-/** How a batch item ended. */
+/** The outcome of a batch item. */
 enum class ItemStatus : std::uint8_t {
-    /** With an answer. */
+    /** It has an answer. */
     Succeeded,
-    /** With the reason why it cannot be done. */
+    /** It cannot be completed; the reason is stored. */
     Failed,
 };
 
@@ -209,7 +209,7 @@
     return value <= ItemStatus::Failed;
 }
 
-/** What the owner says to a job's submission. */
+/** The owner's answer to the submission of a job. */
 enum class SubmitDecision : std::uint8_t {
     /** The job is journalled, now or by an earlier submission. */
     Accepted,
@@ -243,17 +243,17 @@
     return value <= SubmitDecision::Unavailable;
 }
 
-/** How a node is seen by the others. */
+/** The state of a node as the other nodes see it. */
 enum class MemberState : std::uint8_t {
-    /** It answers. */
+    /** It answers probes. */
     Alive,
-    /** It did not answer one member; others are asked. */
+    /** It did not answer one member; other members are asked to probe it. */
     Suspect,
-    /** It is stopping as planned and takes nothing new. */
+    /** It is stopping as planned and accepts no new work. */
     Leaving,
     /** Its suspicion was not refuted in time. */
     Dead,
-    /** It stopped as planned, or a later session took its address: it never comes back. */
+    /** It stopped as planned, or a later session uses its address: this session never returns. */
     Left,
 };
 
@@ -281,7 +281,7 @@
     return value <= MemberState::Left;
 }
 
-/** Tells the records of a journal apart. */
+/** The type of a journal record. */
 enum class RecordKind : std::uint8_t {
     /** IntentRecord */
     Intent,
@@ -327,11 +327,11 @@
     return value <= RecordKind::Page;
 }
 
-/** What a node's settings come from. */
+/** The source of a node's settings. */
 enum class ConfigurationSource : std::uint8_t {
-    /** No version was ever accepted: its VM's own files. */
+    /** No version has been accepted: the files of its VM. */
     OwnFiles,
-    /** An accepted version, and what its VM's own files say of the node itself. */
+    /** An accepted version, and the local sections of the files of its VM. */
     Version,
 };
 
@@ -353,15 +353,15 @@
     return value <= ConfigurationSource::Version;
 }
 
-/** What the dispatcher of a service says to a node that wants to send a request to a replica. */
+/** The dispatcher's answer to a node that wants to send a request to a replica of a service. */
 enum class PlacementDecision : std::uint8_t {
-    /** All replicas are full; the answer comes when there is a place. */
+    /** All replicas are full; another answer follows when a slot is free. */
     Waiting,
-    /** The request may go to the replica that is named. */
+    /** The request may be sent to the named replica. */
     Placed,
-    /** It can't be served in time; the caller is told when to come back. */
+    /** The request cannot be served in time; the caller receives the time after which to retry. */
     Refused,
-    /** A batch item that runs must make room; it asks again. */
+    /** A running batch item must release its slot; it requests another one. */
     Stopped,
 };
 
@@ -387,15 +387,15 @@
     return value <= PlacementDecision::Stopped;
 }
 
-/** How a placed request ended, as far as it tells something of the replica. */
+/** How a placed request ended, as far as it is relevant to the health of the replica. */
 enum class PlacementVerdict : std::uint8_t {
-    /** The replica answered, or the caller gave up. */
+    /** The replica answered, or the caller cancelled. */
     Finished,
-    /** The replica said that it did not run the request. */
+    /** The replica reported that it did not run the request. */
     Rejected,
-    /** No connection could be made. */
+    /** No connection could be established. */
     Unreachable,
-    /** The connection broke, fell silent or carried what is no answer. */
+    /** The connection was lost, became unresponsive or carried a malformed answer. */
     Broken,
 };
 
@@ -421,11 +421,11 @@
     return value <= PlacementVerdict::Broken;
 }
 
-/** What a relay says to a node that follows a table through it. */
+/** The answer of a relay to a node that follows a table through it. */
 enum class FeedOutcome : std::uint8_t {
     /** The rows are enclosed, possibly none. */
     Delivered,
-    /** What was removed since that version is not kept: the table has to be read anew. */
+    /** The removals since that version are no longer stored: the table must be read again. */
     HistoryLost,
     /** The node does not follow the table, or has not read it yet. */
     NotRelay,
@@ -538,14 +538,14 @@
 struct FeedReadRequest;
 struct FeedFollowRequest;
 
-/** The whole answer to one request, as the caller gets it. */
+/** The complete answer to one request, as the caller receives it. */
 struct Answer
 {
     /** HTTP status. */
     std::uint16_t status = 0;
     /** Media type of the body. */
     std::string contentType;
-    /** The body; for a stream, the whole answer in the unstreamed form. */
+    /** The body; for a stream, the complete answer in its unstreamed form. */
     std::string body;
 
     bool operator==(const Answer &) const = default;
@@ -557,16 +557,16 @@
     }
 };
 
-/** A non-idempotent request is about to leave for an endpoint. Without a result after it, the outcome is unknown. */
+/** A non-idempotent request is about to be sent to an endpoint. If no result follows, the outcome is unknown. */
 struct IntentRecord
 {
     /** The request. */
     RequestId requestId;
-    /** Hash of what was asked. */
+    /** Hash of the request's content. */
     std::uint64_t fingerprint = 0;
-    /** Who runs it: while that session lives, the next owner lets others wait for it. */
+    /** The session that runs it: while it is alive, the next owner lets other nodes wait for its result. */
     SessionNumber runner;
-    /** Of the ClaimRequest. */
+    /** The claim number of the ClaimRequest. */
     std::uint64_t claim = 0;
 
     bool operator==(const IntentRecord &) const = default;
@@ -578,7 +578,7 @@
     }
 };
 
-/** An intent's request was proved never to have left for an endpoint: it may be claimed again. */
+/** The request of an intent was certainly never sent to an endpoint: it may be claimed again. */
 struct WithdrawRecord
 {
     /** The request. */
@@ -593,14 +593,14 @@
     }
 };
 
-/** The first result of a request: the only one that counts. */
+/** The first result of a request, and the only valid one. */
 struct ResultRecord
 {
     /** The request. */
     RequestId requestId;
-    /** Hash of what was asked. */
+    /** Hash of the request's content. */
     std::uint64_t fingerprint = 0;
-    /** What the caller got. */
+    /** The answer that the caller received. */
     Answer answer;
 
     bool operator==(const ResultRecord &) const = default;
@@ -617,21 +617,21 @@
 {
     /** The job. */
     JobId jobId;
-    /** Who pays for it. */
+    /** The workspace that it is accounted to. */
     WorkspaceName tenant;
     /** Hash of its items. */
     std::uint64_t fingerprint = 0;
-    /** The model all its items are for. */
+    /** The model that all its items use. */
     std::string model;
     /** When it was accepted. */
     WallTime created;
-    /** When its results are wanted. */
+    /** When its results are due. */
     WallTime due;
-    /** How many items it has. */
+    /** Number of items. */
     std::uint32_t itemCount = 0;
     /** Keys of the objects that hold the items, in order. */
     std::vector<std::string> itemObjects;
-    /** How many items each object holds, but for the last. */
+    /** Number of items in each object except the last. */
     std::uint32_t itemsPerObject = 0;
 
     bool operator==(const JobRecord &) const = default;
@@ -656,11 +656,11 @@
 {
     /** The job. */
     JobId jobId;
-    /** Place of the item in the job, from 0. */
+    /** Index of the item in the job, from 0. */
     std::uint32_t index = 0;
-    /** How it ended. */
+    /** Its outcome. */
     ItemStatus status = ItemStatus::Succeeded;
-    /** The answer, or the reason why there is none. */
+    /** The answer, or the reason for the failure. */
     std::string body;
 
     bool operator==(const ItemRecord &) const = default;
@@ -692,17 +692,17 @@
     }
 };
 
-/** Results of a job were moved to an object. They need not be kept in memory, nor in a checkpoint, any more. */
+/** Results of a job were moved to an object. They are no longer needed in memory or in a checkpoint. */
 struct PageRecord
 {
     /** The job. */
     JobId jobId;
-    /** Which run of itemsPerObject items, from 0. */
+    /** Number of the page of itemsPerObject items, from 0. */
     std::uint32_t page = 0;
     /** The object with the results, as a ResultPage. */
     std::string objectKey;
-    /** One bit for each item of the page, the lowest first: whether its result is in the object, or in one of an earlier record.
-     */
+    /** One bit for each item of the page, lowest first: whether its result is in this object or in the object of an earlier
+     * record. */
     std::string done;
     /** One bit for each item of the page: whether it failed. */
     std::string failed;
@@ -716,10 +716,10 @@
     }
 };
 
-/** What an object with results holds. */
+/** The content of an object with results of a job. */
 struct ResultPage
 {
-    /** In the order of their index. */
+    /** Sorted by index. */
     std::vector<ItemRecord> results;
 
     bool operator==(const ResultPage &) const = default;
@@ -755,14 +755,14 @@
     }
 };
 
-/** What one row of a journal holds: the records of one group commit, or the seal that ends the journal. */
+/** The content of one row of a journal: the records of one group commit, or the seal that ends the journal. */
 struct JournalGroup
 {
-    /** Tells this write from any other at the same row. */
+    /** Distinguishes this write from any other write to the same row. */
     std::string nonce;
     /** The session that ended the journal here; 0 for a group of records. */
     SessionNumber sealedBy;
-    /** The object that holds the records, when they are too large for a row; else empty. */
+    /** The object that holds the records if they are too large for a row; else empty. */
     std::string objectKey;
     /** The records, in the order they were decided. */
     std::vector<JournalRecord> records;
@@ -776,10 +776,10 @@
     }
 };
 
-/** A run of groups of one journal that a shard's state depends on. */
+/** A range of groups of one journal that the state of a shard depends on. */
 struct JournalSpan
 {
-    /** Whose journal. */
+    /** The session that wrote the journal. */
     SessionNumber session;
     /** The first group. */
     GroupNumber first;
@@ -795,12 +795,12 @@
     }
 };
 
-/** Who owns a shard, and what its state is replayed from. */
+/** The owner of a shard, and the data from which its state is replayed. */
 struct ShardRow
 {
     /** The owning session; 0 when it was released. */
     SessionNumber owner;
-    /** Counts the owners. */
+    /** Raised with each change of the owner. */
     ShardEpoch epoch;
     /** Key of the object with the state before the spans; empty if none. */
     std::string checkpoint;
@@ -816,7 +816,7 @@
     }
 };
 
-/** What an object with results of one shard holds. */
+/** The content of an object with results of one shard. */
 struct ResultBlock
 {
     /** Sorted by request id. */
@@ -831,7 +831,7 @@
     }
 };
 
-/** Where a part of a run's results stands. */
+/** The location of a part of a run's results. */
 struct BlockEntry
 {
     /** The object with the ResultBlock. */
@@ -850,16 +850,16 @@
     }
 };
 
-/** A sorted run of results of one shard, in blocks: what an owner keeps in memory to find any of them. */
+/** A sorted run of results of one shard, in blocks. The owner keeps it in memory as the index of the results. */
 struct ResultRun
 {
     /** Sorted by id. */
     std::vector<BlockEntry> blocks;
-    /** Tells ids that are certainly not in it (an IdFilter). */
+    /** An IdFilter that excludes ids that are certainly not in it. */
     std::string filter;
-    /** Of all blocks. */
+    /** Size of all blocks. */
     std::uint64_t bytes = 0;
-    /** No result in it is younger. */
+    /** Time of the newest result in it. */
     WallTime newest;
 
     bool operator==(const ResultRun &) const = default;
@@ -874,7 +874,7 @@
 /** The state of a shard up to the spans of its row. */
 struct Checkpoint
 {
-    /** Replayed in order, they bring back all but the results. */
+    /** Replayed in order, they restore everything except the results. */
     std::vector<JournalRecord> records;
     /** Keys of the objects with the ResultRuns, oldest first. */
     std::vector<std::string> runs;
@@ -893,9 +893,9 @@
 {
     /** The VM it runs on. */
     VmName vm;
-    /** Where that VM is. */
+    /** The failure domain of that VM. */
     FailureDomain failureDomain;
-    /** Where it takes gossip. */
+    /** Where it receives gossip. */
     Address gossip;
     /** When it started. */
     WallTime started;
@@ -909,24 +909,24 @@
     }
 };
 
-/** A job in numbers. */
+/** The progress of a job. */
 struct JobProgress
 {
-    /** Where it stands. */
+    /** Its state. */
     JobState state = JobState::Absent;
-    /** How many items it has. */
+    /** Number of items. */
     std::uint32_t itemCount = 0;
     /** Items with an answer. */
     std::uint32_t succeeded = 0;
-    /** Items that cannot be done. */
+    /** Items that cannot be completed. */
     std::uint32_t failed = 0;
     /** When it was accepted. */
     WallTime created;
-    /** When its results are wanted. */
+    /** When its results are due. */
     WallTime due;
-    /** The model its items are for. */
+    /** The model that its items use. */
     std::string model;
-    /** When it ends if its items go on finishing as fast as they do now; the epoch if that is not known. */
+    /** When it ends if its items continue to finish at the present rate; the epoch if that is not known. */
     WallTime expectedEnd;
 
     bool operator==(const JobProgress &) const = default;
@@ -955,7 +955,7 @@
 {
     /** The job. */
     JobId jobId;
-    /** Where it stands. */
+    /** Its state. */
     JobProgress progress;
 
     bool operator==(const ListedJob &) const = default;
@@ -967,16 +967,16 @@
     }
 };
 
-/** One item as a lane gets it. */
+/** One item as a lane receives it. */
 struct BatchItem
 {
     /** The job. */
     JobId jobId;
-    /** Place in the job, from 0. */
+    /** Index in the job, from 0. */
     std::uint32_t index = 0;
-    /** Who pays for it. */
+    /** The workspace that it is accounted to. */
     WorkspaceName tenant;
-    /** When the job's results are wanted. */
+    /** When the job's results are due. */
     WallTime due;
     /** The request to the engine, as JSON. */
     std::string body;
@@ -990,12 +990,12 @@
     }
 };
 
-/** A run of items. */
+/** A range of items. */
 struct ItemSpan
 {
-    /** The first one. */
+    /** Index of the first item. */
     std::uint32_t first = 0;
-    /** How many. */
+    /** Number of items. */
     std::uint32_t count = 0;
 
     bool operator==(const ItemSpan &) const = default;
@@ -1012,7 +1012,7 @@
 {
     /** The job. */
     JobId jobId;
-    /** Which items. */
+    /** The items. */
     std::vector<ItemSpan> spans;
 
     bool operator==(const HeldItems &) const = default;
@@ -1024,48 +1024,48 @@
     }
 };
 
-/** A node, as gossip tells of it. The entry with the higher incarnation wins; at the same one, the graver state. */
+/** A node as described by gossip. The entry with the higher incarnation wins; at the same incarnation, the more severe state. */
 struct Member
 {
-    /** Which start of which node. */
+    /** Identifies one start of one node. */
     SessionNumber session;
-    /** Raised by the node itself with each change it tells. */
+    /** Raised by the node itself with each change that it publishes. */
     std::uint64_t incarnation = 0;
-    /** How it is seen. */
+    /** Its state as the sender sees it. */
     MemberState state = MemberState::Alive;
     /** The VM it runs on. */
     VmName vm;
-    /** Where that VM is. */
+    /** The failure domain of that VM. */
     FailureDomain failureDomain;
     /** Where it serves callers. */
     Address http;
     /** Where its owner task listens. */
     Address owner;
-    /** Where it takes gossip. */
+    /** Where it receives gossip. */
     Address gossip;
-    /** Where its lane task takes load notices. */
+    /** Where its lane task receives load notices. */
     Address lane;
-    /** Batch items that wait at its shards. */
+    /** Batch items that wait in its shards. */
     std::uint32_t backlog = 0;
     /** The configuration it has in force. */
     std::uint64_t configVersion = 0;
-    /** Where its entry task takes load reports. */
+    /** Where its entry task receives load reports. */
     Address fleet;
-    /** One bit for each model (by its hash, modulo 64) that batch items wait for at its shards. */
+    /** One bit for each model (its hash modulo 64) with batch items waiting in its shards. */
     std::uint64_t backlogModels = 0;
-    /** How busy its entry is, in percent; 100 and more is overloaded. */
+    /** Load of its entry in percent; 100 or more is overload. */
     std::uint32_t pressure = 0;
     /** Raised by the node itself with each change of backlog, configVersion or pressure. */
     std::uint64_t loadVersion = 0;
     /** Whether it is stopping as planned. */
     bool isLeaving = false;
-    /** Whether it takes callers. */
+    /** Whether it accepts callers. */
     bool isReady = false;
     /** When it started. */
     WallTime started;
-    /** Whether it does not reach the platform's store, so that what it knows from there may be out of date. */
+    /** Whether it cannot reach the platform's store, so that its data from there may be out of date. */
     bool hasLostStore = false;
-    /** The processor that its VM has, in hundredths of a core; 0: not told. */
+    /** Processor capacity of its VM in hundredths of a core; 0: not stated. */
     std::uint32_t processorShare = 0;
     /** Whether it follows the platform's tables for others and knows all replicas. */
     bool isRelay = false;
@@ -1104,7 +1104,7 @@
     }
 };
 
-/** A change of a member whose description the hearer has. */
+/** A change of a member whose description the receiver has. */
 struct MemberUpdate
 {
     /** The member. */
@@ -1145,7 +1145,7 @@
     }
 };
 
-/** What changes often about a member and need not be known at once. */
+/** The data of a member that changes often and may arrive late. */
 struct MemberLoad
 {
     /** The member. */
@@ -1175,20 +1175,20 @@
     }
 };
 
-/** What each probe and each answer carries. */
+/** The part of each probe and each answer that carries membership updates. */
 struct Gossip
 {
-    /** Hash of all members the sender holds alive; another one is a reason to compare notes. */
+    /** Hash of all members that the sender considers alive; if the receiver's differs, it requests the differences. */
     std::uint32_t digest = 0;
-    /** Of the sender. */
+    /** Load of the sender. */
     MemberLoad load;
     /** Recent changes. */
     std::vector<MemberUpdate> updates;
-    /** Members that were heard of recently. */
+    /** Members that were added or updated recently. */
     std::vector<Member> members;
     /** Recent changes of load. */
     std::vector<MemberLoad> loads;
-    /** VMs that the platform is about to take away. */
+    /** VMs that the platform is about to remove. */
     std::vector<VmName> leavingVms;
 
     bool operator==(const Gossip &) const = default;
@@ -1205,18 +1205,18 @@
     }
 };
 
-/** A request that was running on an endpoint when that was lost. */
+/** A request that was running on an endpoint when the endpoint was lost. */
 struct Suspect
 {
     /** Hash of its content. */
     std::uint64_t fingerprint = 0;
-    /** Which endpoint. */
+    /** The endpoint. */
     EndpointName endpoint;
-    /** Where that endpoint is. */
+    /** The failure domain of that endpoint. */
     FailureDomain failureDomain;
-    /** How long ago it was sent there. */
+    /** Time since it was sent to the endpoint. */
     std::uint32_t sentMillisecondsAgo = 0;
-    /** How long ago the loss was seen. */
+    /** Time since the loss was detected. */
     std::uint32_t lostMillisecondsAgo = 0;
 
     bool operator==(const Suspect &) const = default;
@@ -1228,7 +1228,7 @@
     }
 };
 
-/** What differs at one site. */
+/** The differences of one site. */
 struct ConfigurationOverlay
 {
     /** The site, as node.site names it. */
@@ -1245,12 +1245,12 @@
     }
 };
 
-/** What operators wrote: the base that all sites share, and the overlays of all sites. */
+/** The text that operators wrote: the base that all sites share, and the overlays of all sites. */
 struct ConfigurationContent
 {
     /** TOML. */
     std::string base;
-    /** In order of their sites. */
+    /** Sorted by site. */
     std::vector<ConfigurationOverlay> overlays;
 
     bool operator==(const ConfigurationContent &) const = default;
@@ -1262,22 +1262,22 @@
     }
 };
 
-/** One accepted version, as its row holds it. A number has one content for ever. */
+/** One accepted version as stored in its row. The content of a number never changes. */
 struct ConfigurationRow
 {
     /** Version number; the first is 1. */
     std::uint64_t number = 0;
-    /** Chosen by the operator's tool, the same in every resend of one apply. */
+    /** Generated by the operator's tool; the same in every resend of one apply. */
     std::string nonce;
-    /** Who applied it. */
+    /** The operator who applied it. */
     std::string author;
-    /** Why, in the author's words. */
+    /** Reason that the author stated. */
     std::string reason;
     /** When it was applied, by the clock of the node that wrote it. */
     WallTime created;
     /** The encoded ConfigurationContent, if it fits into the row. */
     std::string content;
-    /** If it does not: keys of the objects that hold it, in order. A key is made from what the object holds. */
+    /** If it does not fit: keys of the objects that hold it, in order. A key is derived from the content of the object. */
     std::vector<std::string> parts;
 
     bool operator==(const ConfigurationRow &) const = default;
@@ -1289,19 +1289,19 @@
     }
 };
 
-/** Who gives orders to the engines of a site. It changes with each renewal; a holder whose row has not changed for a lease's
- * length has lost it. */
+/** The lease of the node that sends orders to the engines of a site. The row changes with each renewal; a holder whose row has
+ * not changed for the length of the lease has lost it. */
 struct OrderLeaseRow
 {
     /** The holding session; 0 when it was released. */
     SessionNumber holder;
-    /** Counts the holders; the fencing number of their orders. */
+    /** Raised with each change of the holder; the fencing number of its orders. */
     std::uint64_t epoch = 0;
-    /** Of this holder. */
+    /** Renewals by this holder. */
     std::uint64_t renewals = 0;
-    /** The newest version that orders were given by: nobody gives orders by an older one. */
+    /** The newest version that orders were based on: no node sends orders based on an older one. */
     std::uint64_t configVersion = 0;
-    /** Rollouts that were stopped for their errors, as MODEL@VERSION. */
+    /** Rollouts that were stopped because of errors, as MODEL@VERSION. */
     std::vector<std::string> stopped;
 
     bool operator==(const OrderLeaseRow &) const = default;
@@ -1313,20 +1313,20 @@
     }
 };
 
-/** What an endpoint says of itself, as one node read it for all. */
+/** The state that an endpoint reports, read by one node for all nodes. */
 struct ReplicaReport
 {
-    /** Which replica. */
+    /** The replica. */
     EndpointName endpoint;
     /** Online requests that run or wait there. */
     std::uint32_t inFlight = 0;
-    /** How long ago that was so. */
+    /** Age of these values. */
     std::uint32_t ageMilliseconds = 0;
-    /** It is about to go and must get nothing new. */
+    /** Whether it is about to stop and must get no new requests. */
     bool isLeaving = false;
-    /** Which start of the endpoint; empty if it does not say. */
+    /** Identifies one start of the endpoint; empty if it is not reported. */
     std::string instance;
-    /** The model version it has loaded; empty if it does not say. */
+    /** The loaded model version; empty if it is not reported. */
     std::string version;
     /** The adapters it has loaded. */
     std::vector<std::string> adapters;
@@ -1346,16 +1346,16 @@
     }
 };
 
-/** A part of a tenant's limit, or the demand for one. */
+/** A share of a tenant's limit, or the demand for one. */
 struct LimitAmount
 {
-    /** Whose. */
+    /** The tenant. */
     WorkspaceName tenant;
-    /** Of its lookups, or else of its online requests. */
+    /** Whether it applies to lookups; else to online requests. */
     bool isLookup = false;
     /** Requests a second. */
     std::uint32_t perSecond = 0;
-    /** Requests at once. */
+    /** Concurrent requests. */
     std::uint32_t concurrency = 0;
 
     bool operator==(const LimitAmount &) const = default;
@@ -1367,12 +1367,12 @@
     }
 };
 
-/** What is left of a workspace's quota. */
+/** The remainder of a workspace's quota. */
 struct QuotaBalance
 {
-    /** Whose quota it is. */
+    /** The workspace. */
     WorkspaceName workspace;
-    /** Requests that may run at once. */
+    /** Requests that may still be granted immediately. */
     double level = 0;
 
     bool operator==(const QuotaBalance &) const = default;
@@ -1387,9 +1387,9 @@
 /** A request that a node has at a replica. */
 struct RunningPlacement
 {
-    /** Names it at that node. */
+    /** Identifies it at that node. */
     std::uint64_t ticket = 0;
-    /** Where it runs. */
+    /** The replica that runs it. */
     EndpointName replica;
     /** Whether it is a batch item. */
     bool isBatch = false;
@@ -1403,7 +1403,7 @@
     }
 };
 
-/** The load that a replica states with an answer. */
+/** The load that a replica reports with an answer. */
 struct ReportedLoad
 {
     /** Requests that it runs. */
@@ -1437,18 +1437,18 @@
     }
 };
 
-/** One item of a job as it was submitted. */
+/** One item of a job, as submitted. */
 struct JobItemRecord
 {
-    /** Names it. */
+    /** Identifies the item. */
     std::string id;
-    /** Path and query that a replica gets. */
+    /** Path and query sent to a replica. */
     std::string target;
-    /** Headers that a replica gets. */
+    /** Headers sent to a replica. */
     std::vector<HeaderRecord> headers;
-    /** The bytes that a replica gets. */
+    /** Body sent to a replica. */
     std::string body;
-    /** Of the prompt and the longest output. */
+    /** Tokens of the prompt and of the longest possible output. */
     std::uint64_t tokens = 0;
 
     bool operator==(const JobItemRecord &) const = default;
@@ -1460,14 +1460,14 @@
     }
 };
 
-/** A part of prompts under which replicas crash. */
+/** A prompt part to which crashes of replicas are attributed. */
 struct BlockedPromptPart
 {
     /** Its hash. */
     std::uint64_t promptPart = 0;
-    /** How long ago the last crash was that it explains. */
+    /** Time since the last crash that is attributed to it. */
     std::chrono::milliseconds age = std::chrono::milliseconds(0);
-    /** How often it was blocked. */
+    /** How many times it was blocked. */
     std::uint32_t blockCount = 0;
 
     bool operator==(const BlockedPromptPart &) const = default;
@@ -1479,14 +1479,14 @@
     }
 };
 
-/** The replicas that broke off while they ran a request. */
+/** The replicas that disconnected while they ran a request. */
 struct CrashCount
 {
-    /** Hash of what the request asks for. */
+    /** Hash of the request's content. */
     std::uint64_t fingerprint = 0;
     /** Hashes of their names. */
     std::vector<std::uint64_t> replicas;
-    /** How long ago the last one did. */
+    /** Time since the last of them disconnected. */
     std::chrono::milliseconds age = std::chrono::milliseconds(0);
 
     bool operator==(const CrashCount &) const = default;
@@ -1498,24 +1498,24 @@
     }
 };
 
-/** A replica as the platform lists it. */
+/** A replica as listed by the platform. */
 struct ReplicaRecord
 {
-    /** Names this incarnation. */
+    /** Identifies one start of the replica. */
     EndpointName instance;
     /** The name under which it registers itself. */
     EndpointName registeredName;
     /** The service. */
     std::string service;
-    /** Where it takes requests. */
+    /** Where it accepts requests. */
     Address address;
-    /** Where it is. */
+    /** The failure domain it is in. */
     FailureDomain failureDomain;
-    /** Requests that it runs side by side. */
+    /** Maximum number of concurrent requests. */
     std::uint32_t slots = 0;
     /** Whether it is leaving. */
     bool isDraining = false;
-    /** Of its software. */
+    /** Version of its software. */
     SoftwareVersion version;
 
     bool operator==(const ReplicaRecord &) const = default;
@@ -1534,7 +1534,7 @@
     }
 };
 
-/** A row of the platform's store, or what is expected of one. */
+/** A row of the platform's store, or the expected state of one. */
 struct StoreRow
 {
     /** Its table. */
@@ -1543,9 +1543,9 @@
     std::string part;
     /** Its key. */
     std::string key;
-    /** Its value, where there is one. */
+    /** Its value, if any. */
     std::string value;
-    /** Its version, or the one that it must have. */
+    /** Its version, or the version that it must have. */
     std::uint64_t version = 0;
 
     bool operator==(const StoreRow &) const = default;
@@ -1557,7 +1557,7 @@
     }
 };
 
-/** A row of a table that a relay follows, as it is or as it was removed. */
+/** A present or removed row of a table that a relay follows. */
 struct FeedRow
 {
     /** Its part. */
@@ -1568,7 +1568,7 @@
     std::string value;
     /** Its version. */
     std::uint64_t version = 0;
-    /** Whether it is gone. */
+    /** Whether it was removed. */
     bool isRemoved = false;
 
     bool operator==(const FeedRow &) const = default;
@@ -1580,20 +1580,20 @@
     }
 };
 
-/** A node asks the owner of a request whether it shall run it. */
+/** A node asks the owner of a request whether to run it. */
 struct ClaimRequest
 {
     static constexpr MessageNumber number{1};
     using Response = ClaimResponse;
     /** The request. */
     RequestId requestId;
-    /** Hash of what was asked. */
+    /** Hash of the request's content. */
     std::uint64_t fingerprint = 0;
     /** Whether it may run at most once. */
     bool isNonIdempotent = false;
-    /** The asking node. */
+    /** The requesting node. */
     SessionNumber runner;
-    /** Tells this run from any other run that the same node may ask for: a repeated call has the same. */
+    /** Distinguishes this run from any other run that the same node requests; a repeated call has the same number. */
     std::uint64_t claim = 0;
     /** How long to wait for another runner's result before answering StillRunning. */
     std::chrono::milliseconds wait = std::chrono::milliseconds(0);
@@ -1611,9 +1611,9 @@
 struct ClaimResponse
 {
     static constexpr MessageNumber number{2};
-    /** What to do. */
+    /** The owner's decision. */
     ClaimDecision decision = ClaimDecision::Run;
-    /** With Done. */
+    /** Set with Done. */
     Answer answer;
 
     bool operator==(const ClaimResponse &) const = default;
@@ -1630,16 +1630,16 @@
     }
 };
 
-/** A runner hands in a result. It keeps the result until the owner has answered Committed or Superseded. */
+/** A runner submits a result. It keeps the result until the owner answers Committed or Superseded. */
 struct CommitRequest
 {
     static constexpr MessageNumber number{3};
     using Response = CommitResponse;
     /** The request. */
     RequestId requestId;
-    /** Hash of what was asked. */
+    /** Hash of the request's content. */
     std::uint64_t fingerprint = 0;
-    /** Who ran it. */
+    /** The session that ran it. */
     SessionNumber runner;
     /** The result. */
     Answer answer;
@@ -1657,9 +1657,9 @@
 struct CommitResponse
 {
     static constexpr MessageNumber number{4};
-    /** What became of the result. */
+    /** The outcome for the result. */
     CommitDecision decision = CommitDecision::Committed;
-    /** With Superseded: the result that counts. */
+    /** With Superseded: the valid result. */
     Answer answer;
 
     bool operator==(const CommitResponse &) const = default;
@@ -1676,16 +1676,16 @@
     }
 };
 
-/** A runner gives a claim back, because the request was proved not to have run. */
+/** A runner releases a claim because the request certainly did not run. */
 struct ReleaseRequest
 {
     static constexpr MessageNumber number{5};
     using Response = ReleaseResponse;
     /** The request. */
     RequestId requestId;
-    /** Who had the claim. */
+    /** The session that had the claim. */
     SessionNumber runner;
-    /** Of the ClaimRequest. */
+    /** The claim number of the ClaimRequest. */
     std::uint64_t claim = 0;
 
     bool operator==(const ReleaseRequest &) const = default;
@@ -1701,9 +1701,9 @@
 struct ReleaseResponse
 {
     static constexpr MessageNumber number{6};
-    /** False if this node does not own the shard: the claim stands, the owner is to be asked. */
+    /** False if this node does not own the shard: the claim remains, and the owner must be asked. */
     bool isOwner = false;
-    /** False if another holds the claim, or its result is known. */
+    /** False if another session holds the claim, or if its result is known. */
     bool isReleased = false;
 
     bool operator==(const ReleaseResponse &) const = default;
@@ -1715,7 +1715,7 @@
     }
 };
 
-/** Reads where a request stands. */
+/** Reads the state of a request. */
 struct ResultRequest
 {
     static constexpr MessageNumber number{7};
@@ -1736,9 +1736,9 @@
 struct ResultResponse
 {
     static constexpr MessageNumber number{8};
-    /** Where it stands. */
+    /** Its state. */
     RequestState state = RequestState::Absent;
-    /** With Done. */
+    /** Set with Done. */
     Answer answer;
 
     bool operator==(const ResultResponse &) const = default;
@@ -1755,7 +1755,7 @@
     }
 };
 
-/** A node hands in a job whose items already stand in the object store. */
+/** A node submits a job whose items are already in the object store. */
 struct SubmitJobRequest
 {
     static constexpr MessageNumber number{9};
@@ -1776,7 +1776,7 @@
 struct SubmitJobResponse
 {
     static constexpr MessageNumber number{10};
-    /** What became of the job. */
+    /** The outcome for the job. */
     SubmitDecision decision = SubmitDecision::Accepted;
 
     bool operator==(const SubmitJobResponse &) const = default;
@@ -1793,14 +1793,14 @@
     }
 };
 
-/** Reads where a job stands. */
+/** Reads the state of a job. */
 struct JobStatusRequest
 {
     static constexpr MessageNumber number{11};
     using Response = JobStatusResponse;
     /** The job. */
     JobId jobId;
-    /** Who asks; another tenant's job is Absent. */
+    /** The requesting tenant; the job of another tenant is Absent. */
     WorkspaceName tenant;
 
     bool operator==(const JobStatusRequest &) const = default;
@@ -1816,7 +1816,7 @@
 struct JobStatusResponse
 {
     static constexpr MessageNumber number{12};
-    /** Where it stands. */
+    /** Its state. */
     JobProgress progress;
 
     bool operator==(const JobStatusResponse &) const = default;
@@ -1828,7 +1828,7 @@
     }
 };
 
-/** Asks the other end of a connection to send it back: whether the connection still carries anything. */
+/** Asks the other end of a connection to send it back, to check whether the connection still carries data. */
 struct LinkProbe
 {
     static constexpr MessageNumber number{112};
@@ -1845,14 +1845,14 @@
     }
 };
 
-/** Asks a node for a tenant's jobs among the shards it owns. */
+/** Asks a node for the jobs of a tenant in the shards that it owns. */
 struct ListJobsRequest
 {
     static constexpr MessageNumber number{110};
     using Response = ListJobsResponse;
-    /** Whose jobs. */
+    /** The tenant whose jobs are listed. */
     WorkspaceName tenant;
-    /** How many at most, the newest first. */
+    /** Maximum number of jobs, the newest first. */
     std::uint32_t limit = 0;
 
     bool operator==(const ListJobsRequest &) const = default;
@@ -1887,7 +1887,7 @@
     using Response = JobStatusResponse;
     /** The job. */
     JobId jobId;
-    /** Who asks. */
+    /** The requesting tenant. */
     WorkspaceName tenant;
 
     bool operator==(const CancelJobRequest &) const = default;
@@ -1906,11 +1906,11 @@
     using Response = JobResultsResponse;
     /** The job. */
     JobId jobId;
-    /** Who asks. */
+    /** The requesting tenant. */
     WorkspaceName tenant;
-    /** The first item to look at. */
+    /** The first item to read. */
     std::uint32_t from = 0;
-    /** How many results at most. */
+    /** Maximum number of results. */
     std::uint32_t limit = 0;
 
     bool operator==(const JobResultsRequest &) const = default;
@@ -1926,11 +1926,11 @@
 struct JobResultsResponse
 {
     static constexpr MessageNumber number{15};
-    /** Where the job stands. */
+    /** The state of the job. */
     JobState state = JobState::Absent;
     /** Finished items, in order. */
     std::vector<ItemRecord> results;
-    /** Where to read on; the item count when this was the last page. */
+    /** The item to continue reading from; the item count after the last page. */
     std::uint32_t next = 0;
 
     bool operator==(const JobResultsResponse &) const = default;
@@ -1947,16 +1947,17 @@
     }
 };
 
-/** A lane's holder asks an owner for items to run. Each is leased to it and handed out again if the lease runs out. */
+/** The node that runs a lane asks an owner for items to run. Each item is leased to it, and assigned again if the lease expires.
+ */
 struct PullItemsRequest
 {
     static constexpr MessageNumber number{16};
     using Response = PullItemsResponse;
-    /** For which model. */
+    /** The model of the items. */
     std::string model;
-    /** How many at most. */
+    /** Maximum number of items. */
     std::uint32_t limit = 0;
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber runner;
 
     bool operator==(const PullItemsRequest &) const = default;
@@ -1974,9 +1975,9 @@
     static constexpr MessageNumber number{17};
     /** Items to run, most urgent first. */
     std::vector<BatchItem> items;
-    /** Items of the model that still wait here. */
+    /** Items of the model that still wait at this node. */
     std::uint32_t waiting = 0;
-    /** When the most urgent of them must start to be done in time. */
+    /** Latest time at which the most urgent of them must start to end in time. */
     WallTime latestStart;
 
     bool operator==(const PullItemsResponse &) const = default;
@@ -1988,14 +1989,14 @@
     }
 };
 
-/** A lane's holder hands in results of items; it keeps them until they are journalled. */
+/** The node that runs a lane submits results of items; it keeps them until they are journalled. */
 struct CommitItemsRequest
 {
     static constexpr MessageNumber number{18};
     using Response = CommitItemsResponse;
-    /** Results of items whose jobs this owner has. */
+    /** Results of items of jobs that this owner has. */
     std::vector<ItemRecord> results;
-    /** Who ran them. */
+    /** The session that ran them. */
     SessionNumber runner;
 
     bool operator==(const CommitItemsRequest &) const = default;
@@ -2011,9 +2012,9 @@
 struct CommitItemsResponse
 {
     static constexpr MessageNumber number{19};
-    /** Whether all of them are journalled, or were superseded by an earlier result. */
+    /** Whether each of them is journalled or superseded by an earlier result. */
     bool isJournalled = false;
-    /** Jobs that this node does not own: their results go to another owner. */
+    /** Jobs that this node does not own: their results must be sent to another owner. */
     std::vector<JobId> notOwned;
 
     bool operator==(const CommitItemsResponse &) const = default;
@@ -2025,16 +2026,16 @@
     }
 };
 
-/** A lane's holder keeps its leases on running items, and learns which to stop. */
+/** The node that runs a lane renews its leases on running items and receives the items to stop. */
 struct RenewItemsRequest
 {
     static constexpr MessageNumber number{20};
     using Response = RenewItemsResponse;
-    /** Jobs it runs items of. */
+    /** Jobs of which it runs items. */
     std::vector<JobId> jobs;
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber runner;
-    /** All items it holds of these jobs: an owner that has taken the shard over learns of their leases by this. */
+    /** All items of these jobs that it holds: a new owner of the shard restores their leases from this list. */
     std::vector<HeldItems> held;
 
     bool operator==(const RenewItemsRequest &) const = default;
@@ -2050,11 +2051,11 @@
 struct RenewItemsResponse
 {
     static constexpr MessageNumber number{21};
-    /** Jobs whose items are to be cancelled. */
+    /** Jobs whose items must be cancelled. */
     std::vector<JobId> stopped;
-    /** Jobs that this node does not own, or not yet. */
+    /** Jobs that this node does not own, or does not own yet. */
     std::vector<JobId> notOwned;
-    /** Items that are done, or that another runner has by now: not to be run on. */
+    /** Items that are done or leased to another runner; the receiver must stop them. */
     std::vector<HeldItems> lost;
 
     bool operator==(const RenewItemsResponse &) const = default;
@@ -2066,14 +2067,14 @@
     }
 };
 
-/** A runner gives items back that it will not run, so that they need not wait for their leases to end. */
+/** A runner returns items that it will not run, so that they need not wait until their leases expire. */
 struct ReturnItemsRequest
 {
     static constexpr MessageNumber number{70};
     using Response = ReturnItemsResponse;
-    /** Which. */
+    /** The returned items. */
     std::vector<HeldItems> items;
-    /** Who held them. */
+    /** The session that held them. */
     SessionNumber runner;
 
     bool operator==(const ReturnItemsRequest &) const = default;
@@ -2101,8 +2102,8 @@
     }
 };
 
-/** Datagram: an owner tells a runner that a job was cancelled. If it is lost, the runner learns of it when it renews its leases.
- */
+/** Datagram: an owner notifies a runner that a job was cancelled. If it is lost, the runner receives this when it renews its
+ * leases. */
 struct JobStopped
 {
     static constexpr MessageNumber number{72};
@@ -2118,15 +2119,15 @@
     }
 };
 
-/** Datagram: asks a member for a sign of life. */
+/** Datagram: probes whether a member is alive. */
 struct Ping
 {
     static constexpr MessageNumber number{40};
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber from;
     /** Matches the Pong. */
     std::uint64_t sequence = 0;
-    /** What the sender has to tell. */
+    /** Membership updates of the sender. */
     Gossip gossip;
 
     bool operator==(const Ping &) const = default;
@@ -2138,15 +2139,15 @@
     }
 };
 
-/** Datagram: the sign of life. */
+/** Datagram: the answer to a Ping. */
 struct Pong
 {
     static constexpr MessageNumber number{41};
-    /** Who answers. */
+    /** The answering node. */
     SessionNumber from;
-    /** Of the Ping. */
+    /** Sequence number of the Ping. */
     std::uint64_t sequence = 0;
-    /** What the sender has to tell. */
+    /** Membership updates of the sender. */
     Gossip gossip;
 
     bool operator==(const Pong &) const = default;
@@ -2162,11 +2163,11 @@
 struct PingRequest
 {
     static constexpr MessageNumber number{42};
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber from;
-    /** Whom to ping. */
+    /** The member to ping. */
     Address target;
-    /** The asker's own sequence, for the Pong that is passed on. */
+    /** Sequence number of the requesting node, for the Pong that is forwarded to it. */
     std::uint64_t sequence = 0;
 
     bool operator==(const PingRequest &) const = default;
@@ -2182,7 +2183,7 @@
 struct MembersPull
 {
     static constexpr MessageNumber number{43};
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber from;
     /** Digest of each part of the sender's view; a member's part is its session modulo the number of parts. */
     std::vector<std::uint32_t> digests;
@@ -2200,7 +2201,7 @@
 struct MembersPush
 {
     static constexpr MessageNumber number{44};
-    /** Who answers. */
+    /** The answering node. */
     SessionNumber from;
     /** Members of the parts that differ. */
     std::vector<Member> members;
@@ -2216,12 +2217,12 @@
     }
 };
 
-/** An owner has given up shards that the receiver should own: it may take them at once. */
+/** An owner has released shards that the receiver should own: the receiver may acquire them at once. */
 struct ShardsReleasedRequest
 {
     static constexpr MessageNumber number{45};
     using Response = ShardsReleasedResponse;
-    /** Who owned them. */
+    /** The session that owned them. */
     SessionNumber from;
 
     bool operator==(const ShardsReleasedRequest &) const = default;
@@ -2237,7 +2238,7 @@
 struct ShardsReleasedResponse
 {
     static constexpr MessageNumber number{46};
-    /** Who looks for them now. */
+    /** The session that now acquires them. */
     SessionNumber from;
 
     bool operator==(const ShardsReleasedResponse &) const = default;
@@ -2249,18 +2250,18 @@
     }
 };
 
-/** Datagram: an entry tells the holder of a replica's lane how many online requests it has there. Absolute, so a lost one heals
- * with the next. */
+/** Datagram: an entry reports to the node that runs a replica's lane how many online requests it has there. The number is
+ * absolute, so that the next datagram corrects a lost one. */
 struct ReplicaLoad
 {
     static constexpr MessageNumber number{25};
-    /** Which entry. */
+    /** The entry. */
     SessionNumber from;
-    /** Grows with each notice of that entry; older ones are dropped. */
+    /** Grows with each notice of that entry; older notices are dropped. */
     std::uint64_t sequence = 0;
-    /** Which replica. */
+    /** The replica. */
     EndpointName endpoint;
-    /** Online requests of that entry there. */
+    /** Online requests of that entry at the replica. */
     std::uint32_t inFlight = 0;
 
     bool operator==(const ReplicaLoad &) const = default;
@@ -2272,12 +2273,12 @@
     }
 };
 
-/** Datagram: a node tells all, a few times over, which requests it lost with an endpoint, and which of them have since run to
- * their end. */
+/** Datagram: a node reports to all nodes, repeated a few times, which requests it lost with an endpoint, and which of them have
+ * since completed. */
 struct SuspectNotice
 {
     static constexpr MessageNumber number{60};
-    /** Who tells. */
+    /** The sending node. */
     SessionNumber from;
     /** Requests lost with an endpoint. */
     std::vector<Suspect> suspects;
@@ -2298,7 +2299,7 @@
 {
     static constexpr MessageNumber number{80};
     using Response = ConfigurationResponse;
-    /** Who asks; 0 while it has no session. */
+    /** The requesting node; 0 while it has no session. */
     SessionNumber from;
 
     bool operator==(const ConfigurationRequest &) const = default;
@@ -2314,7 +2315,7 @@
 struct ConfigurationResponse
 {
     static constexpr MessageNumber number{81};
-    /** False if the node has learnt of none itself yet: the answer then says nothing. */
+    /** False if the node has not read any version yet: the answer then carries no information. */
     bool isKnown = false;
     /** The newest version; number 0 if none was ever accepted, as far as the node knows. */
     ConfigurationRow row;
@@ -2333,7 +2334,7 @@
 {
     static constexpr MessageNumber number{82};
     using Response = ConfigurationPartResponse;
-    /** Of the part. */
+    /** Key of the part. */
     std::string key;
 
     bool operator==(const ConfigurationPartRequest &) const = default;
@@ -2351,7 +2352,7 @@
     static constexpr MessageNumber number{83};
     /** Whether the node holds the part. */
     bool isFound = false;
-    /** With isFound. */
+    /** Set with isFound. */
     std::string content;
 
     bool operator==(const ConfigurationPartResponse &) const = default;
@@ -2363,12 +2364,12 @@
     }
 };
 
-/** Asks a node what it has in force. */
+/** Asks a node which configuration it has in force. */
 struct ConfigurationStateRequest
 {
     static constexpr MessageNumber number{84};
     using Response = ConfigurationStateResponse;
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber from;
 
     bool operator==(const ConfigurationStateRequest &) const = default;
@@ -2388,13 +2389,13 @@
     VmName vm;
     /** Its site. */
     std::string site;
-    /** Where the VM is. */
+    /** The failure domain of the VM. */
     FailureDomain failureDomain;
-    /** The version all its tasks work by. */
+    /** The version that all its tasks use. */
     std::uint64_t inForce = 0;
-    /** The newest it has heard of. */
+    /** The newest version that it knows. */
     std::uint64_t seen = 0;
-    /** Why it has not put a newer one into force; empty if nothing is in the way. */
+    /** Why a newer version is not in force; empty if nothing prevents it. */
     std::string obstacle;
 
     bool operator==(const ConfigurationStateResponse &) const = default;
@@ -2411,7 +2412,7 @@
 {
     static constexpr MessageNumber number{86};
     using Response = StatusResponse;
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber from;
 
     bool operator==(const StatusRequest &) const = default;
@@ -2427,7 +2428,7 @@
 struct StatusResponse
 {
     static constexpr MessageNumber number{87};
-    /** JSON, as docs/operators/status.md tells. */
+    /** JSON, as described in docs/operators/status.md. */
     std::string report;
 
     bool operator==(const StatusResponse &) const = default;
@@ -2439,15 +2440,16 @@
     }
 };
 
-/** Datagram: a node wants the load reports of replicas whose endpoints the receiver polls. Ends by itself unless renewed. */
+/** Datagram: a node subscribes to the load reports of replicas whose endpoints the receiver polls. The subscription expires
+ * unless renewed. */
 struct LoadInterest
 {
     static constexpr MessageNumber number{50};
-    /** Who wants them. */
+    /** The subscribing node. */
     SessionNumber from;
-    /** How far apart they may come at the closest. */
+    /** Minimum interval between two reports. */
     std::uint32_t intervalMilliseconds = 0;
-    /** Which replicas. */
+    /** The replicas. */
     std::vector<EndpointName> endpoints;
 
     bool operator==(const LoadInterest &) const = default;
@@ -2463,7 +2465,7 @@
 struct LoadReports
 {
     static constexpr MessageNumber number{51};
-    /** Who polls the endpoints. */
+    /** The node that polls the endpoints. */
     SessionNumber from;
     /** The latest reports. */
     std::vector<ReplicaReport> reports;
@@ -2477,11 +2479,12 @@
     }
 };
 
-/** Datagram: endpoints that are about to go. Sent to the node that polls them, and by that node to all, a few times over. */
+/** Datagram: endpoints that are about to stop. Sent to the node that polls them, and by that node to all nodes, repeated a few
+ * times. */
 struct EndpointLeaving
 {
     static constexpr MessageNumber number{52};
-    /** Who tells. */
+    /** The sending node. */
     SessionNumber from;
     /** The endpoints, each with its instance. */
     std::vector<ReplicaReport> reports;
@@ -2495,11 +2498,11 @@
     }
 };
 
-/** Datagram: a node tells the member that splits these tenants' limits how much it could use. */
+/** Datagram: a node reports to the member that splits the limits of these tenants how much it could use. */
 struct LimitDemands
 {
     static constexpr MessageNumber number{61};
-    /** Who tells. */
+    /** The sending node. */
     SessionNumber from;
     /** The demands. */
     std::vector<LimitAmount> amounts;
@@ -2513,13 +2516,13 @@
     }
 };
 
-/** Datagram: the parts that a node may use. */
+/** Datagram: the shares that a node may use. */
 struct LimitShares
 {
     static constexpr MessageNumber number{62};
-    /** Who splits. */
+    /** The node that splits the limits. */
     SessionNumber from;
-    /** The parts. */
+    /** The shares. */
     std::vector<LimitAmount> amounts;
 
     bool operator==(const LimitShares &) const = default;
@@ -2531,16 +2534,16 @@
     }
 };
 
-/** Datagram: which node has a duty from now on. Of two claims the one with the higher term counts; at the same term, that of the
- * higher session. */
+/** Datagram: a node is the coordinator of a role from now on. Of two claims the one with the higher term is valid; at the same
+ * term, the one of the higher session. */
 struct CoordinatorClaim
 {
     static constexpr MessageNumber number{144};
-    /** Names it; of a dispatcher: its service. */
+    /** Name of the role; for a dispatcher: its service. */
     std::string role;
-    /** Grows with each change of the holder. */
+    /** Raised with each change of the coordinator. */
     std::uint64_t term = 0;
-    /** Who has it. */
+    /** The coordinator. */
     SessionNumber coordinator;
 
     bool operator==(const CoordinatorClaim &) const = default;
@@ -2552,16 +2555,15 @@
     }
 };
 
-/** Datagram: the holder of a duty does not answer the sender. Told to the member that would have the duty if the holder were
- * gone. */
+/** Datagram: the coordinator of a role does not answer the sender. Sent to the member that would succeed it. */
 struct CoordinatorSuspicion
 {
     static constexpr MessageNumber number{145};
     /** As in CoordinatorClaim. */
     std::string role;
-    /** Who does not answer. */
+    /** The coordinator that does not answer. */
     SessionNumber coordinator;
-    /** Who did not get an answer. */
+    /** The suspecting member. */
     SessionNumber from;
 
     bool operator==(const CoordinatorSuspicion &) const = default;
@@ -2573,25 +2575,25 @@
     }
 };
 
-/** Datagram: a node asks a counter whether a request of a workspace may run. It is sent again until there is an answer. */
+/** Datagram: a node asks a counter whether a request of a workspace may run. Repeated until an answer arrives. */
 struct QuotaQuery
 {
     static constexpr MessageNumber number{146};
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber from;
-    /** Names the request at that node. */
+    /** Identifies the request at that node. */
     std::uint64_t ticket = 0;
-    /** Whose request it is. */
+    /** The workspace of the request. */
     WorkspaceName workspace;
-    /** Of the workspace's quota. */
+    /** Rate of the workspace's quota. */
     double perSecond = 0;
-    /** Of the workspace's quota. */
+    /** Burst of the workspace's quota. */
     double burst = 0;
-    /** Of the configuration that the quota stands in. */
+    /** Version of the configuration that defines the quota. */
     std::uint64_t version = 0;
-    /** Whether the holder of the duty did not answer, and its successor is asked. */
+    /** Whether the coordinator did not answer, so that its successor is queried. */
     bool isToSuccessor = false;
-    /** Where the asking node is, if this was passed on by another one. */
+    /** Address of the requesting node if another node forwarded this. */
     Address replyTo;
 
     bool operator==(const QuotaQuery &) const = default;
@@ -2614,11 +2616,11 @@
 struct QuotaAnswer
 {
     static constexpr MessageNumber number{147};
-    /** Of the QuotaQuery. */
+    /** Ticket of the QuotaQuery. */
     std::uint64_t ticket = 0;
     /** Whether the request may run. */
     bool isGranted = false;
-    /** Unless it may: after which there is room. */
+    /** If it may not run: time after which there is capacity. */
     std::chrono::milliseconds retryAfter = std::chrono::milliseconds(0);
 
     bool operator==(const QuotaAnswer &) const = default;
@@ -2630,19 +2632,20 @@
     }
 };
 
-/** Datagram: a counter that gives its duty up tells the next one what is left. What no part of it lists is whole. */
+/** Datagram: a counter that gives up its role sends the remaining quotas to the next one. Quotas that no datagram of the handover
+ * lists are unused. */
 struct QuotaHandover
 {
     static constexpr MessageNumber number{148};
-    /** Who had the duty. */
+    /** The former coordinator. */
     SessionNumber from;
-    /** Which of the counters. */
+    /** Number of the counter. */
     std::uint32_t part = 0;
-    /** Which datagram of the handover this is, from 0. */
+    /** Index of this datagram in the handover, from 0. */
     std::uint32_t index = 0;
-    /** Datagrams of the handover. */
+    /** Number of datagrams in the handover. */
     std::uint32_t count = 0;
-    /** The quotas that are not whole. */
+    /** The quotas that are partly used. */
     std::vector<QuotaBalance> balances;
 
     bool operator==(const QuotaHandover &) const = default;
@@ -2654,41 +2657,41 @@
     }
 };
 
-/** Datagram: a node asks the dispatcher of a service for a place. It is sent again until there is an answer. */
+/** Datagram: a node requests a slot from the dispatcher of a service. Repeated until an answer arrives. */
 struct SlotRequest
 {
     static constexpr MessageNumber number{120};
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber from;
-    /** Names the request at that node. */
+    /** Identifies the request at that node. */
     std::uint64_t ticket = 0;
-    /** The service that is to run it. */
+    /** The service that shall run it. */
     std::string service;
-    /** Whether it is a batch item, which makes room for others. */
+    /** Whether it is a batch item, which yields to other requests. */
     bool isBatch = false;
-    /** Of its route; the most urgent is 0. */
+    /** Priority of its route; 0 is the most urgent. */
     std::uint32_t priority = 0;
-    /** How long it has waited so far. */
+    /** Time that it has waited so far. */
     std::chrono::milliseconds waited = std::chrono::milliseconds(0);
-    /** Within which it has to have a place to be on time, counted from its arrival. */
+    /** Time from its arrival within which it needs a slot. */
     std::chrono::milliseconds objective = std::chrono::milliseconds(0);
-    /** How long its caller will wait from now on. */
+    /** Remaining time that its caller waits. */
     std::chrono::milliseconds timeout = std::chrono::milliseconds(0);
-    /** Where the asking node is. */
+    /** The failure domain of the requesting node. */
     FailureDomain failureDomain;
-    /** Hash of what it asks for: a request that was sent away is known by it when it comes back. */
+    /** Hash of the request's content, by which a refused request is recognised when it is retried. */
     std::uint64_t content = 0;
-    /** Whether it has never been at a replica, so that a refusal would be true. */
+    /** Whether it was never sent to a replica, so that it may be refused as not run. */
     bool mayRefuse = false;
-    /** Replicas that turned it away or failed it. */
+    /** Replicas that rejected it or failed while running it. */
     std::vector<EndpointName> avoided;
-    /** Marks of the replicas to which the asking node has an open connection. */
+    /** Hashes of the replicas to which the requesting node has an open connection. */
     std::vector<std::uint32_t> connected;
-    /** The only version that can go on with its stream; empty: any will do. */
+    /** The only version that can continue its stream; empty: any version. */
     SoftwareVersion version;
-    /** Of a stream whose version nobody knows: how long the service must have had no more than one version; else 0. */
+    /** For a stream of unknown version: how long the service must have had only one version; else 0. */
     std::chrono::milliseconds soleVersionFor = std::chrono::milliseconds(0);
-    /** Where the asking node is, if this was passed on by another one. */
+    /** Address of the requesting node if another node forwarded this. */
     Address replyTo;
 
     bool operator==(const SlotRequest &) const = default;
@@ -2719,21 +2722,21 @@
 struct PlacementAnswer
 {
     static constexpr MessageNumber number{121};
-    /** Of the SlotRequest. */
+    /** Ticket of the SlotRequest. */
     std::uint64_t ticket = 0;
     /** The service. */
     std::string service;
-    /** What was decided. */
+    /** The decision. */
     PlacementDecision decision = PlacementDecision::Waiting;
-    /** Of Placed: where it goes. */
+    /** With Placed: the selected replica. */
     EndpointName replica;
-    /** Of Refused: after which there is room. */
+    /** With Refused: time after which there is capacity. */
     std::chrono::milliseconds retryAfter = std::chrono::milliseconds(0);
-    /** Of Placed: where that replica takes requests. */
+    /** With Placed: where that replica accepts requests. */
     Address address;
-    /** Of Placed: the name under which it registers itself. */
+    /** With Placed: the name under which the replica registers itself. */
     EndpointName registeredName;
-    /** Of Placed: of that replica's software. */
+    /** With Placed: the software version of that replica. */
     SoftwareVersion version;
 
     bool operator==(const PlacementAnswer &) const = default;
@@ -2757,19 +2760,19 @@
     }
 };
 
-/** Datagram: a placed or waiting request is over. */
+/** Datagram: a placed or waiting request has ended. */
 struct PlacementEnd
 {
     static constexpr MessageNumber number{122};
-    /** Who asked. */
+    /** The node that requested the slot. */
     SessionNumber from;
-    /** Which. */
+    /** Ticket of the request. */
     std::uint64_t ticket = 0;
     /** The service. */
     std::string service;
-    /** What it tells of the replica. */
+    /** How the request ended at the replica. */
     PlacementVerdict verdict = PlacementVerdict::Finished;
-    /** Whether it was passed on by another node. */
+    /** Whether another node forwarded it. */
     bool isPassedOn = false;
 
     bool operator==(const PlacementEnd &) const = default;
@@ -2786,20 +2789,20 @@
     }
 };
 
-/** Datagram: all that a node has at the replicas of a service. It corrects what lost datagrams left wrong, and tells a new
- * dispatcher what runs. */
+/** Datagram: all requests of a node that run at the replicas of a service. Corrects the counts after lost datagrams and informs a
+ * new dispatcher. */
 struct PlacementsRunning
 {
     static constexpr MessageNumber number{123};
-    /** Who tells. */
+    /** The sending node. */
     SessionNumber from;
     /** The service. */
     std::string service;
-    /** Tickets above it are not covered. */
+    /** Highest ticket that the list covers. */
     std::uint64_t lastTicket = 0;
     /** The requests. */
     std::vector<RunningPlacement> running;
-    /** Where the telling node is, if this was passed on by another one. */
+    /** Address of the sending node if another node forwarded this. */
     Address replyTo;
 
     bool operator==(const PlacementsRunning &) const = default;
@@ -2811,17 +2814,17 @@
     }
 };
 
-/** Datagram: a replica has begun to answer, and said how much it has. */
+/** Datagram: a replica has started to answer and reported its load. */
 struct PlacementStarted
 {
     static constexpr MessageNumber number{143};
     /** The replica's service. */
     std::string service;
-    /** Who said it. */
+    /** The replica. */
     EndpointName replica;
-    /** What it said. */
+    /** The reported load. */
     ReportedLoad load;
-    /** Whether this was passed on by another node. */
+    /** Whether another node forwarded this. */
     bool isPassedOn = false;
 
     bool operator==(const PlacementStarted &) const = default;
@@ -2833,7 +2836,7 @@
     }
 };
 
-/** The newest configuration that a node has, as the platform holds it. */
+/** The newest configuration that a node has, in the form that the platform stores. */
 struct ConfigurationText
 {
     static constexpr MessageNumber number{124};
@@ -2856,7 +2859,7 @@
 {
     static constexpr MessageNumber number{125};
     using Response = ConfigurationText;
-    /** The version that the asking node has; an older one is not sent. */
+    /** The version that the requesting node has; an older one is not sent. */
     std::uint64_t known = 0;
 
     bool operator==(const ConfigurationTextRequest &) const = default;
@@ -2868,11 +2871,11 @@
     }
 };
 
-/** Datagram: a job was ended by its caller; whoever runs its items stops them. */
+/** Datagram: the caller ended a job; nodes that run its items stop them. */
 struct JobEnded
 {
     static constexpr MessageNumber number{126};
-    /** Which. */
+    /** The job. */
     JobId job;
 
     bool operator==(const JobEnded &) const = default;
@@ -2884,11 +2887,11 @@
     }
 };
 
-/** Datagram: the rows of open jobs name the receiver as their runner. If it does not know of them, it looks at the rows. */
+/** Datagram: the rows of open jobs name the receiver as their runner. If it does not know the jobs, it reads the rows. */
 struct JobReminder
 {
     static constexpr MessageNumber number{152};
-    /** Which. */
+    /** The jobs. */
     std::vector<JobId> jobs;
 
     bool operator==(const JobReminder &) const = default;
@@ -2900,7 +2903,7 @@
     }
 };
 
-/** Record: the items of a job. Written once, at its submission. */
+/** Record: the items of a job, written once at its submission. */
 struct JobContent
 {
     static constexpr MessageNumber number{127};
@@ -2916,7 +2919,7 @@
     }
 };
 
-/** Record: where a job stands. Every change of a job changes it, so its version orders them. */
+/** Record: the state of a job. Every change of a job writes this row, so its version orders the changes. */
 struct JobHead
 {
     static constexpr MessageNumber number{128};
@@ -2926,17 +2929,17 @@
     std::string host;
     /** When it was accepted. */
     StoreTime submitted;
-    /** How many items it has. */
+    /** Number of items. */
     std::uint32_t total = 0;
-    /** Rows that hold its content; 0: an object of the job's name does. */
+    /** Number of rows that hold its content; 0: an object named after the job holds it. */
     std::uint32_t contentChunks = 0;
     /** The items that have a result, by their number in the submission, in the order of the results. */
     std::vector<std::uint32_t> finishedItems;
     /** The items whose run failed at a replica, once for each failure. */
     std::vector<std::uint32_t> failures;
-    /** Whether its caller ended it. */
+    /** Whether its caller has ended it. */
     bool isEnded = false;
-    /** Whose it is; empty if callers needed no key when it was submitted. */
+    /** The workspace that owns it; empty if callers needed no key when it was submitted. */
     WorkspaceName workspace;
 
     bool operator==(const JobHead &) const = default;
@@ -2956,7 +2959,7 @@
     }
 };
 
-/** Record: a job that has items without a result. Removed with the last result, or when the job is ended. */
+/** Record: a job with items that have no result yet. Removed with the last result or when the job is ended. */
 struct OpenJob
 {
     static constexpr MessageNumber number{129};
@@ -2966,7 +2969,7 @@
     WorkspaceName workspace;
     /** Tokens of the items without a result. */
     std::uint64_t waitingTokens = 0;
-    /** The node that runs its items, for as long as it is there. */
+    /** The node that runs its items while it is a member. */
     SessionNumber runner;
 
     bool operator==(const OpenJob &) const = default;
@@ -2982,9 +2985,9 @@
 struct ItemResultRecord
 {
     static constexpr MessageNumber number{130};
-    /** Names the item. */
+    /** Identifies the item. */
     std::string id;
-    /** Whether it has its whole output; else it was given up. */
+    /** Whether the output is complete; else the item was given up. */
     bool isCompleted = false;
     /** The data of its events, joined by line feeds. */
     std::string output;
@@ -2998,13 +3001,13 @@
     }
 };
 
-/** Record: a node tells the others how to reach it. */
+/** Record: how to reach a node. */
 struct NodeRecord
 {
     static constexpr MessageNumber number{131};
-    /** Which start of the node. */
+    /** Identifies one start of the node. */
     SessionNumber session;
-    /** Where it takes datagrams. */
+    /** Where it receives datagrams. */
     Address gossip;
 
     bool operator==(const NodeRecord &) const = default;
@@ -3016,16 +3019,16 @@
     }
 };
 
-/** Datagram: a replica broke off while it ran a request; a request that does so again and again is refused everywhere. */
+/** Datagram: a replica disconnected while it ran a request. A request that causes this repeatedly is refused by all nodes. */
 struct CrashNotice
 {
     static constexpr MessageNumber number{132};
-    /** Hash of what the request asks for. */
+    /** Hash of the request's content. */
     std::uint64_t fingerprint = 0;
-    /** Which replica. */
+    /** The replica. */
     EndpointName replica;
-    /** Hashes of the parts of its prompt that other requests may have too, in their order; none if the replica had written some
-     * of the answer. */
+    /** Hashes of the parts of its prompt that other requests may share, in order; none if the replica had already sent a part of
+     * the answer. */
     std::vector<std::uint64_t> promptParts;
 
     bool operator==(const CrashNotice &) const = default;
@@ -3037,7 +3040,7 @@
     }
 };
 
-/** Datagram: replicas have served prompts with parts that crashes were held against. */
+/** Datagram: replicas have served prompts with parts to which crashes were attributed. */
 struct PromptPartsServed
 {
     static constexpr MessageNumber number{158};
@@ -3053,11 +3056,11 @@
     }
 };
 
-/** Datagram: a replica has answered a request whole that crashes were held against. */
+/** Datagram: a replica has completely answered a request to which crashes were attributed. */
 struct RequestServed
 {
     static constexpr MessageNumber number{159};
-    /** Hash of what the request asks for. */
+    /** Hash of the request's content. */
     std::uint64_t fingerprint = 0;
 
     bool operator==(const RequestServed &) const = default;
@@ -3069,12 +3072,12 @@
     }
 };
 
-/** Datagram: asks another node for the crashes that it knows. Notices may have been lost, or came before the asking node was
- * there. */
+/** Datagram: asks another node for the crashes that it knows, as notices may have been lost or sent before the requesting node
+ * started. */
 struct CrashQuery
 {
     static constexpr MessageNumber number{153};
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber from;
 
     bool operator==(const CrashQuery &) const = default;
@@ -3090,9 +3093,9 @@
 struct CrashCounts
 {
     static constexpr MessageNumber number{154};
-    /** Of the requests with most crashes. */
+    /** Crashes of the requests with the most crashes. */
     std::vector<CrashCount> counts;
-    /** The parts of prompts that it has blocked. */
+    /** The prompt parts that it has blocked. */
     std::vector<BlockedPromptPart> blocked;
 
     bool operator==(const CrashCounts &) const = default;
@@ -3104,17 +3107,17 @@
     }
 };
 
-/** Datagram: where a stream began. Its receiver remembers it for whoever goes on with the stream. */
+/** Datagram: the origin of a stream. The receiver stores it for the node that continues the stream. */
 struct StreamStarted
 {
     static constexpr MessageNumber number{155};
-    /** Hash of the id of the attempt that brought its first event. */
+    /** Hash of the id of the attempt that produced its first event. */
     std::uint64_t request = 0;
-    /** Of the replica that began it. */
+    /** Service of the replica that started it. */
     std::string service;
-    /** Of that replica. */
+    /** Software version of that replica. */
     SoftwareVersion version;
-    /** How long its caller may take it up again. */
+    /** How long its caller may resume it. */
     std::chrono::milliseconds lifetime = std::chrono::milliseconds(0);
 
     bool operator==(const StreamStarted &) const = default;
@@ -3126,13 +3129,13 @@
     }
 };
 
-/** Datagram: asks where a stream began. It is sent again until there is an answer. */
+/** Datagram: asks for the origin of a stream. Repeated until an answer arrives. */
 struct StreamOriginQuery
 {
     static constexpr MessageNumber number{156};
-    /** Names the question at the asking node. */
+    /** Identifies the query at the requesting node. */
     std::uint64_t ticket = 0;
-    /** Of the StreamStarted. */
+    /** As in StreamStarted. */
     std::uint64_t request = 0;
 
     bool operator==(const StreamOriginQuery &) const = default;
@@ -3148,15 +3151,15 @@
 struct StreamOriginAnswer
 {
     static constexpr MessageNumber number{157};
-    /** Who answers. */
+    /** The answering node. */
     SessionNumber from;
-    /** Of the question. */
+    /** Ticket of the query. */
     std::uint64_t ticket = 0;
-    /** Whether it remembers the stream. */
+    /** Whether it knows the stream. */
     bool isKnown = false;
-    /** Of the StreamStarted. */
+    /** As in StreamStarted. */
     std::string service;
-    /** Of the StreamStarted. */
+    /** As in StreamStarted. */
     SoftwareVersion version;
 
     bool operator==(const StreamOriginAnswer &) const = default;
@@ -3172,19 +3175,20 @@
 struct ReplicaRecords
 {
     static constexpr MessageNumber number{133};
-    /** Whether it has read the list at all. */
+    /** Whether it has read the list. */
     bool isKnown = false;
-    /** When the store last answered it, counted back. */
+    /** Time since the store last answered it. */
     std::chrono::milliseconds age = std::chrono::milliseconds(0);
-    /** Of the store's table: what came later is not in the list. 0: the list is not the table as it was at any version. */
+    /** Version of the store's table; later changes are not in the list. 0: the list does not match any one version of the table.
+     */
     std::uint64_t version = 0;
     /** Hash of the list. */
     std::uint64_t fingerprint = 0;
-    /** The list, unless the asking node has it. */
+    /** The list, unless the requesting node already has it. */
     std::vector<ReplicaRecord> replicas;
-    /** Whether it is the list of all replicas, or a set that was chosen for the asking node. */
+    /** Whether it lists all replicas, or else a subset that was selected for the requesting node. */
     bool isComplete = false;
-    /** Whether the asking node had the same list when it asked, which is not enclosed then. */
+    /** Whether the requesting node already has this list, which is then not enclosed. */
     bool isUnchanged = false;
 
     bool operator==(const ReplicaRecords &) const = default;
@@ -3196,18 +3200,18 @@
     }
 };
 
-/** Asks a node for the replicas that it knows: from one that has not read them, or does not reach the store. */
+/** Asks a node for the replicas that it knows. Sent by a node that has not read them or cannot reach the store. */
 struct ReplicaRecordsRequest
 {
     static constexpr MessageNumber number{134};
     using Response = ReplicaRecords;
-    /** Who asks. */
+    /** The requesting node. */
     SessionNumber from;
-    /** Hash of the list that it has; 0: none. */
+    /** Hash of the list that the requesting node has; 0: none. */
     std::uint64_t fingerprint = 0;
-    /** How many replicas of each service it wants to know; 0: all. */
+    /** Maximum number of replicas of each service to send; 0: all. */
     std::uint32_t maxPerService = 0;
-    /** Where it is: replicas there are told before others. */
+    /** The failure domain of the requesting node; replicas in it are preferred. */
     FailureDomain failureDomain;
 
     bool operator==(const ReplicaRecordsRequest &) const = default;
@@ -3219,7 +3223,7 @@
     }
 };
 
-/** Record: a part of what an item has generated before it has its result. Whoever runs it next goes on behind it. */
+/** Record: a part of the output that an item has generated before it has its result. The next runner continues after it. */
 struct ItemProgress
 {
     static constexpr MessageNumber number{135};
@@ -3231,13 +3235,13 @@
     std::uint64_t lastEvent = 0;
     /** The data of these events, joined by line feeds. */
     std::string output;
-    /** Names the run at a replica that generated the first event. */
+    /** Identifies the run at a replica that generated the first event. */
     std::uint64_t firstRun = 0;
-    /** The event behind which that run was asked to go on; 0: it began at the start. */
+    /** The event after which that run was asked to continue; 0: it started from the beginning. */
     std::uint64_t firstRunAfter = 0;
-    /** Names the run that generated the last event. */
+    /** Identifies the run that generated the last event. */
     std::uint64_t lastRun = 0;
-    /** Of the replicas that generated it. */
+    /** Software version of the replicas that generated it. */
     SoftwareVersion version;
 
     bool operator==(const ItemProgress &) const = default;
@@ -3256,15 +3260,15 @@
     }
 };
 
-/** What became of a transaction that another node made for the asking one. */
+/** The outcome of a transaction that another node made for the requesting node. */
 struct StoreTransactResponse
 {
     static constexpr MessageNumber number{136};
-    /** Of the store's client: done, refused, not applied or unknown. */
+    /** Outcome of the store's client: done, refused, not applied or unknown. */
     std::uint32_t outcome = 0;
-    /** That the rows have now. */
+    /** The version that the rows have now. */
     std::uint64_t version = 0;
-    /** With a refusal: the expected rows that are there. */
+    /** With a refusal: the present state of the expected rows. */
     std::vector<StoreRow> current;
     /** The time at the store. */
     StoreTime storeNow;
@@ -3278,7 +3282,7 @@
     }
 };
 
-/** Asks a node that reaches the store to make a transaction for one that does not. */
+/** Asks a node that reaches the store to make a transaction for a node that does not. */
 struct StoreTransactRequest
 {
     static constexpr MessageNumber number{137};
@@ -3287,7 +3291,7 @@
     std::vector<StoreRow> expectations;
     /** New values. */
     std::vector<StoreRow> puts;
-    /** Rows to be removed. */
+    /** Rows to remove. */
     std::vector<StoreRow> removals;
 
     bool operator==(const StoreTransactRequest &) const = default;
@@ -3299,7 +3303,7 @@
     }
 };
 
-/** What another node read for the asking one. */
+/** The rows that another node read for the requesting node. */
 struct StoreReadResponse
 {
     static constexpr MessageNumber number{138};
@@ -3323,7 +3327,7 @@
     }
 };
 
-/** Asks a node that reaches the store to read rows for one that does not. */
+/** Asks a node that reaches the store to read rows for a node that does not. */
 struct StoreReadRequest
 {
     static constexpr MessageNumber number{139};
@@ -3334,9 +3338,9 @@
     std::string part;
     /** The first key. */
     std::string from;
-    /** The key behind the last; empty: to the end. */
+    /** The key after the last one to read; empty: to the end. */
     std::string to;
-    /** How many rows at most; 0: as many as one answer holds. */
+    /** Maximum number of rows; 0: as many as one answer holds. */
     std::uint32_t limit = 0;
 
     bool operator==(const StoreReadRequest &) const = default;
@@ -3352,13 +3356,13 @@
 struct FeedAnswer
 {
     static constexpr MessageNumber number{149};
-    /** Whether it could answer. */
+    /** Whether rows are enclosed; else why not. */
     FeedOutcome outcome = FeedOutcome::Delivered;
     /** The changes in their order, or a part of the table in the order of its keys. */
     std::vector<FeedRow> rows;
-    /** Of the table: what came later is not enclosed. */
+    /** Version of the table; later changes are not enclosed. */
     std::uint64_t version = 0;
-    /** Of a reading: whether there are more rows. */
+    /** After a read: whether there are more rows. */
     bool isTruncated = false;
 
     bool operator==(const FeedAnswer &) const = default;
@@ -3375,7 +3379,7 @@
     }
 };
 
-/** Asks a relay for a table. */
+/** Asks a relay to read a table. */
 struct FeedReadRequest
 {
     static constexpr MessageNumber number{150};
@@ -3394,16 +3398,16 @@
     }
 };
 
-/** Asks a relay for the changes of a table; answered as soon as there is one. */
+/** Asks a relay for the changes of a table; answered as soon as there is a change. */
 struct FeedFollowRequest
 {
     static constexpr MessageNumber number{151};
     using Response = FeedAnswer;
     /** The table. */
     std::string table;
-    /** The version behind which the changes are wanted. */
+    /** The version after which changes are requested. */
     std::uint64_t since = 0;
-    /** How long to wait for one. */
+    /** Maximum time to wait for a change. */
     std::chrono::milliseconds wait = std::chrono::milliseconds(0);
 
     bool operator==(const FeedFollowRequest &) const = default;
