--- a/Libraries/LibSettings/Generated/Settings.h
+++ b/Libraries/LibSettings/Generated/Settings.h
@@ -14,11 +14,11 @@
 namespace Dogwoodkeel
 {
 
-/** Where the platform's service is. */
+/** How the platform's service is reached. */
 enum class PlatformKind : std::uint8_t {
-    /** Reached by HTTP at platform.address. */
+    /** By HTTP at platform.address. */
     Http,
-    /** Inside this process: for a trial on one VM. Nothing outlives the process. */
+    /** Inside this process, for trials on one VM. No data survives the process. */
     Embedded,
 };
 
@@ -26,38 +26,38 @@
 enum class LogDetail : std::uint8_t {
     /** Every request. */
     Debug,
-    /** What changes. */
+    /** Changes of state. */
     Info,
-    /** What needs a look. */
+    /** Conditions to investigate. */
     Warning,
-    /** What needs a person. */
+    /** Faults that need an operator. */
     Error,
 };
 
-/** How batch items make room for online requests. */
+/** How batch items yield to online requests. */
 enum class BatchPolicy : std::uint8_t {
-    /** They fill what online requests leave, and stop for them. */
+    /** Batch items use the capacity that online requests leave, and are stopped for them. */
     Yield,
-    /** Each replica runs batch.fixed_limit of them, whatever else runs. */
+    /** Each replica runs up to batch.fixed_limit batch items, independent of online requests. */
     FixedLimit,
-    /** They take every free place, and stop for nothing. */
+    /** Batch items use every free slot and are never stopped. */
     Unlimited,
 };
 
-/** This VM. Stated per VM, in a file of its own. */
+/** This VM. Set per VM, in its own file. */
 struct NodeSettings
 {
-    /** Name of this VM, as the platform's list of VMs has it. */
+    /** Name of this VM in the platform's list of VMs. */
     std::string vm;
     /** The failure domain this VM is in. */
     std::string failureDomain;
-    /** The site this VM is at: which overlay of a configuration version it works by. */
+    /** The site of this VM; selects the overlay of a configuration version. */
     std::string site;
     /** How much is logged: debug, info, warning or error. */
     LogDetail log = LogDetail::Info;
 };
 
-/** Where this VM listens. Port 0 takes a free one. */
+/** Where this VM listens. Port 0 selects a free port. */
 struct ListenSettings
 {
     /** For callers and operators (HTTP/1.1). */
@@ -75,190 +75,191 @@
 {
     /** http or embedded. */
     PlatformKind kind = PlatformKind::Http;
-    /** Where it is, for kind http. */
+    /** Its address, for kind http. */
     Address address = *Address::parse("127.0.0.1:7000");
-    /** Writes a second that all nodes together may make; the journals' group commits are paced by it. */
+    /** Maximum writes per second of all nodes together; limits the rate of the journals' group commits. */
     std::int64_t writesPerSecond = 300;
-    /** Reads a second that all nodes together may make. */
+    /** Maximum reads per second of all nodes together. */
     std::int64_t readsPerSecond = 2000;
-    /** How long one call may take before its outcome counts as unknown. */
+    /** Time after which the outcome of a call counts as unknown. */
     std::chrono::milliseconds timeout = std::chrono::milliseconds(2000);
-    /** Largest row; what is larger goes to an object. */
+    /** Maximum size of a row; larger content is stored in an object. */
     std::int64_t rowBytes = 32768;
 };
 
-/** How the nodes of the system talk to each other. */
+/** Communication between the nodes. */
 struct PeerSettings
 {
     /** Shared secret that authenticates every frame and datagram. Required when more than one node runs. */
     std::string siteKey;
-    /** Gossip addresses to join by when the platform is down. */
+    /** Gossip addresses used for joining while the platform is down. */
     std::vector<Address> seeds;
-    /** How long a call to another node may take, beyond what the call itself waits for. */
+    /** Timeout of a call to another node, in addition to the wait that the call itself requests. */
     std::chrono::milliseconds callTimeout = std::chrono::milliseconds(5000);
-    /** Largest frame taken from another node. */
+    /** Maximum size of a frame accepted from another node. */
     std::int64_t frameBytes = 16777216;
 };
 
-/** How nodes notice each other's coming and going. */
+/** How nodes detect that others join, leave or fail. */
 struct MembershipSettings
 {
     /** How often a node probes another. */
     std::chrono::milliseconds probeInterval = std::chrono::milliseconds(200);
-    /** How long to wait for the answer before others are asked to probe. */
+    /** Time to wait for the answer before other members are asked to probe. */
     std::chrono::milliseconds probeTimeout = std::chrono::milliseconds(100);
-    /** How long a suspected node has to refute before it counts as dead. */
+    /** Time in which a suspected node must refute the suspicion before it counts as dead. */
     std::chrono::milliseconds suspicion = std::chrono::milliseconds(1000);
 };
 
-/** Shards, journals and what they keep. */
+/** Shards, journals and the data that they keep. */
 struct OwnerSettings
 {
-    /** How many shards the ids are split into. Fixed for the life of a deployment. */
+    /** Number of shards for the ids. Fixed for the lifetime of a deployment. */
     std::int64_t shards = 64;
-    /** Shortest time between two writes of one journal; stretched as the write budget demands. */
+    /** Minimum time between two writes of one journal; increased as the write budget requires. */
     std::chrono::milliseconds groupInterval = std::chrono::milliseconds(5);
-    /** How long a write may wait for more records to share it, while they come in fast. */
+    /** How long a write may wait for more records to include while they arrive quickly. */
     std::chrono::milliseconds groupGather = std::chrono::milliseconds(75);
-    /** How long a runner may keep an idempotent request before another may run it. */
+    /** How long a runner may hold an idempotent request before another may run it. */
     std::chrono::milliseconds claimLease = std::chrono::milliseconds(120000);
-    /** How long a request's result stays readable at least. An id used again after that runs again. */
+    /** Minimum time that the result of a request stays readable. A request that reuses the id after that runs again. */
     std::chrono::milliseconds resultRetention = std::chrono::milliseconds(604800000);
-    /** Results that one shard keeps in memory beside those not yet in its index, in bytes; older ones are read from the object
-     * store. */
+    /** Bytes of results that one shard keeps in memory in addition to those not yet in its index; older results are read from the
+     * object store. */
     std::int64_t recentBytes = 4194304;
-    /** A shard writes a checkpoint when it has so many bytes of new results. */
+    /** Bytes of new results after which a shard writes a checkpoint. */
     std::int64_t checkpointBytes = 4194304;
-    /** A shard writes a checkpoint when its owner's journal has grown by so many groups: what a new owner reads at most. */
+    /** Groups added to the owner's journal after which a shard writes a checkpoint; the maximum that a new owner reads. */
     std::int64_t checkpointGroups = 2000;
-    /** Results a node holds unwritten while the platform takes no writes. */
+    /** Maximum unwritten results that a node holds while the platform accepts no writes. */
     std::int64_t heldResults = 10000;
 };
 
-/** What callers see. */
+/** The interface for callers. */
 struct EntrySettings
 {
-    /** Largest body of an online request. */
+    /** Maximum size of the body of an online request. */
     std::int64_t bodyBytes = 4194304;
-    /** Largest body of a job's submission. */
+    /** Maximum size of the body of a job's submission. */
     std::int64_t jobBytes = 1073741824;
-    /** Largest headers of a request, all together. */
+    /** Maximum total size of the headers of a request. */
     std::int64_t headerBytes = 65536;
-    /** How long a request's headers may take; found with a delay of up to the same time. */
+    /** How long receiving the headers of a request may take; detected with a delay of up to the same time. */
     std::chrono::milliseconds headerTimeout = std::chrono::milliseconds(10000);
-    /** How long a caller's connection may be idle, or leave an answer unread. */
+    /** How long a caller's connection may be idle or leave an answer unread. */
     std::chrono::milliseconds idleTimeout = std::chrono::milliseconds(120000);
-    /** What a caller may leave unread of a stream before its connection is closed; the answer is kept. */
+    /** Bytes of a stream that a caller may leave unread before its connection is closed; the answer is kept. */
     std::int64_t unreadBytes = 4194304;
-    /** How long a caller may keep an answer of /v1/entries. */
+    /** How long a caller may cache an answer of /v1/entries. */
     std::chrono::milliseconds entryTtl = std::chrono::milliseconds(10000);
-    /** How many addresses an answer of /v1/entries names. */
+    /** Number of addresses in an answer of /v1/entries. */
     std::int64_t entryCount = 3;
-    /** How long a planned stop may take at most. */
+    /** Maximum duration of a planned stop. */
     std::chrono::milliseconds drain = std::chrono::milliseconds(30000);
     /** How long connecting to an endpoint may take before another is tried. */
     std::chrono::milliseconds connectTimeout = std::chrono::milliseconds(1000);
-    /** How long an endpoint may take to begin its answer to a completion. */
+    /** How long an endpoint may take to start its answer to a completion. */
     std::chrono::milliseconds firstByteTimeout = std::chrono::milliseconds(10000);
-    /** How long an answer may be silent before it is resumed, over a new connection first and elsewhere then. */
+    /** How long an answer may make no progress before it is resumed, first over a new connection and then at another endpoint. */
     std::chrono::milliseconds progressTimeout = std::chrono::milliseconds(2000);
-    /** Deadline of an online request whose caller named none. */
+    /** Deadline of an online request whose caller stated none. */
     std::chrono::milliseconds requestTimeout = std::chrono::milliseconds(120000);
-    /** Requests for one model or service that wait in a node for room at its replicas. */
+    /** Maximum requests for one model or service that wait in a node for capacity at its replicas. */
     std::int64_t queueLength = 256;
-    /** How much of a replica's capacity may be in use before requests wait in the node. Above 1 the replica has the next requests
-     * at hand while other nodes' load is known late. */
+    /** Share of a replica's capacity that may be in use before requests wait in the node. Above 1 the replica has the next
+     * requests queued, as the load of other nodes is known late. */
     double overcommit = 1.25;
-    /** Tries of one idempotent request at most. */
+    /** Maximum attempts of one idempotent request. */
     std::int64_t attempts = 3;
 };
 
-/** How many retries a node makes for one tenant, and towards one endpoint. */
+/** Limits on the retries that a node makes for one tenant and to one endpoint. */
 struct RetrySettings
 {
-    /** Retries that one success pays for. */
+    /** Retries added to the budget by one success. */
     double perSuccess = 0.2;
-    /** Retries a second that are free. */
+    /** Retries per second added to the budget independent of successes. */
     double perSecond = 1;
-    /** Retries that may be saved up: as many requests as a node may lose with one endpoint. */
+    /** Maximum retries in the budget: the number of requests that a node may lose with one endpoint. */
     double burst = 50;
 };
 
 /** Requests that crash the endpoints that run them. */
 struct QuarantineSettings
 {
-    /** Endpoints lost with a request after which it runs no more. */
+    /** Number of endpoints lost while running a request after which it is no longer run. */
     std::int64_t losses = 2;
     /** How long a suspicion or a quarantine lasts after the last loss. */
     std::chrono::milliseconds duration = std::chrono::milliseconds(600000);
-    /** Suspected requests a node remembers. */
+    /** Maximum suspected requests that a node stores. */
     std::int64_t remembered = 10000;
 };
 
 /** Batch jobs and the lanes that run them. */
 struct BatchSettings
 {
-    /** Items a job may have. */
+    /** Maximum items of a job. */
     std::int64_t items = 260000;
-    /** Largest item. */
+    /** Maximum size of an item. */
     std::int64_t itemBytes = 262144;
-    /** Items kept together in one object. */
+    /** Items stored in one object. */
     std::int64_t itemsPerObject = 500;
-    /** How long a lane may keep an item without renewing. */
+    /** How long a lane may hold an item without renewing its lease. */
     std::chrono::milliseconds itemLease = std::chrono::milliseconds(30000);
-    /** Tries of an item before it ends failed. */
+    /** Attempts of an item before it fails. */
     std::int64_t itemAttempts = 3;
-    /** When a job is due whose caller named no time. */
+    /** Time after which a job is due if its caller stated none. */
     std::chrono::milliseconds due = std::chrono::milliseconds(43200000);
-    /** How often a lane looks for items. */
+    /** How often a lane requests items. */
     std::chrono::milliseconds pullInterval = std::chrono::milliseconds(50);
-    /** Places of a replica kept free for online requests at least; more are kept as online requests are seen to come faster. */
+    /** Minimum slots of a replica kept free for online requests; more are kept as the rate of online requests grows. */
     std::int64_t headroom = 1;
-    /** How batch items make room for online requests: yield, fixed_limit or unlimited. */
+    /** How batch items yield to online requests: yield, fixed_limit or unlimited. */
     BatchPolicy policy = BatchPolicy::Yield;
-    /** With policy fixed_limit: batch items a replica runs side by side. */
+    /** With policy fixed_limit: concurrent batch items of a replica. */
     std::int64_t fixedLimit = 4;
-    /** How much longer the time between an online request's tokens may get because of batch items beside it; 0.1 for a tenth. */
+    /** Relative increase that concurrent batch items may cause in the time between the tokens of an online request; 0.1 for a
+     * tenth. */
     double slowdown = 0.1;
-    /** From an online request's dispatch until the places of cancelled batch items are free at the engine. */
+    /** Time from the dispatch of an online request until the slots of cancelled batch items are free at the engine. */
     std::chrono::milliseconds reaction = std::chrono::milliseconds(50);
-    /** Items that wait on a node for one model at most, to be started as soon as a place is free. */
+    /** Maximum items for one model that wait on a node, to be started as soon as a slot is free. */
     std::int64_t prefetch = 64;
 };
 
-/** What is learnt of endpoints, and how one is chosen. */
+/** Monitoring and selection of endpoints. */
 struct FleetSettings
 {
-    /** How often an endpoint's load report and cache events are read, by one node for all. */
+    /** How often one node reads an endpoint's load report and cache events for all nodes. */
     std::chrono::milliseconds loadPoll = std::chrono::milliseconds(200);
-    /** Load reports a node lets the others send it; with more replicas in use they come less often. */
+    /** Maximum rate of load reports that other nodes send to a node; with more replicas in use, reports are less frequent. */
     std::int64_t loadBytesPerSecond = 4096;
-    /** How late the load reports of endpoints are that do not say it themselves. */
+    /** Age of the load reports of endpoints that do not state it. */
     std::chrono::milliseconds loadLag = std::chrono::milliseconds(0);
-    /** How fast the average of a replica's load reports forgets. How fast the last report itself ages follows from how long
-     * requests last. */
+    /** Half-life of the average of a replica's load reports. The ageing of the last report follows from the duration of requests.
+     */
     std::chrono::milliseconds loadHalfLife = std::chrono::milliseconds(5000);
-    /** How fast the measured service time forgets. */
+    /** Half-life of the measured service time. */
     std::chrono::milliseconds latencyHalfLife = std::chrono::milliseconds(5000);
-    /** How fast the measured share of failures forgets. */
+    /** Half-life of the measured share of failures. */
     std::chrono::milliseconds failureHalfLife = std::chrono::milliseconds(10000);
-    /** How much of a prompt's start sends requests that share it to the same replica. */
+    /** Length of the prompt prefix by which requests are routed to the same replica. */
     std::int64_t prefixBytes = 256;
-    /** How far above the pool's mean load a replica may be to get a request for its cached prefix. */
+    /** Maximum load of a replica, relative to the mean of the pool, at which it gets a request because of its cached prefix. */
     double prefixLoadBound = 1.25;
-    /** Failures in a row after which a replica gets no requests for a while. */
+    /** Consecutive failures after which a replica is ejected: it gets no requests for a while. */
     std::int64_t ejectFailures = 3;
-    /** Share of a pool that may be ejected at once. */
+    /** Maximum share of a pool that may be ejected at the same time. */
     double ejectShare = 0.5;
-    /** How long a first ejection lasts; each further one lasts twice as long. */
+    /** Duration of a first ejection; each further ejection lasts twice as long. */
     std::chrono::milliseconds ejectTime = std::chrono::milliseconds(2000);
-    /** How long an ejection lasts at most. */
+    /** Maximum duration of an ejection. */
     std::chrono::milliseconds ejectTimeMost = std::chrono::milliseconds(60000);
-    /** How long a new or returned replica takes to get its whole share. */
+    /** Time until a new or returned replica gets its full share. */
     std::chrono::milliseconds slowStart = std::chrono::milliseconds(5000);
 };
 
-/** A replica that work is sent to: a model engine or a plain service. */
+/** A replica that requests are sent to: a model engine or a plain service. */
 struct EndpointSettings
 {
     /** Its name, unique in the site. */
@@ -271,15 +272,15 @@
     std::string model;
     /** The plain service it is a replica of; empty for a model. */
     std::string service;
-    /** Requests it runs side by side. */
+    /** Maximum concurrent requests. */
     std::int64_t capacity = 8;
     /** Its hardware generation. */
     std::string generation;
-    /** The VM it runs on, as the platform's list of VMs has it; empty if it has the endpoint's name. */
+    /** The VM it runs on, as in the platform's list of VMs; empty if the VM has the name of the endpoint. */
     std::string vm;
     /** Whether it refuses orders with an old fencing number. */
     bool checksFencing = false;
-    /** What the engine does: `serve`, or a role that it knows and that takes no requests of callers. */
+    /** Role of the engine: `serve`, or a role of its own in which it accepts no requests of callers. */
     std::string role = "serve";
 };
 
@@ -288,11 +289,11 @@
 {
     /** Its name, as in /v1/services/NAME/. */
     std::string name;
-    /** Whether its calls may be repeated. */
+    /** Whether its calls are idempotent and may be repeated. */
     bool isIdempotent = true;
-    /** How long one call may take. */
+    /** Timeout of one call. */
     std::chrono::milliseconds timeout = std::chrono::milliseconds(5000);
-    /** How long an endpoint may take to begin its answer before a call that may be repeated is tried again. */
+    /** How long an endpoint may take to start its answer before an idempotent call is retried. */
     std::chrono::milliseconds firstByteTimeout = std::chrono::milliseconds(1000);
 };
 
@@ -301,24 +302,24 @@
 {
     /** Its name. */
     std::string name;
-    /** SHA-256 of each API key, in hexadecimal; `dogwoodkeel hash-key` makes one. */
+    /** SHA-256 of each API key in hexadecimal, as printed by `dogwoodkeel hash-key`. */
     std::vector<std::string> keyHashes = {};
     /** Whether its keys may change the configuration. */
     bool isOperator = false;
-    /** Online requests of it that all nodes together run at once. */
+    /** Maximum concurrent online requests at all nodes together. */
     std::int64_t concurrency = 1000;
-    /** Online requests of it a second, at all nodes together. */
+    /** Maximum online requests per second at all nodes together. */
     double rate = 1000;
-    /** Lookups of it that all nodes together run at once. */
+    /** Maximum concurrent lookups at all nodes together. */
     std::int64_t lookupConcurrency = 1000;
-    /** Lookups of it a second, at all nodes together. */
+    /** Maximum lookups per second at all nodes together. */
     double lookupRate = 10000;
 };
 
-/** A model whose engines get orders. A model that is not listed is left as its engines have it. */
+/** A model whose engines get orders. Engines of models that are not listed are left unchanged. */
 struct ModelSettings
 {
-    /** Its name, as endpoints and callers use it. */
+    /** Its name, as used by endpoints and callers. */
     std::string name;
     /** The version its engines shall serve. */
     std::string version;
@@ -328,10 +329,9 @@
     double nextShare = 0;
     /** Adapters its engines shall have loaded. */
     std::vector<std::string> adapters = {};
-    /** Size of its weights, for the pace of loads. */
+    /** Size of its weights, which limits the rate of loads. */
     std::int64_t weightBytes = 0;
-    /** Whether its last serving replica may be taken for a new version; without it, one replica alone keeps the version it has.
-     */
+    /** Whether the last serving replica may be stopped to load a new version; if not, a single replica keeps its version. */
     bool mayInterrupt = false;
 };
 
@@ -340,99 +340,100 @@
 {
     /** How often the engines' state is compared with the intended one. */
     std::chrono::milliseconds interval = std::chrono::milliseconds(2000);
-    /** How long the node that gives orders may go without renewing. */
+    /** Length of the lease of the node that sends orders; it must renew the lease within this time. */
     std::chrono::milliseconds lease = std::chrono::milliseconds(10000);
-    /** How long before the lease's end its holder stops, and how long a new holder waits. */
+    /** How long before the end of the lease its holder stops, and how long a new holder waits. */
     std::chrono::milliseconds leaseMargin = std::chrono::milliseconds(2000);
-    /** Engines of one failure domain that load at once. */
+    /** Maximum engines of one failure domain that load at the same time. */
     std::int64_t loadsPerDomain = 1;
-    /** Rate of the weight store; loads are started no faster. */
+    /** Throughput of the weight store; loads are not started faster. */
     std::int64_t weightBytesPerSecond = 1000000000;
-    /** How long a load may take before it is told as overdue. */
+    /** How long a load may take before it is reported as overdue. */
     std::chrono::milliseconds loadTimeout = std::chrono::milliseconds(600000);
-    /** A rollout stops when its share of failed requests exceeds that of the version before by more. */
+    /** A rollout stops when its share of failed requests exceeds that of the previous version by more than this. */
     double errorLimit = 0.05;
-    /** Requests of the new version before its errors are judged. */
+    /** Minimum requests of the new version before its errors are evaluated. */
     std::int64_t errorRequests = 50;
 };
 
-/** Serving on a platform whose operators write the configuration to its store and whose replicas register there (`dogwoodkeel
- * gateway`). */
+/** The gateway (`dogwoodkeel gateway`), for a platform whose operators write the configuration to its store and whose replicas
+ * register there. */
 struct GatewaySettings
 {
-    /** Where the platform asks whether this node takes callers. */
+    /** Where the platform checks whether this node accepts callers. */
     Address ready = *Address::parse("127.0.0.1:0");
-    /** Where callers ask which addresses to use. */
+    /** Where callers request the addresses to use. */
     Address directory = *Address::parse("127.0.0.1:0");
     /** Where metrics are served. */
     Address metrics = *Address::parse("127.0.0.1:0");
     /** How long the platform waits after SIGTERM before it kills the process. */
     std::chrono::milliseconds grace = std::chrono::milliseconds(8000);
-    /** How long a caller may keep the addresses that it was told. */
+    /** How long a caller may cache the addresses that it received. */
     std::chrono::milliseconds addressTtl = std::chrono::milliseconds(1000);
-    /** Within which a configuration must be in force on every node. */
+    /** Time within which a configuration must be in force on every node. */
     std::chrono::milliseconds applyBound = std::chrono::milliseconds(2000);
-    /** How long the store is asked to wait for a change. Short, so that a silent connection is noticed within apply_bound. */
+    /** How long the store waits for a change before it answers. Short, so that an unresponsive connection is detected within
+     * apply_bound. */
     std::chrono::milliseconds storeWait = std::chrono::milliseconds(1000);
-    /** How long after the store's return an entry of a replica that lapsed is kept. */
+    /** How long the lapsed entry of a replica is kept after the store is reachable again. */
     std::chrono::milliseconds lapsedKept = std::chrono::milliseconds(2500);
-    /** How long after its submission a job without open items can be read; then its rows are removed. */
+    /** How long after its submission a job without open items stays readable; then its rows are removed. */
     std::chrono::milliseconds jobsKept = std::chrono::milliseconds(300000);
-    /** How long after the end of a job was acknowledged its items may still reach replicas. */
+    /** How long its items may still reach replicas after the end of a job was acknowledged. */
     std::chrono::milliseconds jobEndBound = std::chrono::milliseconds(3000);
-    /** The processor cores that this VM has: its weight when callers and duties are spread. */
+    /** Processor cores of this VM: its weight in the distribution of callers and roles. */
     double processorShare = 1;
-    /** Memory that the process may use, in MB. */
+    /** Maximum memory of the process, in MB. */
     std::int64_t memoryMb = 512;
-    /** In each span of this length the requests of a workspace keep its quota. */
+    /** Length of the time window in which the requests of a workspace keep its quota. */
     std::chrono::milliseconds quotaWindow = std::chrono::milliseconds(5000);
-    /** Part by which a span may go beyond its quota while nodes can't reach each other. */
+    /** Share by which a window may exceed its quota while nodes cannot reach each other. */
     double quotaOverrun = 0.1;
-    /** Requests by which a span may go beyond its quota besides. */
+    /** Requests by which a window may exceed its quota in addition. */
     double quotaSlack = 20;
 };
 
 /** All settings of a node. */
 struct Settings
 {
-    /** This VM. Stated per VM, in a file of its own. */
+    /** This VM. Set per VM, in its own file. */
     NodeSettings node;
-    /** Where this VM listens. Port 0 takes a free one. */
+    /** Where this VM listens. Port 0 selects a free port. */
     ListenSettings listen;
     /** The platform's table service, object store and VM list. */
     PlatformSettings platform;
-    /** How the nodes of the system talk to each other. */
+    /** Communication between the nodes. */
     PeerSettings peers;
-    /** How nodes notice each other's coming and going. */
+    /** How nodes detect that others join, leave or fail. */
     MembershipSettings membership;
-    /** Shards, journals and what they keep. */
+    /** Shards, journals and the data that they keep. */
     OwnerSettings owner;
-    /** What callers see. */
+    /** The interface for callers. */
     EntrySettings entry;
-    /** How many retries a node makes for one tenant, and towards one endpoint. */
+    /** Limits on the retries that a node makes for one tenant and to one endpoint. */
     RetrySettings retries;
     /** Requests that crash the endpoints that run them. */
     QuarantineSettings quarantine;
     /** Batch jobs and the lanes that run them. */
     BatchSettings batch;
-    /** What is learnt of endpoints, and how one is chosen. */
+    /** Monitoring and selection of endpoints. */
     FleetSettings fleet;
-    /** A replica that work is sent to: a model engine or a plain service. */
+    /** A replica that requests are sent to: a model engine or a plain service. */
     std::vector<EndpointSettings> endpoints;
     /** A plain service. */
     std::vector<ServiceSettings> services;
     /** An accounting unit, and the keys of its callers. */
     std::vector<TenantSettings> tenants;
-    /** A model whose engines get orders. A model that is not listed is left as its engines have it. */
+    /** A model whose engines get orders. Engines of models that are not listed are left unchanged. */
     std::vector<ModelSettings> models;
     /** Orders to model engines. */
     OrderSettings orders;
-    /** Serving on a platform whose operators write the configuration to its store and whose replicas register there (`dogwoodkeel
-     * gateway`). */
+    /** The gateway (`dogwoodkeel gateway`), for a platform whose operators write the configuration to its store and whose
+     * replicas register there. */
     GatewaySettings gateway;
 };
 
-/** Sections that stay in a VM's own files; configuration versions cover all others. */
+/** Sections that are read only from the files of a VM; configuration versions cover all others. */
 inline constexpr std::array<std::string_view, 7> localSections{
     "node", "listen", "platform", "peers", "membership", "owner", "gateway"};
 
--- a/Libraries/LibWire/Generated/Messages.h
+++ b/Libraries/LibWire/Generated/Messages.h
@@ -39,7 +39,7 @@
     Full,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(ClaimDecision value)
 {
     switch (value) {
@@ -83,7 +83,7 @@
     Unavailable,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(CommitDecision value)
 {
     switch (value) {
@@ -121,7 +121,7 @@
     NotOwner,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(RequestState value)
 {
     switch (value) {
@@ -159,7 +159,7 @@
     NotOwner,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(JobState value)
 {
     switch (value) {
@@ -191,7 +191,7 @@
     Failed,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(ItemStatus value)
 {
     switch (value) {
@@ -221,7 +221,7 @@
     Unavailable,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(SubmitDecision value)
 {
     switch (value) {
@@ -257,7 +257,7 @@
     Left,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(MemberState value)
 {
     switch (value) {
@@ -299,7 +299,7 @@
     Page,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(RecordKind value)
 {
     switch (value) {
@@ -335,7 +335,7 @@
     Version,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(ConfigurationSource value)
 {
     switch (value) {
@@ -365,7 +365,7 @@
     Stopped,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(PlacementDecision value)
 {
     switch (value) {
@@ -399,7 +399,7 @@
     Broken,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(PlacementVerdict value)
 {
     switch (value) {
@@ -431,7 +431,7 @@
     NotRelay,
 };
 
-/** @return the value's name, for logs. */
+/** @return the name of the value for logs. */
 constexpr std::string_view toString(FeedOutcome value)
 {
     switch (value) {
@@ -736,7 +736,7 @@
 {
     /** The shard it belongs to. */
     ShardNumber shard;
-    /** Which record the payload holds. */
+    /** Type of the record in the payload. */
     RecordKind kind = RecordKind::Intent;
     /** The encoded record. */
     std::string payload;
@@ -804,7 +804,7 @@
     ShardEpoch epoch;
     /** Key of the object with the state before the spans; empty if none. */
     std::string checkpoint;
-    /** What to replay on top of the checkpoint, oldest first. */
+    /** Journal groups to replay on top of the checkpoint, oldest first. */
     std::vector<JournalSpan> spans;
 
     bool operator==(const ShardRow &) const = default;
@@ -1184,7 +1184,7 @@
     MemberLoad load;
     /** Recent changes. */
     std::vector<MemberUpdate> updates;
-    /** Members that were added or updated recently. */
+    /** Members of which the sender recently received an update. */
     std::vector<Member> members;
     /** Recent changes of load. */
     std::vector<MemberLoad> loads;
@@ -3419,7 +3419,7 @@
     }
 };
 
-/** @return the name of a message, for logs and metrics. */
+/** @return the name of a message for logs and metrics. */
 constexpr std::string_view messageName(MessageNumber number)
 {
     switch (static_cast<std::uint16_t>(number)) {
