--- a/Libraries/LibSettings/SettingsChecks.cpp
+++ b/Libraries/LibSettings/SettingsChecks.cpp
@@ -39,12 +39,12 @@
     }
     for (std::size_t i = 0; i < settings.endpoints.size(); ++i) {
         const EndpointSettings &endpoint = settings.endpoints[i];
-        const toml::node &place = elementAt(root, "endpoint", i);
+        const toml::node &node = elementAt(root, "endpoint", i);
         if (endpoint.model.empty() == endpoint.service.empty()) {
-            reader.add(place, "endpoint " + endpoint.name + " must name either a model or a service");
+            reader.add(node, "endpoint " + endpoint.name + " must name either a model or a service");
         }
         if (!endpoint.service.empty() && !services.contains(endpoint.service)) {
-            reader.add(place, "endpoint " + endpoint.name + " names a service that no [[service]] declares: " + endpoint.service);
+            reader.add(node, "endpoint " + endpoint.name + " names a service that no [[service]] declares: " + endpoint.service);
         }
     }
 }
--- a/Libraries/LibSettings/SettingsChecks.h
+++ b/Libraries/LibSettings/SettingsChecks.h
@@ -9,11 +9,11 @@
 struct Settings;
 
 /**
- * Find contradictions between settings that are each well formed: names used twice, endpoints that serve
- * neither a model nor a service, or a service nobody declared.
- * @param settings what was read
- * @param root where it was read from, for the places
- * @param reader takes the findings
+ * Checks the consistency of settings that are each well formed: reports duplicate names, endpoints that do not serve
+ * exactly one model or service, services that are not declared, and contradictory model and lease settings.
+ * @param settings the settings
+ * @param root the table that they were read from, for the positions of findings
+ * @param reader collects the findings
  */
 void checkSettings(const Settings &settings, const toml::table &root, SettingsReader &reader);
 
--- a/Libraries/LibSettings/SettingsHandle.h
+++ b/Libraries/LibSettings/SettingsHandle.h
@@ -8,14 +8,14 @@
 namespace Dogwoodkeel
 {
 
-/** Settings that are never changed once they are made, so that tasks share them. */
+/** Immutable settings that tasks share. */
 using SettingsPointer = std::shared_ptr<const Settings>;
 
 /**
- * The settings in force on one task. A new configuration is swapped in by a message to the task, between two turns of
- * its loop, so that code that runs sees one configuration from its start to its end.
+ * Holds the settings in force on one task. A message to the task replaces them between two iterations of its event loop,
+ * so that a handler sees one configuration from start to end.
  *
- * NOTE: Read through the handle each time, and keep no reference into the settings across turns of the loop.
+ * NOTE: Access settings through the handle each time, and keep no reference into them across iterations of the loop.
  */
 class SettingsHandle
 {
@@ -37,13 +37,13 @@
         return this->pointer.get();
     }
 
-    /** @return what is in force now, to be kept as it is. */
+    /** @return the settings in force now; the caller may keep them beyond a replacement. */
     const SettingsPointer &snapshot() const
     {
         return this->pointer;
     }
 
-    /** Put other settings into force. */
+    /** Puts other settings into force. */
     void replace(SettingsPointer settings)
     {
         this->pointer = std::move(settings);
--- a/Libraries/LibSettings/SettingsLoader.cpp
+++ b/Libraries/LibSettings/SettingsLoader.cpp
@@ -50,7 +50,7 @@
     }
 }
 
-// NOTE: Nodes are moved, never copied: toml++ drops the source place from a copy.
+// NOTE: Nodes are moved, never copied: a copy in toml++ loses its source position.
 void mergeTable(toml::table &base, toml::table &&overlay)
 {
     for (auto &&[key, node] : overlay) {
@@ -78,22 +78,22 @@
 
 void applyScope(toml::table &table, const SettingsSource &source, SettingsReader &reader)
 {
-    std::vector<std::string> passedOver;
+    std::vector<std::string> skippedSections;
     const bool wantsLocal = source.scope == SettingsScope::LocalSections;
     for (const auto &[key, node] : table) {
         if (source.scope != SettingsScope::All && isLocal(key.str()) != wantsLocal) {
-            passedOver.emplace_back(key.str());
+            skippedSections.emplace_back(key.str());
         }
         if (source.scope == SettingsScope::SharedSections && isLocal(key.str())) {
             reader.add(node, "[" + std::string(key.str()) + "] belongs into the VM's own file, not into a version");
         }
     }
-    for (const std::string &key : passedOver) {
+    for (const std::string &key : skippedSections) {
         table.erase(key);
     }
 }
 
-/** @return the source's table, or nothing after a finding. */
+/** @return the table of the source, or nothing after adding a finding. */
 std::optional<toml::table> parseSource(const SettingsSource &source, Findings &findings)
 {
     try {
@@ -101,9 +101,9 @@
         if (parsed) {
             return std::move(parsed).table();
         }
-        const toml::source_position place = parsed.error().source().begin;
-        findings.add({source.name, place.line, place.column}, std::string(parsed.error().description()));
-    } catch (const TomlFault &) {
+        const toml::source_position position = parsed.error().source().begin;
+        findings.add({source.name, position.line, position.column}, std::string(parsed.error().description()));
+    } catch (const TomlAssertionError &) {
         findings.add({source.name, 0, 0}, "this is no TOML; the place could not be found");
     }
     return std::nullopt;
--- a/Libraries/LibSettings/SettingsLoader.h
+++ b/Libraries/LibSettings/SettingsLoader.h
@@ -10,37 +10,37 @@
 namespace Dogwoodkeel
 {
 
-/** Which sections of a settings file count. */
+/** Which sections of a settings file are read. */
 enum class SettingsScope {
     All,
-    /** Of a VM's own file beside a configuration version: what it says of the node itself; the rest is passed over. */
+    /** For the file of a VM that is used with a configuration version: only the local sections; all others are skipped. */
     LocalSections,
-    /** Of a configuration version: a section that belongs into a VM's own file is a mistake. */
+    /** For a configuration version: a local section, which belongs in the file of a VM, is an error. */
     SharedSections,
 };
 
 /** The text of one settings file. */
 struct SettingsSource
 {
-    /** How findings name it. */
+    /** The name of the source in findings. */
     std::string name;
     std::string text;
     SettingsScope scope = SettingsScope::All;
 };
 
 /**
- * Merge and check settings.
- * @param sources base first; a later one states what differs
- * @param findings gets every mistake with its place
- * @return the settings, or nothing if there was a mistake
+ * Merges and checks settings.
+ * @param sources base first; a later one states only what differs
+ * @param findings receives every error with its position
+ * @return the settings, or nothing if there was an error
  */
 std::optional<Settings> loadSettings(const std::vector<SettingsSource> &sources, Findings &findings);
 
 /**
- * Read settings files from disk.
+ * Reads settings files from disk.
  * @param paths base first
- * @param sources gets their texts
- * @param findings gets each file that cannot be read
+ * @param sources receives their texts
+ * @param findings receives each file that cannot be read
  */
 void readSettingsFiles(const std::vector<std::string> &paths, std::vector<SettingsSource> &sources, Findings &findings);
 
--- a/Libraries/LibSettings/SettingsReader.cpp
+++ b/Libraries/LibSettings/SettingsReader.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-SourcePlace placeOf(const toml::node &node)
+SourcePlace positionOf(const toml::node &node)
 {
     const toml::source_region &source = node.source();
     return {source.path ? *source.path : std::string(), source.begin.line, source.begin.column};
@@ -25,7 +25,7 @@
 
 void SettingsReader::add(const toml::node &node, std::string message)
 {
-    this->findings.add(placeOf(node), std::move(message));
+    this->findings.add(positionOf(node), std::move(message));
 }
 
 const toml::node *SettingsReader::find(const toml::table &table, std::string_view key, Presence presence)
@@ -208,11 +208,11 @@
         std::int64_t milliseconds;
     };
     static constexpr std::array<Unit, 5> units{{{"ms", 1}, {"s", 1000}, {"min", 60'000}, {"h", 3'600'000}, {"d", 86'400'000}}};
-    static constexpr double largestNumber = 1'000'000'000;
+    static constexpr double maxNumber = 1'000'000'000;
     double number = 0;
     const char *const end = text.data() + text.size();
     const auto [numberEnd, error] = std::from_chars(text.data(), end, number, std::chars_format::fixed);
-    if (error != std::errc() || !(number >= 0 && number <= largestNumber)) {
+    if (error != std::errc() || !(number >= 0 && number <= maxNumber)) {
         return std::nullopt;
     }
     const std::string_view unitText(numberEnd, static_cast<std::size_t>(end - numberEnd));
--- a/Libraries/LibSettings/SettingsReader.h
+++ b/Libraries/LibSettings/SettingsReader.h
@@ -19,13 +19,13 @@
 
 struct Settings;
 
-/** Whether a key has to be there. */
+/** Whether a key is required. */
 enum class Presence {
     Optional,
     Required,
 };
 
-/** Smallest and largest value allowed. */
+/** Minimum and maximum of the allowed values. */
 template <typename Value>
 struct Bounds
 {
@@ -34,13 +34,13 @@
 };
 
 /**
- * Reads checked values out of parsed tables. Nothing stops at the first mistake: each becomes a finding with
- * its place, and the target keeps its default.
+ * Reads values from parsed tables and checks them. Reading continues after an error: each error becomes a finding with its
+ * position, and the target keeps its default.
  */
 class SettingsReader
 {
 public:
-    /** @param findings where mistakes are collected; outlives the reader */
+    /** @param findings collects the errors; outlives the reader */
     explicit SettingsReader(Findings &findings);
 
     void rejectUnknownKeys(const toml::table &table, std::initializer_list<std::string_view> known);
@@ -110,9 +110,9 @@
     }
 
     /**
-     * Report a mistake at a value.
+     * Reports an error at a value.
      * @param node the value
-     * @param message what is wrong with it
+     * @param message description of the error
      */
     void add(const toml::node &node, std::string message);
 
@@ -124,12 +124,12 @@
 };
 
 /**
- * @param text a number with a unit: ms, s, min, h or d
+ * @param text a number with the unit ms, s, min, h or d
  * @return the duration, or nothing if the text is malformed or too large
  */
 std::optional<std::chrono::milliseconds> parseDuration(std::string_view text);
 
-/** Reads every section; generated from Schema/settings.toml. */
+/** Reads all sections; generated from Schema/settings.toml. */
 void readSettings(SettingsReader &reader, const toml::table &root, Settings &settings);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibSettings/Toml.cpp
+++ b/Libraries/LibSettings/Toml.cpp
@@ -3,10 +3,10 @@
 namespace Dogwoodkeel
 {
 
-// Not inline: seen by the compiler inside the library's noexcept functions, the throw would be warned of.
-bool failToml()
+// Not inline: the compiler would warn of a throw inside the noexcept functions of the library.
+bool throwTomlAssertionError()
 {
-    throw TomlFault("the TOML parser met input that it takes for impossible");
+    throw TomlAssertionError("an assertion of the TOML parser failed on the input");
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibSettings/Toml.h
+++ b/Libraries/LibSettings/Toml.h
@@ -5,21 +5,21 @@
 namespace Dogwoodkeel
 {
 
-/** The TOML parser met input that it takes for impossible. */
-class TomlFault : public std::runtime_error
+/** An assertion of the TOML parser failed on its input. */
+class TomlAssertionError : public std::runtime_error
 {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/** @throws TomlFault always */
-bool failToml();
+/** @throws TomlAssertionError always */
+bool throwTomlAssertionError();
 
 } // namespace Dogwoodkeel
 
-// One place that says how toml++ is built: errors come back as results, not exceptions. Its assertions do not hold for all
-// input: "[$[" fails one, which would end the process, or be undefined with assertions off. They throw instead, and whoever
-// parses reports a finding.
+// The only place that configures toml++: errors are returned as results, not thrown. Some malformed input, such as "[$[",
+// fails an assertion of the library, which would abort the process, or be undefined behaviour with assertions disabled.
+// Assertions throw instead, and the caller of the parser reports a finding.
 #define TOML_EXCEPTIONS 0
-#define TOML_ASSERT(expression) static_cast<void>((expression) || ::Dogwoodkeel::failToml())
+#define TOML_ASSERT(expression) static_cast<void>((expression) || ::Dogwoodkeel::throwTomlAssertionError())
 #include <toml++/toml.h>
--- a/Libraries/LibWire/BoundedInputArchive.h
+++ b/Libraries/LibWire/BoundedInputArchive.h
@@ -16,9 +16,9 @@
 /**
  * Reads what cereal's portable binary archive writes in little-endian order, from untrusted bytes.
  *
- * cereal's own archive takes a container's size from the input and allocates it before reading. A few bytes
- * that claim a size of gigabytes would so end the process. Here a size larger than the bytes that are left is
- * refused, which bounds what one frame can allocate by a small multiple of its own length.
+ * cereal's own archive allocates a container of the size that the input states before it reads the elements. A few bytes
+ * that state a size of gigabytes could thus end the process. This archive rejects a size that exceeds the remaining bytes,
+ * which limits the memory that one frame can allocate to a small multiple of its length.
  */
 class BoundedInputArchive : public cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision>
 {
@@ -27,11 +27,11 @@
     explicit BoundedInputArchive(std::string_view bytes)
         : cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision>(this), bytes(bytes)
     {
-        // The portable archive starts with a byte that tells its byte order.
+        // The first byte of a portable archive states its byte order.
         std::uint8_t isLittleEndian = 0;
         this->read(&isLittleEndian, sizeof(isLittleEndian));
         if (isLittleEndian != 1) {
-            throw cereal::Exception("not in little-endian order");
+            throw cereal::Exception("the input is not in little-endian order");
         }
     }
 
@@ -40,7 +40,7 @@
         return this->bytes.empty();
     }
 
-    /** Copies raw bytes. @throws cereal::Exception if there are not enough. */
+    /** Copies raw bytes. @throws cereal::Exception if too few remain */
     void read(void *target, std::size_t size)
     {
         if (size > this->bytes.size()) {
@@ -50,7 +50,7 @@
         this->bytes.remove_prefix(size);
     }
 
-    /** @throws cereal::Exception if a container claims more elements than there are bytes left. */
+    /** @throws cereal::Exception if the stated size of a container exceeds the remaining bytes. */
     void checkSize(std::uint64_t size) const
     {
         if (size > this->bytes.size()) {
@@ -70,7 +70,7 @@
         std::uint8_t byte = 0;
         archive.read(&byte, sizeof(byte));
         if (byte > 1) {
-            throw cereal::Exception("not a truth value");
+            throw cereal::Exception("a bool is neither 0 nor 1");
         }
         number = byte == 1;
     } else {
@@ -99,7 +99,7 @@
 
 } // namespace Dogwoodkeel
 
-// NOTE: CEREAL_SETUP_ARCHIVE_TRAITS would pair both ways, and the output archive has a pair of its own already.
+// NOTE: CEREAL_SETUP_ARCHIVE_TRAITS would also map the output archive to this one, but cereal already maps it to another.
 template <>
 struct cereal::traits::detail::get_output_from_input<Dogwoodkeel::BoundedInputArchive>
 {
--- a/Libraries/LibWire/Codec.h
+++ b/Libraries/LibWire/Codec.h
@@ -15,7 +15,7 @@
 namespace Dogwoodkeel
 {
 
-/** @return the message as bytes: little-endian, the same on every machine. */
+/** @return the message as bytes in little-endian order, identical on every machine. */
 template <typename Message>
 std::string encode(const Message &message)
 {
@@ -28,9 +28,9 @@
 }
 
 /**
- * Decode bytes from another node or from the platform.
- * @param bytes what was received; may be anything
- * @return the message, or nothing if the bytes are no such message, or hold more than one
+ * Decodes bytes from another node or from the platform.
+ * @param bytes untrusted input
+ * @return the message, or nothing if the bytes are malformed or continue after the message
  */
 template <typename Message>
 std::optional<Message> decode(std::string_view bytes)
--- a/Libraries/LibWire/Compact.h
+++ b/Libraries/LibWire/Compact.h
@@ -19,24 +19,24 @@
 {
 
 /**
- * How the fields of messages that are sent all the time are written: small numbers in one byte, an address in six.
- * cereal's own form takes eight bytes for each number and for each length, which made gossip several times as large.
+ * Encodes the fields of messages that are sent continuously: small numbers in one byte, an address in six.
+ * cereal's own form uses eight bytes for each number and for each length, which made gossip several times as large.
  *
- * An unsigned number is written seven bits to the byte, low ones first, the top bit telling that more follow (LEB128, as
- * in the DWARF standard, section 7.6).
+ * An unsigned number is encoded with seven bits per byte, lowest first; the top bit of a byte states whether more bytes
+ * follow (LEB128, DWARF standard, section 7.6).
  */
 namespace Compact
 {
 
 inline constexpr unsigned bitsPerByte = 7;
-inline constexpr std::uint8_t moreFollow = 0x80;
-inline constexpr unsigned widestShift = 63;
+inline constexpr std::uint8_t continuationBit = 0x80;
+inline constexpr unsigned maxShift = 63;
 
 template <typename Archive>
 void write(Archive &archive, std::uint64_t number)
 {
-    while (number >= moreFollow) {
-        archive(static_cast<std::uint8_t>((number & (moreFollow - 1U)) | moreFollow));
+    while (number >= continuationBit) {
+        archive(static_cast<std::uint8_t>((number & (continuationBit - 1U)) | continuationBit));
         number >>= bitsPerByte;
     }
     archive(static_cast<std::uint8_t>(number));
@@ -47,15 +47,15 @@
 std::uint64_t readNumber(Archive &archive)
 {
     std::uint64_t number = 0;
-    for (unsigned shift = 0; shift <= widestShift; shift += bitsPerByte) {
+    for (unsigned shift = 0; shift <= maxShift; shift += bitsPerByte) {
         std::uint8_t byte = 0;
         archive(byte);
-        const std::uint64_t bits = byte & (moreFollow - 1U);
-        if (shift == widestShift && bits > 1) {
+        const std::uint64_t bits = byte & (continuationBit - 1U);
+        if (shift == maxShift && bits > 1) {
             break;
         }
         number |= bits << shift;
-        if ((byte & moreFollow) == 0) {
+        if ((byte & continuationBit) == 0) {
             return number;
         }
     }
@@ -125,7 +125,7 @@
 template <typename Archive>
 void read(Archive &archive, WallTime &time)
 {
-    // Bounded, so that a wrong number cannot overflow the clock's own unit.
+    // Read as 32 bits, so that an invalid number cannot overflow the clock's duration type.
     std::uint32_t seconds = 0;
     read(archive, seconds);
     time = WallTime(std::chrono::duration_cast<WallTime::duration>(std::chrono::seconds(seconds)));
@@ -140,11 +140,11 @@
 template <typename Archive>
 void read(Archive &archive, StoreTime &time)
 {
-    // Bounded, so that a wrong number cannot overflow the sum with a duration.
-    constexpr std::uint64_t longest = std::uint64_t(1) << 52U;
+    // Limited, so that an invalid number cannot overflow when a duration is added.
+    constexpr std::uint64_t maxMilliseconds = std::uint64_t(1) << 52U;
     std::uint64_t milliseconds = 0;
     read(archive, milliseconds);
-    time = StoreTime(std::chrono::milliseconds(std::min(milliseconds, longest)));
+    time = StoreTime(std::chrono::milliseconds(std::min(milliseconds, maxMilliseconds)));
 }
 
 template <typename Archive, typename Tag, typename Representation>
@@ -187,7 +187,7 @@
     }
 }
 
-/** A field that is written compactly. */
+/** Refers to a field and encodes it compactly. */
 template <typename Field>
 struct Reference
 {
@@ -206,7 +206,7 @@
     }
 };
 
-/** @return the field, to be written and read compactly. */
+/** @return a reference that encodes and decodes the field compactly. */
 template <typename Field>
 Reference<Field> field(Field &field)
 {
--- a/Libraries/LibWire/DatagramSocket.cpp
+++ b/Libraries/LibWire/DatagramSocket.cpp
@@ -23,8 +23,8 @@
 namespace
 {
 
-/** Largest UDP payload over IPv4. */
-constexpr std::size_t datagramLimit = 65507;
+/** Maximum UDP payload over IPv4. */
+constexpr std::size_t maxDatagramSize = 65507;
 
 struct Header
 {
@@ -69,9 +69,9 @@
     const sockaddr_in target = socketAddress(address);
     if (bind(this->descriptor, reinterpret_cast<const sockaddr *>(&target), sizeof(target)) != 0) {
         close(this->descriptor);
-        throw std::runtime_error("cannot take datagrams at " + address.toString());
+        throw std::runtime_error("cannot bind the datagram socket to " + address.toString());
     }
-    this->boundTo = boundAddress(this->descriptor);
+    this->localAddress = boundAddress(this->descriptor);
     RAND_bytes(reinterpret_cast<unsigned char *>(&this->stream), sizeof(this->stream));
     this->readable = event_new(loop.base(), this->descriptor, EV_READ | EV_PERSIST, &DatagramSocket::onReadable, this);
     event_add(this->readable, nullptr);
@@ -85,7 +85,7 @@
 
 const Address &DatagramSocket::address() const
 {
-    return this->boundTo;
+    return this->localAddress;
 }
 
 std::uint64_t DatagramSocket::bytesSent() const
@@ -117,7 +117,7 @@
 
 void DatagramSocket::receive()
 {
-    std::array<char, datagramLimit> buffer;
+    std::array<char, maxDatagramSize> buffer;
     for (;;) {
         sockaddr_in from{};
         socklen_t length = sizeof(from);
@@ -130,12 +130,12 @@
         inet_ntop(AF_INET, &from.sin_addr, text.data(), text.size());
         const Address sender{text.data(), ntohs(from.sin_port)};
         runGuarded("datagram", [&] {
-            this->take(sender, std::string_view(buffer.data(), static_cast<std::size_t>(size)));
+            this->accept(sender, std::string_view(buffer.data(), static_cast<std::size_t>(size)));
         });
     }
 }
 
-void DatagramSocket::take(const Address &from, std::string_view bytes)
+void DatagramSocket::accept(const Address &from, std::string_view bytes)
 {
     if (bytes.size() < headerSize + messageCodeSize) {
         return;
@@ -145,7 +145,7 @@
         return;
     }
     const Header header = decodeHeader(body);
-    if (!this->seen.admit(header.stream, header.sequence)) {
+    if (!this->replayWindow.admit(header.stream, header.sequence)) {
         return;
     }
     this->count(header.number, TrafficMeter::Direction::Received, bytes.size());
--- a/Libraries/LibWire/DatagramSocket.h
+++ b/Libraries/LibWire/DatagramSocket.h
@@ -19,7 +19,7 @@
 
 class EventLoop;
 
-/** A datagram that was found genuine and fresh. */
+/** A datagram that was authenticated and is not a replay. */
 struct Datagram
 {
     Address from;
@@ -28,17 +28,17 @@
 };
 
 /**
- * Sends and takes authenticated datagrams. Each carries its sender's random stream number and a sequence number
- * under the code, so that a replayed one is dropped.
+ * Sends and receives authenticated datagrams. The message authentication code of each covers the sender's random stream
+ * number and a sequence number, so that replayed datagrams are detected and dropped.
  */
 class DatagramSocket
 {
 public:
     /**
-     * @param address where to take datagrams; port 0 takes a free one
+     * @param address where to receive datagrams; port 0 selects a free port
      * @param siteKey shared by all nodes
-     * @param received told of each genuine datagram
-     * @param traffic counts what is sent and received, if set
+     * @param received called for each authenticated datagram
+     * @param traffic counts sent and received datagrams, if set
      * @throws std::runtime_error if the address cannot be bound
      */
     DatagramSocket(EventLoop &loop,
@@ -50,24 +50,24 @@
     DatagramSocket(const DatagramSocket &) = delete;
     DatagramSocket &operator=(const DatagramSocket &) = delete;
 
-    /** @return where it takes datagrams. */
+    /** @return the address at which it receives datagrams. */
     const Address &address() const;
 
-    /** Send a message; it may be lost. */
+    /** Sends a message; it may be lost. */
     template <typename Message>
     void send(const Address &target, const Message &message)
     {
         this->sendEncoded(target, Message::number, encode(message));
     }
 
-    /** @return bytes sent so far, without the headers of IP and UDP. */
+    /** @return bytes sent so far, excluding the headers of IP and UDP. */
     std::uint64_t bytesSent() const;
 
 private:
     static void onReadable(int descriptor, short what, void *self);
     void sendEncoded(const Address &target, MessageNumber number, const std::string &payload);
     void receive();
-    void take(const Address &from, std::string_view bytes);
+    void accept(const Address &from, std::string_view bytes);
     void count(MessageNumber number, TrafficMeter::Direction direction, std::size_t bytes);
 
     MessageKey key;
@@ -75,11 +75,11 @@
     TrafficMeter *traffic;
     int descriptor = -1;
     event *readable = nullptr;
-    Address boundTo;
+    Address localAddress;
     std::uint64_t stream = 0;
     std::uint64_t sequence = 0;
     std::uint64_t sentBytes = 0;
-    ReplayWindow seen;
+    ReplayWindow replayWindow;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibWire/FrameCodec.cpp
+++ b/Libraries/LibWire/FrameCodec.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-static_assert(std::endian::native == std::endian::little, "frames are written in the machine's own byte order");
+static_assert(std::endian::native == std::endian::little, "frames are written in the native byte order");
 
 constexpr std::size_t lengthSize = sizeof(std::uint32_t);
 constexpr std::size_t headerSize = sizeof(std::uint64_t) + sizeof(MessageNumber);
-constexpr std::size_t leastLength = headerSize + messageCodeSize;
+constexpr std::size_t minLength = headerSize + messageCodeSize;
 
 template <typename Number>
 void append(std::string &target, Number number)
@@ -23,14 +23,14 @@
 }
 
 template <typename Number>
-Number take(std::string_view bytes, std::size_t offset)
+Number readNumber(std::string_view bytes, std::size_t offset)
 {
     Number number{};
     std::memcpy(&number, bytes.data() + offset, sizeof(number));
     return number;
 }
 
-std::string signedPart(std::uint64_t sequence, std::string_view body)
+std::string authenticatedPart(std::uint64_t sequence, std::string_view body)
 {
     std::string part;
     part.reserve(sizeof(sequence) + body.size());
@@ -52,7 +52,7 @@
     append(body, frame.correlation);
     append(body, frame.number);
     body += frame.payload;
-    const std::string code = this->key.codeOf(signedPart(this->sequence, body));
+    const std::string code = this->key.codeOf(authenticatedPart(this->sequence, body));
     ++this->sequence;
 
     std::string bytes;
@@ -74,28 +74,29 @@
 
 std::optional<Frame> FrameReader::next()
 {
-    const std::string_view rest = std::string_view(this->buffer).substr(this->consumed);
-    if (this->broken || rest.size() < lengthSize) {
+    const std::string_view remaining = std::string_view(this->buffer).substr(this->consumed);
+    if (this->broken || remaining.size() < lengthSize) {
         return std::nullopt;
     }
-    const std::size_t length = take<std::uint32_t>(rest, 0);
-    if (length < leastLength || length > this->limit) {
+    const std::size_t length = readNumber<std::uint32_t>(remaining, 0);
+    if (length < minLength || length > this->limit) {
         this->broken = true;
         return std::nullopt;
     }
-    if (rest.size() < lengthSize + length) {
+    if (remaining.size() < lengthSize + length) {
         return std::nullopt;
     }
-    const std::string_view body = rest.substr(lengthSize, length - messageCodeSize);
-    const std::string_view code = rest.substr(lengthSize + length - messageCodeSize, messageCodeSize);
-    if (!this->key.isGenuine(signedPart(this->sequence, body), code)) {
+    const std::string_view body = remaining.substr(lengthSize, length - messageCodeSize);
+    const std::string_view code = remaining.substr(lengthSize + length - messageCodeSize, messageCodeSize);
+    if (!this->key.isGenuine(authenticatedPart(this->sequence, body), code)) {
         this->broken = true;
         return std::nullopt;
     }
     ++this->sequence;
     this->consumed += lengthSize + length;
-    return Frame{
-        take<std::uint64_t>(body, 0), take<MessageNumber>(body, sizeof(std::uint64_t)), std::string(body.substr(headerSize))};
+    return Frame{readNumber<std::uint64_t>(body, 0),
+                 readNumber<MessageNumber>(body, sizeof(std::uint64_t)),
+                 std::string(body.substr(headerSize))};
 }
 
 bool FrameReader::isBroken() const
--- a/Libraries/LibWire/FrameCodec.h
+++ b/Libraries/LibWire/FrameCodec.h
@@ -10,24 +10,25 @@
 namespace Dogwoodkeel
 {
 
-/** Bytes of a frame beside its payload. */
+/** Bytes of a frame in addition to its payload. */
 inline constexpr std::size_t frameOverhead
     = sizeof(std::uint32_t) + sizeof(std::uint64_t) + sizeof(MessageNumber) + messageCodeSize;
 
 /**
  * Writes the frames of one direction of one connection.
  *
- * A frame is: length of the rest (4 bytes), correlation (8), message number (2), payload, code (32), numbers in
- * little-endian order. The code covers the frame's place in the direction as well, and the key is made from random
- * numbers of both ends: so a frame that is replayed, dropped, or moved to another connection does not verify.
+ * A frame consists of: length of the remainder (4 bytes), correlation (8), message number (2), payload, message
+ * authentication code (32), with numbers in little-endian order. The code also covers the sequence number of the frame in
+ * its direction, and the key is derived from random numbers of both ends. So verification fails for a replayed frame, for
+ * the frame after a dropped one, and for a frame of another connection.
  */
 class FrameWriter
 {
 public:
-    /** @param key of this direction of this connection */
+    /** @param key the key of this direction of this connection */
     explicit FrameWriter(MessageKey key);
 
-    /** @return the frame's bytes. */
+    /** @return the encoded frame. */
     std::string write(const Frame &frame);
 
 private:
@@ -35,23 +36,23 @@
     std::uint64_t sequence = 0;
 };
 
-/** Reads the frames of one direction of one connection from bytes that may be anything. */
+/** Reads the frames of one direction of one connection from untrusted bytes. */
 class FrameReader
 {
 public:
     /**
-     * @param key of this direction of this connection
-     * @param limit largest frame taken, in bytes
+     * @param key the key of this direction of this connection
+     * @param limit maximum length of a frame, in bytes
      */
     FrameReader(MessageKey key, std::size_t limit);
 
-    /** @param bytes what arrived next */
+    /** @param bytes the next bytes received */
     void feed(std::string_view bytes);
 
-    /** @return the next whole frame, or nothing if there is none yet or the input is broken. */
+    /** @return the next complete frame, or nothing if there is none yet or the input is invalid. */
     std::optional<Frame> next();
 
-    /** @return whether the input was no genuine frame: the connection is of no more use. */
+    /** @return whether the input held an invalid frame, so that the connection must be closed. */
     bool isBroken() const;
 
 private:
--- a/Libraries/LibWire/FrameTraffic.h
+++ b/Libraries/LibWire/FrameTraffic.h
@@ -8,7 +8,7 @@
 namespace Dogwoodkeel
 {
 
-/** Count a frame between two nodes. @param traffic may be null: then nothing is counted */
+/** Counts a frame between two nodes. @param traffic if null, nothing is counted */
 void countFrame(TrafficMeter *traffic, MessageNumber number, TrafficMeter::Direction direction, std::string_view payload);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibWire/MessageKey.h
+++ b/Libraries/LibWire/MessageKey.h
@@ -16,13 +16,13 @@
     /** @param secret shared by both ends */
     explicit MessageKey(std::string secret);
 
-    /** @return the code for a message. */
+    /** @return the authentication code of a message. */
     std::string codeOf(std::string_view message) const;
 
-    /** @return whether the code is the message's, found without telling by the time taken where it differs. */
+    /** @return whether the code belongs to the message; compared in constant time, so that the duration reveals nothing. */
     bool isGenuine(std::string_view message, std::string_view code) const;
 
-    /** @return a key for one purpose, from which this one cannot be found. */
+    /** @return a key for one purpose, from which this key cannot be derived. */
     MessageKey derive(std::string_view purpose) const;
 
 private:
--- a/Libraries/LibWire/MessageNumber.h
+++ b/Libraries/LibWire/MessageNumber.h
@@ -5,7 +5,7 @@
 namespace Dogwoodkeel
 {
 
-/** Tells the messages on the wire apart; given out in Schema/messages.toml. */
+/** Identifies the type of a message on the wire; assigned in Schema/messages.toml. */
 enum class MessageNumber : std::uint16_t {};
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibWire/PeerClient.cpp
+++ b/Libraries/LibWire/PeerClient.cpp
@@ -12,20 +12,20 @@
 namespace
 {
 
-/** Looks that may find a connection silent, with a probe after the first of them, before it is closed. */
-constexpr int silentLooksMost = 2;
+/** Maximum consecutive checks without new bytes; each sends a probe. The next such check closes the connection. */
+constexpr int maxIdleChecks = 2;
 
 } // namespace
 
-/** Takes responses of a server in this process back to the client's loop, as long as the client is there. */
-class PeerClient::LocalReturn : public std::enable_shared_from_this<LocalReturn>
+/** Passes responses of a server in this process to the client's loop until the client is destroyed. */
+class PeerClient::LocalResponses : public std::enable_shared_from_this<LocalResponses>
 {
 public:
-    explicit LocalReturn(EventLoop &loop) : loop(&loop)
+    explicit LocalResponses(EventLoop &loop) : loop(&loop)
     {
     }
 
-    /** From any thread. */
+    /** May be called from any thread. */
     void post(std::function<void()> action)
     {
         const std::lock_guard lock(this->mutex);
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The client ends: responses that come later are dropped. */
+    /** Called when the client is destroyed: later responses are dropped. */
     void close()
     {
         const std::lock_guard lock(this->mutex);
@@ -60,14 +60,14 @@
     : loop(loop)
     , security(std::move(security))
     , local(std::move(local))
-    , localReturn(std::make_shared<LocalReturn>(loop))
+    , localResponses(std::make_shared<LocalResponses>(loop))
     , traffic(traffic)
 {
 }
 
 PeerClient::~PeerClient()
 {
-    this->localReturn->close();
+    this->localResponses->close();
     for (const auto &[correlation, call] : this->calls) {
         this->loop.cancel(call.timer);
     }
@@ -93,20 +93,21 @@
     countFrame(this->traffic, number, TrafficMeter::Direction::Sent, payload);
     link.connection->send({correlation, number, std::move(payload)});
     if (link.timer == 0) {
-        link.bytesSeen = link.connection->bytesReceived();
-        link.silentLooks = 0;
-        this->armLook(address, link);
+        link.bytesAtLastCheck = link.connection->bytesReceived();
+        link.idleChecks = 0;
+        this->scheduleCheck(address, link);
     }
 }
 
 void PeerClient::callLocal(Correlation correlation, MessageNumber number, std::string payload)
 {
-    this->local->call(
-        number, std::move(payload), [this, correlation, back = this->localReturn](MessageNumber answer, std::string response) {
-            back->post([this, frame = Frame{correlation, answer, std::move(response)}] {
-                this->receive(frame);
-            });
-        });
+    this->local->call(number,
+                      std::move(payload),
+                      [this, correlation, responses = this->localResponses](MessageNumber answer, std::string response) {
+                          responses->post([this, frame = Frame{correlation, answer, std::move(response)}] {
+                              this->receive(frame);
+                          });
+                      });
 }
 
 PeerClient::Link &PeerClient::linkTo(const Address &address)
@@ -129,14 +130,14 @@
     return link;
 }
 
-void PeerClient::armLook(const Address &address, Link &link)
+void PeerClient::scheduleCheck(const Address &address, Link &link)
 {
     link.timer = this->loop.schedule(this->security.heartbeat, [this, address] {
-        this->lookAt(address);
+        this->checkLink(address);
     });
 }
 
-void PeerClient::lookAt(const Address &address)
+void PeerClient::checkLink(const Address &address)
 {
     Link &link = this->links.at(address);
     link.timer = 0;
@@ -144,30 +145,30 @@
         return;
     }
     const std::uint64_t bytes = link.connection->bytesReceived();
-    link.silentLooks = bytes == std::exchange(link.bytesSeen, bytes) ? link.silentLooks + 1 : 0;
-    if (link.silentLooks > silentLooksMost) {
-        // The connection has gone silent for good while new ones work: something between the two ends has lost track of
-        // it. A call that waits long for its answer would wait on it until its own timeout. The calls are not resent,
-        // they end with an unknown outcome, and the next call makes a new connection.
+    link.idleChecks = bytes == std::exchange(link.bytesAtLastCheck, bytes) ? link.idleChecks + 1 : 0;
+    if (link.idleChecks > maxIdleChecks) {
+        // A device between the two ends may have dropped the state of this connection, so that it stays unresponsive
+        // while new connections work. A call with a long timeout would wait until that ends. The calls are not resent:
+        // they end with an unknown outcome, and the next call opens a new connection.
         this->onClosed(address);
         return;
     }
-    if (link.silentLooks > 0) {
+    if (link.idleChecks > 0) {
         link.connection->send({0, LinkProbe::number, encode(LinkProbe{++link.probes})});
     }
-    this->armLook(address, link);
+    this->scheduleCheck(address, link);
 }
 
 void PeerClient::receive(const Frame &frame)
 {
-    // A response whose call has timed out finds no call and is dropped: it can never reach another call.
+    // A response whose call has timed out is dropped: its correlation is never reused for another call.
     this->finish(frame.correlation, CallOutcome::Answered, frame);
 }
 
 void PeerClient::onTimeout(Correlation correlation)
 {
-    // Only this call: whether the connection is silent is found by looking at it, and a slow answer to one call says
-    // nothing of the others.
+    // Ends this call only: a slow response to one call does not mean that the connection is unresponsive. The periodic
+    // checks detect that.
     this->finish(correlation, CallOutcome::Unknown, {});
 }
 
--- a/Libraries/LibWire/PeerClient.h
+++ b/Libraries/LibWire/PeerClient.h
@@ -18,12 +18,12 @@
 
 class EventLoop;
 
-/** What became of a call to another node. */
+/** The outcome of a call to another node. */
 enum class CallOutcome {
     Answered,
-    /** Proved: the request never left this node. */
+    /** The request certainly never left this node. */
     NotSent,
-    /** It may have been carried out. */
+    /** The request may have been executed. */
     Unknown,
 };
 
@@ -32,22 +32,22 @@
 struct CallResult
 {
     CallOutcome outcome = CallOutcome::Unknown;
-    /** With Answered. */
+    /** Set with Answered. */
     std::optional<Response> response;
 };
 
-/** Reaches a server in this process without a socket. */
+/** A server in this process that is called without a socket. */
 struct LocalPeer
 {
     using Respond = std::function<void(MessageNumber, std::string)>;
 
-    /** Where the server listens for others. */
+    /** Address at which the server listens for other nodes. */
     Address address;
-    /** Hands a request to the server's task; the response may be given there. */
+    /** Passes a request to the server's task; `respond` may be called from that task. */
     std::function<void(MessageNumber number, std::string payload, Respond respond)> call;
 };
 
-/** Calls other nodes, over one connection each. Lives on one event loop. */
+/** Calls other nodes over one connection to each node. Used from one event loop only. */
 class PeerClient
 {
 public:
@@ -55,8 +55,8 @@
     using Answered = std::function<void(CallResult<Response>)>;
 
     /**
-     * @param local if set, calls to its address go to it instead of through a socket
-     * @param traffic counts what is sent and received, if set
+     * @param local if set, calls to its address are passed to it instead of being sent over a socket
+     * @param traffic counts sent and received frames, if set
      */
     PeerClient(EventLoop &loop,
                PeerSecurity security,
@@ -67,11 +67,11 @@
     PeerClient &operator=(const PeerClient &) = delete;
 
     /**
-     * Call a node.
-     * @param address where it listens
-     * @param request what to ask
-     * @param timeout how long to wait for the answer
-     * @param answered told once, from the loop
+     * Calls a node.
+     * @param address where the node listens
+     * @param request the request
+     * @param timeout how long to wait for the response
+     * @param answered called once, from the loop
      */
     template <typename Request>
     void call(const Address &address,
@@ -87,8 +87,8 @@
                     return;
                 }
                 auto response = frame.number == Response::number ? decode<Response>(frame.payload) : std::nullopt;
-                const CallOutcome understood = response ? CallOutcome::Answered : CallOutcome::Unknown;
-                answered({understood, std::move(response)});
+                const CallOutcome decodedOutcome = response ? CallOutcome::Answered : CallOutcome::Unknown;
+                answered({decodedOutcome, std::move(response)});
             });
     }
 
@@ -105,24 +105,24 @@
 
     void callEncoded(
         const Address &address, MessageNumber number, std::string payload, std::chrono::milliseconds timeout, Finish finish);
-    /** A connection and the calls that wait on it. */
+    /** A connection and the calls that wait for responses on it. */
     struct Link
     {
         std::unique_ptr<PeerLink> connection;
         std::unordered_set<Correlation> calls;
         std::uint64_t timer = 0;
-        /** What had come by the last look. */
-        std::uint64_t bytesSeen = 0;
+        /** Bytes received up to the last check. */
+        std::uint64_t bytesAtLastCheck = 0;
         std::uint64_t probes = 0;
-        /** Looks since anything came. */
-        int silentLooks = 0;
+        /** Consecutive checks that found no new bytes. */
+        int idleChecks = 0;
     };
-    class LocalReturn;
+    class LocalResponses;
 
     Link &linkTo(const Address &address);
     void callLocal(Correlation correlation, MessageNumber number, std::string payload);
-    void lookAt(const Address &address);
-    void armLook(const Address &address, Link &link);
+    void checkLink(const Address &address);
+    void scheduleCheck(const Address &address, Link &link);
     void receive(const Frame &frame);
     void onTimeout(Correlation correlation);
     void onClosed(const Address &address);
@@ -131,7 +131,7 @@
     EventLoop &loop;
     PeerSecurity security;
     std::optional<LocalPeer> local;
-    std::shared_ptr<LocalReturn> localReturn;
+    std::shared_ptr<LocalResponses> localResponses;
     TrafficMeter *traffic;
     std::map<Address, Link> links;
     Correlation lastCorrelation = 0;
--- a/Libraries/LibWire/PeerLink.cpp
+++ b/Libraries/LibWire/PeerLink.cpp
@@ -39,7 +39,7 @@
 {
     std::unique_ptr<PeerLink> link(new PeerLink(Side::Client, std::move(security), std::move(hooks)));
     sockaddr_in target = socketAddress(address);
-    // Deferred callbacks: a refusal is told from the loop, not from inside this call.
+    // Deferred callbacks: a refused connection is reported from the loop, not from inside this call.
     bufferevent *const event = bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
     link->start(event);
     bufferevent_socket_connect(event, reinterpret_cast<sockaddr *>(&target), sizeof(target));
@@ -69,7 +69,7 @@
         return;
     }
     if (!this->writer) {
-        this->waiting.push_back(frame);
+        this->queuedFrames.push_back(frame);
         return;
     }
     const std::string bytes = this->writer->write(frame);
@@ -113,7 +113,7 @@
     });
 }
 
-bool PeerLink::takeGreeting()
+bool PeerLink::receiveNonce()
 {
     evbuffer *const input = bufferevent_get_input(this->stream);
     if (evbuffer_get_length(input) < nonceDigits) {
@@ -127,7 +127,7 @@
     MessageKey serverKey = this->security.siteKey.derive("frames of the server " + nonces);
     this->writer.emplace(isClient ? clientKey : serverKey);
     this->reader.emplace(isClient ? serverKey : clientKey, this->security.frameBytes);
-    for (const Frame &frame : std::exchange(this->waiting, {})) {
+    for (const Frame &frame : std::exchange(this->queuedFrames, {})) {
         this->send(frame);
     }
     return true;
@@ -136,7 +136,7 @@
 void PeerLink::receive()
 {
     this->received += evbuffer_get_length(bufferevent_get_input(this->stream));
-    if (!this->reader && !this->takeGreeting()) {
+    if (!this->reader && !this->receiveNonce()) {
         return;
     }
     evbuffer *const input = bufferevent_get_input(this->stream);
--- a/Libraries/LibWire/PeerLink.h
+++ b/Libraries/LibWire/PeerLink.h
@@ -18,27 +18,28 @@
 
 class EventLoop;
 
-/** What both ends of a connection between nodes have to agree on. */
+/** Parameters of a connection between nodes; both ends must use the same. */
 struct PeerSecurity
 {
     MessageKey siteKey;
-    /** Largest frame taken, in bytes. */
+    /** Maximum length of a frame, in bytes. */
     std::size_t frameBytes = 0;
     /**
-     * While calls wait on a connection, how often it is looked whether anything came; then it is probed, and closed if
-     * nothing came by the next look. So a silent one is found within three of these. Without calls it costs nothing.
+     * Interval at which a connection with queuedFrames calls is checked for new bytes. If there are none, it is
+     * probed; at the third consecutive check without new bytes it is closed. A connection without calls is not checked, so
+     * that it costs nothing.
      */
     std::chrono::milliseconds heartbeat{1000};
 };
 
 /**
  * A connection between two nodes that carries frames. Each end first sends a random number; the keys of both
- * directions are made from the site key and both numbers.
+ * directions are derived from the site key and both numbers.
  */
 class PeerLink
 {
 public:
-    /** What the link tells its owner. After onClosed it tells nothing more and may be destroyed later. */
+    /** Callbacks to the owner of the link. None is called after onClosed; the link may be destroyed after that returns. */
     struct Hooks
     {
         std::function<void(Frame)> onFrame;
@@ -46,12 +47,12 @@
     };
 
     /**
-     * Connect to a node.
-     * @return a link on which frames can be sent at once: they go out when the connection stands
+     * Connects to a node.
+     * @return a link that accepts frames immediately: they are sent when the connection is established
      */
     static std::unique_ptr<PeerLink> connect(EventLoop &loop, const Address &address, PeerSecurity security, Hooks hooks);
 
-    /** @param descriptor an accepted connection, owned by the link from now on */
+    /** @param descriptor an accepted connection; the link takes ownership */
     static std::unique_ptr<PeerLink> accept(EventLoop &loop, int descriptor, PeerSecurity security, Hooks hooks);
 
     ~PeerLink();
@@ -60,10 +61,10 @@
 
     void send(const Frame &frame);
 
-    /** @return bytes that have come from the other end: a connection on which they grow is alive. */
+    /** @return bytes received from the other end; a connection is alive while this count grows. */
     std::uint64_t bytesReceived() const;
 
-    /** @return whether the connection stood: before that, no frame has left. */
+    /** @return whether the connection was established; no frame is sent before that. */
     bool wasOpen() const;
 
 private:
@@ -78,7 +79,7 @@
     static void onEvent(bufferevent *event, short what, void *self);
     void start(bufferevent *event);
     void receive();
-    bool takeGreeting();
+    bool receiveNonce();
     void close();
 
     Side side;
@@ -88,7 +89,7 @@
     std::string ownNonce;
     std::optional<FrameWriter> writer;
     std::optional<FrameReader> reader;
-    std::vector<Frame> waiting;
+    std::vector<Frame> queuedFrames;
     std::uint64_t received = 0;
     bool opened = false;
     bool closed = false;
--- a/Libraries/LibWire/PeerServer.cpp
+++ b/Libraries/LibWire/PeerServer.cpp
@@ -25,7 +25,7 @@
                                              reinterpret_cast<const sockaddr *>(&target),
                                              sizeof(target));
     if (this->listener == nullptr) {
-        throw std::runtime_error("cannot listen for nodes at " + address.toString());
+        throw std::runtime_error("cannot listen for other nodes at " + address.toString());
     }
     this->listenAddress = boundAddress(evconnlistener_get_fd(this->listener));
 }
@@ -85,8 +85,10 @@
     if (this->answer(frame.number, frame.payload, send)) {
         return;
     }
-    // The frame is genuine, so a node of another version sent it: it sees its call fail, as with a lost connection.
-    log(LogLevel::Warning, "request of another node not understood", {{"number", static_cast<std::int64_t>(frame.number)}});
+    // The frame is authentic, so a node of another version sent it. Its call fails as with a lost connection.
+    log(LogLevel::Warning,
+        "unknown or malformed request of another node, connection closed",
+        {{"number", static_cast<std::int64_t>(frame.number)}});
     this->drop(id);
 }
 
@@ -102,7 +104,7 @@
     if (link == this->links.end()) {
         return;
     }
-    // Freed after the link's own callback has returned.
+    // Destroyed only after the callback of the link has returned.
     std::shared_ptr<PeerLink> dropped = std::move(link->second);
     this->links.erase(link);
     this->loop.post([dropped] {});
--- a/Libraries/LibWire/PeerServer.h
+++ b/Libraries/LibWire/PeerServer.h
@@ -18,7 +18,7 @@
 
 class EventLoop;
 
-/** Takes the requests of other nodes. Lives on one event loop. */
+/** Accepts the requests of other nodes. Used from one event loop only. */
 class PeerServer
 {
 public:
@@ -26,8 +26,8 @@
     using Respond = std::function<void(const Response &)>;
 
     /**
-     * @param address where to listen; port 0 takes a free one
-     * @param traffic counts what is sent and received, if set
+     * @param address where to listen; port 0 selects a free port
+     * @param traffic counts sent and received frames, if set
      * @throws std::runtime_error if it cannot listen there
      */
     PeerServer(EventLoop &loop, const Address &address, PeerSecurity security, TrafficMeter *traffic = nullptr);
@@ -35,12 +35,13 @@
     PeerServer(const PeerServer &) = delete;
     PeerServer &operator=(const PeerServer &) = delete;
 
-    /** @return where it listens. */
+    /** @return the address at which it listens. */
     const Address &address() const;
 
     /**
-     * Set what answers one kind of request. The answer may come later; if the connection is gone by then, it is dropped.
-     * @param handler gets the request and the function that sends its response
+     * Registers the handler of one type of request. The response may be sent later; it is dropped if the connection is closed
+     * by then.
+     * @param handler receives the request and the function that sends its response
      */
     template <typename Request>
     void handle(std::function<void(const Request &, Respond<typename Request::Response>)> handler)
@@ -61,8 +62,8 @@
     using SendPayload = std::function<void(MessageNumber, std::string)>;
 
     /**
-     * Answer a request that a task of this process makes, on the loop.
-     * @return whether it was understood
+     * Answers a request of a task of this process. Must be called on the loop.
+     * @return whether the request has a handler and is well formed
      */
     bool answer(MessageNumber number, const std::string &payload, const SendPayload &send) const;
 
--- a/Libraries/LibWire/ReplayWindow.cpp
+++ b/Libraries/LibWire/ReplayWindow.cpp
@@ -19,25 +19,25 @@
     auto [entry, isNew] = this->senders.try_emplace(sender);
     Sender &state = entry->second;
     if (isNew) {
-        state.place = this->byAge.insert(this->byAge.end(), sender);
+        state.position = this->byLastUse.insert(this->byLastUse.end(), sender);
         if (this->senders.size() > this->limit) {
-            this->senders.erase(this->byAge.front());
-            this->byAge.pop_front();
+            this->senders.erase(this->byLastUse.front());
+            this->byLastUse.pop_front();
         }
     } else {
-        this->byAge.splice(this->byAge.end(), this->byAge, state.place);
+        this->byLastUse.splice(this->byLastUse.end(), this->byLastUse, state.position);
     }
     if (sequence > state.highest) {
         const std::uint64_t step = sequence - state.highest;
-        state.seen = step < windowSize ? (state.seen << step) | 1U : 1U;
+        state.received = step < windowSize ? (state.received << step) | 1U : 1U;
         state.highest = sequence;
         return true;
     }
     const std::uint64_t age = state.highest - sequence;
-    if (age >= windowSize || (state.seen >> age & 1U) != 0) {
+    if (age >= windowSize || (state.received >> age & 1U) != 0) {
         return false;
     }
-    state.seen |= std::uint64_t(1) << age;
+    state.received |= std::uint64_t(1) << age;
     return true;
 }
 
--- a/Tests/LibSettings/TestSettingsLoader.cpp
+++ b/Tests/LibSettings/TestSettingsLoader.cpp
@@ -47,7 +47,7 @@
     CHECK(settings->endpoints[0].model == "appraisal");
 }
 
-TEST_CASE("every mistake is reported with its place, and nothing is loaded")
+TEST_CASE("every error is reported with its position, and nothing is loaded")
 {
     Findings findings;
     const auto settings = loadSettings({{"base", R"([node]
@@ -74,7 +74,7 @@
     CHECK(report.find("must name either a model or a service") != std::string::npos);
 }
 
-TEST_CASE("text that is no TOML is a finding with its place")
+TEST_CASE("text that is not valid TOML is a finding with its position")
 {
     Findings findings;
     CHECK_FALSE(loadSettings({{"base", "[node\nvm = 1"}}, findings).has_value());
@@ -98,9 +98,9 @@
     CHECK(findings.all()[0].message == "cannot be read");
 }
 
-// An operator applies a file with a slip in it. The TOML library takes this input for impossible and failed an assertion:
-// each program that read it ended, nodes included. Found by fuzzing.
-TEST_CASE("Input that the TOML library takes for impossible is a finding")
+// Malformed input that fails an assertion of the TOML library must not abort the programs that read it, such as nodes that
+// apply a configuration. Found by fuzzing.
+TEST_CASE("Input that fails an assertion of the TOML library is a finding")
 {
     for (const char *const text : {"[$[", "[$", "a = [$", "[\x01"}) {
         Findings findings;
--- a/Tests/LibWire/TestCodec.cpp
+++ b/Tests/LibWire/TestCodec.cpp
@@ -6,7 +6,7 @@
 
 using namespace Dogwoodkeel;
 
-TEST_CASE("a message decodes to what was encoded")
+TEST_CASE("a decoded message equals the encoded one")
 {
     CHECK(rc::check([](const std::string &id, const std::string &body, std::uint64_t fingerprint) {
         const CommitRequest sent{RequestId(id), fingerprint, SessionNumber(3), {200, "text/plain", body}};
@@ -16,7 +16,7 @@
     }));
 }
 
-TEST_CASE("bytes that are no message decode to nothing")
+TEST_CASE("malformed bytes decode to nothing")
 {
     CHECK(rc::check([](const std::string &bytes) {
         const auto decoded = decode<JournalGroup>(bytes);
@@ -25,15 +25,15 @@
     }));
 }
 
-TEST_CASE("a size that exceeds the input is refused, not allocated")
+TEST_CASE("a size that exceeds the input is rejected before memory is allocated")
 {
     std::string bytes = encode(JournalGroup());
-    // The nonce's length, behind the byte order: claims 2^62 bytes.
+    // The length of the nonce, after the byte order: states 2^62 bytes.
     bytes[8] = 0x40;
     CHECK_FALSE(decode<JournalGroup>(bytes).has_value());
 }
 
-TEST_CASE("bytes behind a message are refused")
+TEST_CASE("bytes after a message are rejected")
 {
     CHECK_FALSE(decode<CancelRecord>(encode(CancelRecord()) + "x").has_value());
 }
--- a/Tests/LibWire/TestDatagramSocket.cpp
+++ b/Tests/LibWire/TestDatagramSocket.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-/** Takes datagrams, and passes each on as it came. */
+/** Receives datagrams and passes each to a callback. */
 class Receiver
 {
 public:
@@ -30,7 +30,7 @@
     DatagramSocket socket;
 };
 
-/** A plain UDP socket: keeps what came, to be sent again or changed. */
+/** A plain UDP socket that returns received bytes, to be replayed or changed. */
 class RawSocket
 {
 public:
@@ -73,15 +73,15 @@
 
 } // namespace
 
-// Somebody on the network sends nonsense, changes a genuine datagram, and sends an old one again. None of it may be taken
-// for a message: a replayed notice of load or death would make nodes act on what is long past.
-TEST_CASE("Only genuine datagrams are taken, and each once")
+// Guards against forged, changed and replayed datagrams on the network. None may be accepted as a message: a replayed notice
+// of load or death would make nodes act on outdated state.
+TEST_CASE("Only authentic datagrams are accepted, and each only once")
 {
     std::promise<void> done;
-    std::vector<std::string> taken;
+    std::vector<std::string> accepted;
     bool isDone = false;
     TaskHost<Receiver> receiver("receiver", [&](const Datagram &datagram) {
-        taken.push_back(datagram.payload);
+        accepted.push_back(datagram.payload);
         if (datagram.payload == encode(LinkProbe{99}) && !std::exchange(isDone, true)) {
             done.set_value();
         }
@@ -97,17 +97,17 @@
         });
     };
     sendProbe(raw.address(), 1);
-    const std::string genuine = raw.receive();
-    raw.send(address, genuine);
-    raw.send(address, genuine);
-    CHECK(rc::check([&](const std::string &noise, std::size_t place, std::uint8_t change) {
-        raw.send(address, noise);
-        std::string changed = genuine;
-        changed[place % changed.size()] = static_cast<char>(changed[place % changed.size()] ^ (change | 1U));
+    const std::string authentic = raw.receive();
+    raw.send(address, authentic);
+    raw.send(address, authentic);
+    CHECK(rc::check([&](const std::string &randomBytes, std::size_t position, std::uint8_t change) {
+        raw.send(address, randomBytes);
+        std::string changed = authentic;
+        changed[position % changed.size()] = static_cast<char>(changed[position % changed.size()] ^ (change | 1U));
         raw.send(address, changed);
-        raw.send(address, genuine.substr(0, place % genuine.size()));
+        raw.send(address, authentic.substr(0, position % authentic.size()));
     }));
-    // Sent again until one is taken: the system drops datagrams when a busy machine lets the buffer fill.
+    // Repeated until one is received: the system drops datagrams when the receive buffer is full on a busy machine.
     auto future = done.get_future();
     for (int i = 0; i < 1000 && future.wait_for(std::chrono::milliseconds(30)) != std::future_status::ready; ++i) {
         sendProbe(address, 99);
@@ -115,9 +115,9 @@
     receiver.ask<bool>([](Receiver &) {
         return true;
     });
-    REQUIRE(taken.size() >= 2);
-    CHECK(taken.front() == encode(LinkProbe{1}));
-    CHECK(std::all_of(taken.begin() + 1, taken.end(), [](const std::string &payload) {
+    REQUIRE(accepted.size() >= 2);
+    CHECK(accepted.front() == encode(LinkProbe{1}));
+    CHECK(std::all_of(accepted.begin() + 1, accepted.end(), [](const std::string &payload) {
         return payload == encode(LinkProbe{99});
     }));
 }
--- a/Tests/LibWire/TestEnums.cpp
+++ b/Tests/LibWire/TestEnums.cpp
@@ -5,9 +5,9 @@
 
 using namespace Dogwoodkeel;
 
-// A node of a newer version, or a fault, sends a number that is no value of the enum here. It would reach switches that
-// have no case for it, and be answered as if it were something else.
-TEST_CASE("A number that is no value of its enum is refused")
+// A node of a newer version, or a fault, may send a number that is not a value of the enum in this version. Without the
+// check it would reach switches that have no case for it and be handled as another value.
+TEST_CASE("A number that is not a value of its enum is rejected")
 {
     SubmitJobResponse response;
     std::string bytes = encode(response);
--- a/Tests/LibWire/TestFrameCodec.cpp
+++ b/Tests/LibWire/TestFrameCodec.cpp
@@ -17,9 +17,9 @@
 
 } // namespace
 
-TEST_CASE("frames come out as they went in, however the bytes are cut")
+TEST_CASE("decoded frames equal the encoded ones, however the bytes are split")
 {
-    CHECK(rc::check([](const std::vector<std::string> &payloads, std::uint8_t cut) {
+    CHECK(rc::check([](const std::vector<std::string> &payloads, std::uint8_t splitSize) {
         FrameWriter writer(MessageKey("key"));
         FrameReader reader(MessageKey("key"), limit);
         std::string bytes;
@@ -29,9 +29,9 @@
             bytes += writer.write(sent.back());
         }
         std::vector<Frame> received;
-        const std::size_t step = cut + 1;
-        for (std::size_t at = 0; at < bytes.size(); at += step) {
-            reader.feed(std::string_view(bytes).substr(at, step));
+        const std::size_t step = splitSize + 1;
+        for (std::size_t offset = 0; offset < bytes.size(); offset += step) {
+            reader.feed(std::string_view(bytes).substr(offset, step));
             while (auto frame = reader.next()) {
                 received.push_back(*frame);
             }
@@ -41,20 +41,20 @@
     }));
 }
 
-TEST_CASE("a changed byte breaks the connection and yields no frame")
+TEST_CASE("a frame with a changed byte is rejected")
 {
-    CHECK(rc::check([](const std::string &payload, std::size_t place, std::uint8_t change) {
+    CHECK(rc::check([](const std::string &payload, std::size_t position, std::uint8_t change) {
         RC_PRE(change != 0);
         FrameWriter writer(MessageKey("key"));
         FrameReader reader(MessageKey("key"), limit);
         std::string bytes = writer.write(frameOf(1, payload));
-        bytes[place % bytes.size()] = static_cast<char>(bytes[place % bytes.size()] ^ change);
+        bytes[position % bytes.size()] = static_cast<char>(bytes[position % bytes.size()] ^ change);
         reader.feed(bytes);
         RC_ASSERT(!reader.next().has_value());
     }));
 }
 
-TEST_CASE("a replayed frame is refused")
+TEST_CASE("a replayed frame is rejected")
 {
     FrameWriter writer(MessageKey("key"));
     FrameReader reader(MessageKey("key"), limit);
@@ -66,7 +66,7 @@
     CHECK(reader.isBroken());
 }
 
-TEST_CASE("a length over the limit is refused before anything is kept for it")
+TEST_CASE("a length over the limit is rejected before the frame is buffered")
 {
     FrameReader reader(MessageKey("key"), limit);
     reader.feed("\xff\xff\xff\xff");
--- a/Tests/LibWire/TestPeerLink.cpp
+++ b/Tests/LibWire/TestPeerLink.cpp
@@ -20,7 +20,7 @@
 using Result = CallResult<JobStatusResponse>;
 
 constexpr std::chrono::hours never{1};
-/** Only so that a broken client fails the test instead of hanging it. */
+/** Makes the test fail instead of hang if the client never answers. */
 constexpr std::chrono::seconds answerTimeout{30};
 
 PeerSecurity quickSecurity()
@@ -28,32 +28,32 @@
     return {MessageKey("site"), 65536, std::chrono::milliseconds(20)};
 }
 
-/** A listener whose connections are made by the system and then stay silent for good. */
-class SilentListener
+/** A listener whose connections are established by the system but never carry data. */
+class UnresponsiveListener
 {
 public:
-    SilentListener() : descriptor(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
+    UnresponsiveListener() : descriptor(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
     {
         const sockaddr_in any = socketAddress({"127.0.0.1", 0});
         (void)bind(this->descriptor, reinterpret_cast<const sockaddr *>(&any), sizeof(any));
         listen(this->descriptor, 8);
     }
 
-    ~SilentListener()
+    ~UnresponsiveListener()
     {
         close(this->descriptor);
     }
 
-    SilentListener(const SilentListener &) = delete;
-    SilentListener &operator=(const SilentListener &) = delete;
+    UnresponsiveListener(const UnresponsiveListener &) = delete;
+    UnresponsiveListener &operator=(const UnresponsiveListener &) = delete;
 
     Address address() const
     {
         return boundAddress(this->descriptor);
     }
 
-    /** Stop listening, so that a next connection is refused. */
-    void refuseMore()
+    /** Stops listening, so that the next connection is refused. */
+    void refuseConnections()
     {
         shutdown(this->descriptor, SHUT_RDWR);
     }
@@ -62,7 +62,7 @@
     int descriptor;
 };
 
-/** Answers a status call for job "now" at once, and keeps all others waiting. */
+/** Answers a status call for job "now" immediately, and all others only on answerWaiting(). */
 class SlowServer
 {
 public:
@@ -120,24 +120,23 @@
 
 } // namespace
 
-// A node asks another to join a request that runs there, and may wait minutes for the answer. The connection goes silent:
-// it stays open, but nothing comes over it any more. Without a look at it the call would wait until its own timeout. It
-// ends with an unknown outcome instead, and the next call makes a new connection, which here is refused.
-TEST_CASE("A silent connection ends its calls long before their timeouts")
+// A call may wait minutes for its response. If its connection stays open but carries no more data, the call must not wait
+// until its own timeout: it ends with an unknown outcome, and the next call opens a new connection, which is refused here.
+TEST_CASE("Calls on an unresponsive connection end long before their timeouts")
 {
-    SilentListener listener;
+    UnresponsiveListener listener;
     TaskHost<ClientTask> host("client", std::nullopt);
     auto first = callStatus(host, listener.address(), "a");
     auto second = callStatus(host, listener.address(), "b");
     CHECK(resultOf(first).outcome == CallOutcome::Unknown);
     CHECK(resultOf(second).outcome == CallOutcome::Unknown);
-    listener.refuseMore();
+    listener.refuseConnections();
     auto next = callStatus(host, listener.address(), "c");
     CHECK(resultOf(next).outcome == CallOutcome::NotSent);
 }
 
-// The other node is well but cannot answer one call yet. Probes come back, so the connection is kept, and neither the wait
-// nor another call's timeout takes the answer from the first.
+// The other node is healthy but cannot answer one call yet. It answers the probes, so the connection is kept, and neither
+// the wait nor the timeout of another call prevents the response to the first call.
 TEST_CASE("A connection that answers probes keeps its waiting calls")
 {
     TaskHost<SlowServer> server("server");
@@ -146,8 +145,8 @@
     });
     TaskHost<ClientTask> host("client", std::nullopt);
     auto waiting = callStatus(host, address, "later");
-    auto hurried = callStatus(host, address, "later", std::chrono::milliseconds(200));
-    CHECK(resultOf(hurried).outcome == CallOutcome::Unknown);
+    auto timedOut = callStatus(host, address, "later", std::chrono::milliseconds(200));
+    CHECK(resultOf(timedOut).outcome == CallOutcome::Unknown);
     auto quick = callStatus(host, address, "now");
     CHECK(resultOf(quick).outcome == CallOutcome::Answered);
     server.post([](SlowServer &task) {
@@ -168,7 +167,7 @@
     auto host = std::make_unique<TaskHost<ClientTask>>("client", local);
     auto quick = callStatus(*host, local.address, "now");
     CHECK(resultOf(quick).outcome == CallOutcome::Answered);
-    // An answer that comes after its client has ended is dropped.
+    // A response that arrives after its client was destroyed is dropped.
     auto late = callStatus(*host, local.address, "later");
     host->ask<bool>([](ClientTask &) {
         return true;
