--- a/Libraries/LibMembership/CoordinatorElection.cpp
+++ b/Libraries/LibMembership/CoordinatorElection.cpp
@@ -52,9 +52,9 @@
 /** Several gossip rounds, after which all members know why a member gave up the role. */
 constexpr std::chrono::milliseconds resignationRetention{3000};
 
-auto rankOf(const DutyClaim &claim)
+auto rankOf(const CoordinatorClaim &claim)
 {
-    return std::tuple(claim.term, claim.holder);
+    return std::tuple(claim.term, claim.coordinator);
 }
 
 } // namespace
@@ -91,7 +91,7 @@
     return this->members->isMinority() || (isRecent && lost > 1 && lost * lostMembersDivisor > this->maxMembers);
 }
 
-CoordinatorElection::ReceiveOutcome CoordinatorElection::receive(const DutyClaim &claim)
+CoordinatorElection::ReceiveOutcome CoordinatorElection::receive(const CoordinatorClaim &claim)
 {
     if (!this->current && claim == this->claimQuery()) {
         return ReceiveOutcome::Known;
@@ -117,7 +117,7 @@
     return this->selected;
 }
 
-const std::optional<DutyClaim> &CoordinatorElection::claim() const
+const std::optional<CoordinatorClaim> &CoordinatorElection::claim() const
 {
     return this->current;
 }
@@ -127,7 +127,7 @@
     return !this->current && this->othersSeenAt;
 }
 
-DutyClaim CoordinatorElection::claimQuery() const
+CoordinatorClaim CoordinatorElection::claimQuery() const
 {
     return {this->role, 0, SessionNumber()};
 }
@@ -141,9 +141,9 @@
     return coordinatorFor(*this->members, this->key, RoleCandidates::Relays, except);
 }
 
-void CoordinatorElection::receiveSuspicion(const DutySuspicion &suspicion)
+void CoordinatorElection::receiveSuspicion(const CoordinatorSuspicion &suspicion)
 {
-    if (!this->current || this->current->holder != suspicion.holder || suspicion.holder == this->self) {
+    if (!this->current || this->current->coordinator != suspicion.coordinator || suspicion.coordinator == this->self) {
         return;
     }
     const SteadyTime now = this->clock.now();
@@ -182,7 +182,7 @@
     return this->suspectedSince && this->clock.now() - *this->suspectedSince >= unresponsiveTimeout;
 }
 
-std::optional<DutyClaim> CoordinatorElection::makeClaim()
+std::optional<CoordinatorClaim> CoordinatorElection::makeClaim()
 {
     if (this->suspectedSince || this->coordinatorMissingSince) {
         this->selectCoordinator();
@@ -191,9 +191,9 @@
         return std::nullopt;
     }
     const SessionNumber next = this->selected->session;
-    const bool isClaimed = this->current && this->current->holder == next;
+    const bool isClaimed = this->current && this->current->coordinator == next;
     const bool isLocal = next == this->self;
-    const bool isOwnClaim = this->current && this->current->holder == this->self;
+    const bool isOwnClaim = this->current && this->current->coordinator == this->self;
     // A node that receives suspicions from several others is not cut off itself.
     const bool isConfirmed = this->isUnresponsive() && this->hasEnoughSuspectingMembers();
     const bool isSure = isConfirmed || (!this->hasLostManyMembers() && !this->isAwaitingClaim() && !this->isCoordinatorUnknown());
@@ -201,7 +201,7 @@
         return std::nullopt;
     }
     const std::uint64_t term = this->current ? this->current->term + 1 : 1;
-    this->receive(DutyClaim{this->role, term, next});
+    this->receive(CoordinatorClaim{this->role, term, next});
     return this->current;
 }
 
@@ -228,7 +228,7 @@
     if (!this->current) {
         return nullptr;
     }
-    if (const Member *const claimed = this->stableMembers->find(this->current->holder)) {
+    if (const Member *const claimed = this->stableMembers->find(this->current->coordinator)) {
         this->lastSeenCoordinator = *claimed;
         this->coordinatorMissingSince.reset();
         return claimed;
@@ -255,18 +255,19 @@
     // A successor must reach the store now, however short its loss has been.
     std::set<SessionNumber> except = this->recentlyResigned();
     if (this->isUnresponsive() && this->current) {
-        except.insert(this->current->holder);
+        except.insert(this->current->coordinator);
     }
     this->selected = coordinatorFor(*this->members, this->key, RoleCandidates::Relays, except);
 }
 
 // If two members become ineligible at once, each may regard the other as eligible until the view shows otherwise. Without this
 // record they would name each other in turn.
-void CoordinatorElection::recordResignation(const DutyClaim &claim)
+void CoordinatorElection::recordResignation(const CoordinatorClaim &claim)
 {
-    const bool isNamedByCoordinator = this->current && claim.holder == this->self && this->current->holder != this->self;
+    const bool isNamedByCoordinator
+        = this->current && claim.coordinator == this->self && this->current->coordinator != this->self;
     if (isNamedByCoordinator) {
-        this->resignedMembers.insert_or_assign(this->current->holder, this->clock.now());
+        this->resignedMembers.insert_or_assign(this->current->coordinator, this->clock.now());
     }
 }
 
--- a/Libraries/LibMembership/Membership.cpp
+++ b/Libraries/LibMembership/Membership.cpp
@@ -306,24 +306,24 @@
     if (entry == nullptr || isDeparted(entry->member)) {
         return;
     }
-    MemberNews memberUpdate = updateOf(entry->member);
+    MemberUpdate memberUpdate = updateOf(entry->member);
     memberUpdate.state = MemberState::Suspect;
-    memberUpdate.accuser = this->self;
+    memberUpdate.suspectedBy = this->self;
     this->apply(memberUpdate);
     this->publish();
 }
 
-void Membership::startSuspicion(const MemberNews &memberUpdate)
+void Membership::startSuspicion(const MemberUpdate &memberUpdate)
 {
     const SessionNumber target = memberUpdate.session;
     const std::vector<const Member *> confirmers = this->confirmersOf(target);
     const std::size_t expected = this->isLikelyLastMember() ? 0 : std::min(confirmers.size() - 1, this->options.indirectProbers);
     const Suspicion::Options times{this->options.suspicion, this->options.suspicion * unconfirmedFactor, expected};
     this->stopSuspicion(target);
-    this->suspected.emplace(target, Suspected{Suspicion(this->clock.now(), memberUpdate.accuser, times), {}, 0});
-    this->lastSuspectingMember[target] = memberUpdate.accuser;
+    this->suspected.emplace(target, Suspected{Suspicion(this->clock.now(), memberUpdate.suspectedBy, times), {}, 0});
+    this->lastSuspectingMember[target] = memberUpdate.suspectedBy;
     this->scheduleDeath(target);
-    if (memberUpdate.accuser == this->self) {
+    if (memberUpdate.suspectedBy == this->self) {
         this->notifyConfirmers(target);
         return;
     }
@@ -370,7 +370,7 @@
         this->scheduleDeath(target);
         return;
     }
-    MemberNews memberUpdate = updateOf(entry->member);
+    MemberUpdate memberUpdate = updateOf(entry->member);
     memberUpdate.state = MemberState::Dead;
     this->apply(memberUpdate);
     this->publish();
@@ -492,7 +492,7 @@
         return;
     }
     this->lastReceived = this->clock.now();
-    for (const MemberNews &departed : push.departed) {
+    for (const MemberUpdate &departed : push.departed) {
         this->apply(departed);
     }
     for (const Member &member : push.members) {
@@ -516,7 +516,7 @@
     for (const Member &member : gossip.members) {
         this->apply(member);
     }
-    for (const MemberNews &memberUpdate : gossip.news) {
+    for (const MemberUpdate &memberUpdate : gossip.updates) {
         this->apply(memberUpdate);
     }
     this->apply(gossip.load);
@@ -590,7 +590,7 @@
     }
 }
 
-void Membership::apply(const MemberNews &reported)
+void Membership::apply(const MemberUpdate &reported)
 {
     if (!isValid(reported.state)) {
         return;
@@ -603,13 +603,13 @@
     const MemberState before = entry != nullptr ? entry->member.state : MemberState::Alive;
     const auto suspected = this->suspected.find(reported.session);
     const bool isConfirmation = reported.state == MemberState::Suspect && suspected != this->suspected.end()
-        && reported.incarnation == entry->member.incarnation && reported.accuser.value() != 0;
+        && reported.incarnation == entry->member.incarnation && reported.suspectedBy.value() != 0;
     if (isConfirmation) {
-        if (suspected->second.suspicion.confirm(reported.accuser)) {
-            this->lastSuspectingMember[reported.session] = reported.accuser;
+        if (suspected->second.suspicion.confirm(reported.suspectedBy)) {
+            this->lastSuspectingMember[reported.session] = reported.suspectedBy;
             this->changedMembers.add(reported.session);
             this->scheduleDeath(reported.session);
-            if (reported.accuser == this->self) {
+            if (reported.suspectedBy == this->self) {
                 this->notifyConfirmers(reported.session);
             }
         }
@@ -625,7 +625,7 @@
             "member changed",
             {{"session", static_cast<std::int64_t>(reported.session.value())},
              {"member_vm", this->table.find(reported.session)->member.vm.value()},
-             {"accuser", static_cast<std::int64_t>(reported.accuser.value())},
+             {"accuser", static_cast<std::int64_t>(reported.suspectedBy.value())},
              {"state", std::string(toString(reported.state))}});
     }
     if (reported.state != MemberState::Suspect) {
@@ -665,7 +665,7 @@
 {
     // A socket belongs to one process: of two sessions with the same gossip address the earlier has ended, without any need to
     // suspect it first.
-    std::vector<MemberNews> ended;
+    std::vector<MemberUpdate> ended;
     std::vector<SessionNumber> uncertain;
     for (const auto &[session, entry] : this->table.entries()) {
         const bool isSame = entry.isDescribed && entry.member.gossip == newcomer.gossip && session != newcomer.session;
@@ -684,7 +684,7 @@
             this->probe(session);
         }
     }
-    for (MemberNews &memberUpdate : ended) {
+    for (MemberUpdate &memberUpdate : ended) {
         memberUpdate.state = MemberState::Left;
         if (memberUpdate.session != this->self) {
             this->apply(memberUpdate);
@@ -701,7 +701,7 @@
     if (!isKnown || isDeparted(predecessor->member) || successor->member.gossip != predecessor->member.gossip) {
         return;
     }
-    MemberNews memberUpdate = updateOf(predecessor->member);
+    MemberUpdate memberUpdate = updateOf(predecessor->member);
     memberUpdate.state = MemberState::Left;
     this->apply(memberUpdate);
     this->publish();
@@ -732,7 +732,7 @@
     this->publish();
 }
 
-void Membership::refute(const MemberNews &memberUpdate)
+void Membership::refute(const MemberUpdate &memberUpdate)
 {
     if (memberUpdate.state == MemberState::Left && !this->hasLeft) {
         this->loseSession("the other members regard the session as ended");
@@ -792,7 +792,7 @@
         Gossip leaveGossip;
         leaveGossip.digest = this->table.digest();
         leaveGossip.load = loadOf(this->table.own());
-        leaveGossip.news.push_back(updateOf(this->table.own()));
+        leaveGossip.updates.push_back(updateOf(this->table.own()));
         this->hooks.sendPing(receiver->gossip, {this->self, ++this->lastSequence, leaveGossip});
     }
     this->hasLeft = true;
@@ -811,7 +811,7 @@
     gossip.load = loadOf(this->table.own());
     const MemberTable::Entry *const entry = this->table.find(receiver);
     if (entry != nullptr && (entry->member.state == MemberState::Suspect || entry->member.state == MemberState::Dead)) {
-        gossip.news.push_back(this->updateToSend(entry->member));
+        gossip.updates.push_back(this->updateToSend(entry->member));
     }
     const std::uint32_t transmissions = this->transmissions();
     for (const SessionNumber session : this->newMembers.selectNext(membersInDatagram, transmissions)) {
@@ -821,7 +821,7 @@
     }
     for (const SessionNumber session : this->changedMembers.selectNext(updatesInDatagram, transmissions)) {
         if (const MemberTable::Entry *const reported = this->table.find(session)) {
-            gossip.news.push_back(this->updateToSend(reported->member));
+            gossip.updates.push_back(this->updateToSend(reported->member));
         }
     }
     for (const SessionNumber session : this->changedLoads.selectNext(loadsInDatagram, transmissions / transmissionsPerDoubling)) {
@@ -833,12 +833,12 @@
     return gossip;
 }
 
-MemberNews Membership::updateToSend(const Member &member) const
+MemberUpdate Membership::updateToSend(const Member &member) const
 {
-    MemberNews memberUpdate = updateOf(member);
+    MemberUpdate memberUpdate = updateOf(member);
     const auto suspectingMember = this->lastSuspectingMember.find(member.session);
     if (member.state == MemberState::Suspect && suspectingMember != this->lastSuspectingMember.end()) {
-        memberUpdate.accuser = suspectingMember->second;
+        memberUpdate.suspectedBy = suspectingMember->second;
     }
     return memberUpdate;
 }
--- a/Services/Gateway/CoordinatorElections.cpp
+++ b/Services/Gateway/CoordinatorElections.cpp
@@ -61,7 +61,7 @@
 bool CoordinatorElections::isClaimedLocally(const std::string &role) const
 {
     const RoleState *const state = this->find(role);
-    return state != nullptr && state->election->claim() && state->election->claim()->holder == this->peers.self();
+    return state != nullptr && state->election->claim() && state->election->claim()->coordinator == this->peers.self();
 }
 
 bool CoordinatorElections::isAnyClaimedLocally() const
@@ -90,7 +90,7 @@
     if (next == nullptr) {
         return;
     }
-    const DutySuspicion suspicion{role, suspected->session, this->peers.self()};
+    const CoordinatorSuspicion suspicion{role, suspected->session, this->peers.self()};
     if (next->session == this->peers.self()) {
         this->roles.at(role).election->receiveSuspicion(suspicion);
     } else {
@@ -141,7 +141,7 @@
 
 void CoordinatorElections::claim(const std::string &role, RoleState &state)
 {
-    const std::optional<DutyClaim> claim = state.election->makeClaim();
+    const std::optional<CoordinatorClaim> claim = state.election->makeClaim();
     if (!claim) {
         return;
     }
@@ -149,14 +149,14 @@
         "duty claimed",
         {{"duty", role},
          {"term", static_cast<std::int64_t>(claim->term)},
-         {"holder", static_cast<std::int64_t>(claim->holder.value())},
+         {"holder", static_cast<std::int64_t>(claim->coordinator.value())},
          {"members", static_cast<std::int64_t>(this->view->members().size())}});
     for (const Member &member : this->view->members()) {
         if (member.session != this->peers.self()) {
             this->peers.datagrams().send(member.gossip, *claim);
         }
     }
-    this->updateCoordinator(state, claim->holder != this->peers.self());
+    this->updateCoordinator(state, claim->coordinator != this->peers.self());
 }
 
 void CoordinatorElections::queryClaim(const CoordinatorElection &election)
@@ -187,15 +187,15 @@
 
 bool CoordinatorElections::receive(const Datagram &datagram)
 {
-    if (datagram.number == DutyClaim::number) {
-        if (const auto claim = decode<DutyClaim>(datagram.payload)) {
+    if (datagram.number == CoordinatorClaim::number) {
+        if (const auto claim = decode<CoordinatorClaim>(datagram.payload)) {
             this->receive(datagram.from, *claim);
         }
         return true;
     }
-    if (datagram.number == DutySuspicion::number) {
-        const auto suspicion = decode<DutySuspicion>(datagram.payload);
-        const auto found = suspicion ? this->roles.find(suspicion->duty) : this->roles.end();
+    if (datagram.number == CoordinatorSuspicion::number) {
+        const auto suspicion = decode<CoordinatorSuspicion>(datagram.payload);
+        const auto found = suspicion ? this->roles.find(suspicion->role) : this->roles.end();
         if (found != this->roles.end()) {
             found->second.election->receiveSuspicion(*suspicion);
         }
@@ -204,9 +204,9 @@
     return false;
 }
 
-void CoordinatorElections::receive(const Address &from, const DutyClaim &claim)
+void CoordinatorElections::receive(const Address &from, const CoordinatorClaim &claim)
 {
-    const auto found = this->roles.find(claim.duty);
+    const auto found = this->roles.find(claim.role);
     if (found == this->roles.end()) {
         return;
     }
@@ -222,7 +222,7 @@
         this->updateCoordinator(state);
         return;
     case CoordinatorElection::ReceiveOutcome::Outdated:
-        this->sendClaim(from, claim.duty);
+        this->sendClaim(from, claim.role);
         return;
     case CoordinatorElection::ReceiveOutcome::Known:
         return;
--- a/Services/Gateway/QuotaService.cpp
+++ b/Services/Gateway/QuotaService.cpp
@@ -113,7 +113,7 @@
         this->asker.take(question.ticket, this->count(number, {this->peers.self(), question.ticket}, question));
         return true;
     }
-    QuotaAsk query;
+    QuotaQuery query;
     query.from = this->peers.self();
     query.ticket = question.ticket;
     query.workspace = question.workspace;
@@ -127,8 +127,8 @@
 
 bool QuotaService::receive(const Datagram &datagram)
 {
-    if (datagram.number == QuotaAsk::number) {
-        if (const auto query = decode<QuotaAsk>(datagram.payload)) {
+    if (datagram.number == QuotaQuery::number) {
+        if (const auto query = decode<QuotaQuery>(datagram.payload)) {
             this->receive(datagram, *query);
         }
         return true;
@@ -149,7 +149,7 @@
     return false;
 }
 
-void QuotaService::receive(const Datagram &datagram, const QuotaAsk &query)
+void QuotaService::receive(const Datagram &datagram, const QuotaQuery &query)
 {
     const std::size_t number = quotaPartOf(query.workspace);
     const std::string &role = this->parts[number].role;
@@ -157,7 +157,7 @@
     const Member *const other = isForwarded || query.isToSuccessor ? nullptr : this->elections.remoteCoordinator(role);
     if (other != nullptr) {
         // The sender does not know the coordinator yet. If this node answered, two nodes would count the same workspace.
-        QuotaAsk forwarded = query;
+        QuotaQuery forwarded = query;
         forwarded.replyTo = datagram.from;
         this->peers.datagrams().send(other->gossip, forwarded);
         this->elections.sendClaim(datagram.from, role);
@@ -235,7 +235,7 @@
             handover.count = static_cast<std::uint32_t>(datagrams);
             const std::size_t end = std::min(levels.size(), (index + 1) * maxLevelsPerDatagram);
             for (std::size_t position = index * maxLevelsPerDatagram; position < end; ++position) {
-                handover.rests.push_back({levels[position].workspace, levels[position].level});
+                handover.balances.push_back({levels[position].workspace, levels[position].level});
             }
             this->peers.datagrams().send(next->gossip, handover);
         }
@@ -271,7 +271,7 @@
     const bool isCurrent = this->clock.now() - part.handoverReceived < handoverRetained;
     std::vector<QuotaLevel> levels;
     for (const auto &[index, received] : part.handover) {
-        for (const QuotaRest &rest : received.rests) {
+        for (const QuotaBalance &rest : received.balances) {
             levels.push_back({rest.workspace, rest.level});
         }
     }
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -77,7 +77,7 @@
     };
 
     bool queryCounter(const QuotaQuestion &question, QuotaAsker::Counter counter);
-    void receive(const Datagram &datagram, const QuotaAsk &query);
+    void receive(const Datagram &datagram, const QuotaQuery &query);
     void receive(const QuotaHandover &handover);
     void applyHandover(Part &part);
     QuotaDecision count(std::size_t number, const QueryId &id, const QuotaQuestion &question);
