--- a/Libraries/LibGateway/JobRows.cpp
+++ b/Libraries/LibGateway/JobRows.cpp
@@ -66,12 +66,12 @@
     return {jobTable, job.value(), "", "", 0};
 }
 
-RowPlace head(const JobId &job)
+RowKey head(const JobId &job)
 {
     return {jobTable, job.value(), headKey};
 }
 
-RowPlace contentChunk(const JobId &job, std::uint32_t chunk)
+RowKey contentChunk(const JobId &job, std::uint32_t chunk)
 {
     return {jobTable, job.value(), chunkKey(contentPrefix, chunk)};
 }
@@ -91,7 +91,7 @@
     return {jobTable, job.value(), resultKey(position), "", 0};
 }
 
-RowPlace open(const JobId &job)
+RowKey open(const JobId &job)
 {
     return {openTable, "", std::string(openPrefix) + job.value()};
 }
@@ -106,7 +106,7 @@
     return key.starts_with(openPrefix) ? std::optional(JobId(key.substr(openPrefix.size()))) : std::nullopt;
 }
 
-RowPlace acceptanceOrder(const std::string &route, const WorkspaceName &workspace)
+RowKey acceptanceOrder(const std::string &route, const WorkspaceName &workspace)
 {
     return {openTable, "", orderPrefix + scoped(workspace, route)};
 }
@@ -146,11 +146,11 @@
     std::string encoded;
     for (const StoredRow &row : rows) {
         const std::string expected = resultKey(from + results.size());
-        if (!row.place.key.starts_with(expected)) {
+        if (!row.key.key.starts_with(expected)) {
             break;
         }
         encoded.append(row.value);
-        if (!row.place.key.ends_with("/z")) {
+        if (!row.key.key.ends_with("/z")) {
             continue;
         }
         const std::optional<ItemResultRecord> record = decode<ItemResultRecord>(encoded);
@@ -169,7 +169,7 @@
     std::string encoded;
     std::uint32_t found = 0;
     for (const StoredRow &row : rows) {
-        if (row.place.key.starts_with(contentPrefix)) {
+        if (row.key.key.starts_with(contentPrefix)) {
             encoded.append(row.value);
             ++found;
         }
@@ -179,7 +179,7 @@
 
 std::optional<std::pair<JobHead, RowVersion>> readHead(const std::vector<StoredRow> &rows, const JobId &job)
 {
-    const auto found = std::ranges::find(rows, head(job), &StoredRow::place);
+    const auto found = std::ranges::find(rows, head(job), &StoredRow::key);
     if (found == rows.end()) {
         return std::nullopt;
     }
@@ -187,7 +187,7 @@
     return decoded ? std::optional(std::pair(*decoded, found->version)) : std::nullopt;
 }
 
-RowPlace progress(const JobId &job, const ItemProgress &part)
+RowKey progress(const JobId &job, const ItemProgress &part)
 {
     char digits[64];
     std::snprintf(
--- a/Libraries/LibGateway/JobRows.h
+++ b/Libraries/LibGateway/JobRows.h
@@ -39,10 +39,10 @@
 RowRange allOf(const JobId &job);
 
 /** @return the key of the head of a job. */
-RowPlace head(const JobId &job);
+RowKey head(const JobId &job);
 
 /** @return the key of one chunk of a job's content. */
-RowPlace contentChunk(const JobId &job, std::uint32_t chunk);
+RowKey contentChunk(const JobId &job, std::uint32_t chunk);
 
 /** @return the rows of the head and content of a job. */
 RowRange headAndContent(const JobId &job);
@@ -57,7 +57,7 @@
 inline constexpr const char *openTable = "jobs-open";
 
 /** @return the key of the row of an open job. */
-RowPlace open(const JobId &job);
+RowKey open(const JobId &job);
 
 /** @return a range that begins with the row of an open job and is limited to one row. */
 RowRange openOnly(const JobId &job);
@@ -66,7 +66,7 @@
 std::optional<JobId> openJobOf(const std::string &key);
 
 /** @return the key of the row that orders the acceptance of a workspace's jobs on a route. */
-RowPlace acceptanceOrder(const std::string &route, const WorkspaceName &workspace);
+RowKey acceptanceOrder(const std::string &route, const WorkspaceName &workspace);
 
 /** @return the name of the object that holds the content of a job if it is too large for rows. */
 std::string contentObject(const JobId &job);
@@ -102,7 +102,7 @@
 };
 
 /** @return the key of a part of an item's progress. */
-RowPlace progress(const JobId &job, const ItemProgress &part);
+RowKey progress(const JobId &job, const ItemProgress &part);
 
 /** @return the rows of the progress of all items of a job. */
 RowRange progressOf(const JobId &job);
--- a/Libraries/LibPlatform/ReadAllRows.cpp
+++ b/Libraries/LibPlatform/ReadAllRows.cpp
@@ -35,7 +35,7 @@
             reading->done(std::move(result));
             return;
         }
-        reading->range.from = part.rows.back().place.key + '\0';
+        reading->range.from = part.rows.back().key.key + '\0';
         readNext(store, reading);
     });
 }
--- a/Libraries/LibPlatform/RowStore.h
+++ b/Libraries/LibPlatform/RowStore.h
@@ -12,19 +12,19 @@
 {
 
 /** Where a row lies. Rows of one part are changed together at no extra cost, and one after the other. */
-struct RowPlace
+struct RowKey
 {
     std::string table;
     std::string part;
     std::string key;
 
-    auto operator<=>(const RowPlace &) const = default;
+    auto operator<=>(const RowKey &) const = default;
 };
 
 /** A row as it was read, or as it was when it was removed. */
 struct StoredRow
 {
-    RowPlace place;
+    RowKey key;
     std::string value;
     RowVersion version = 0;
     bool isRemoved = false;
@@ -33,7 +33,7 @@
 /** What must hold of a row for a transaction to take effect. */
 struct RowExpectation
 {
-    RowPlace place;
+    RowKey key;
     /** The version that it must have; 0: it must be absent. */
     RowVersion version = 0;
 };
@@ -41,7 +41,7 @@
 /** A new value of a row. */
 struct RowPut
 {
-    RowPlace place;
+    RowKey key;
     std::string value;
 };
 
@@ -50,7 +50,7 @@
 {
     std::vector<RowExpectation> expectations;
     std::vector<RowPut> puts;
-    std::vector<RowPlace> removals;
+    std::vector<RowKey> removals;
 };
 
 /** What became of a transaction. */
--- a/Libraries/LibPlatform/TableMirror.cpp
+++ b/Libraries/LibPlatform/TableMirror.cpp
@@ -18,12 +18,12 @@
     // Who follows through this node need not read anew: what went while the history was lost shows by what is there no more.
     std::set<Key> present;
     for (const StoredRow &row : rows) {
-        present.emplace(row.place.part, row.place.key);
+        present.emplace(row.key.part, row.key.key);
     }
     std::vector<StoredRow> gone;
     for (const auto &[key, row] : this->rows) {
         if (!present.contains(key)) {
-            gone.push_back({row.place, {}, version, true});
+            gone.push_back({row.key, {}, version, true});
         }
     }
     if (this->latest == 0) {
@@ -40,7 +40,7 @@
 
 void TableMirror::take(const StoredRow &row)
 {
-    const Key key(row.place.part, row.place.key);
+    const Key key(row.key.part, row.key.key);
     const auto known = this->rows.find(key);
     if (known != this->rows.end()) {
         this->byVersion.erase({known->second.version, key});
--- a/Services/Gateway/ConfigurationFollower.cpp
+++ b/Services/Gateway/ConfigurationFollower.cpp
@@ -43,7 +43,7 @@
         respond(ConfigurationText{this->version(), isNewer ? this->text : std::string()});
     });
     const auto applyRow = [this](const StoredRow &row) {
-        if (row.place.key == this->format.key && !row.isRemoved) {
+        if (row.key.key == this->format.key && !row.isRemoved) {
             this->apply(row.value, "store");
         }
     };
--- a/Services/Gateway/JobCleaner.cpp
+++ b/Services/Gateway/JobCleaner.cpp
@@ -119,13 +119,13 @@
 void JobCleaner::removeRows(const JobId &job, const std::vector<StoredRow> &rows)
 {
     // The head goes last: as long as it is there, a removal that is broken off is taken up again.
-    const RowPlace head = JobRows::head(job);
+    const RowKey head = JobRows::head(job);
     const bool fitsAll = rows.size() <= mostRemovals;
     RowTransaction transaction;
     for (const StoredRow &row : rows) {
-        const bool isHeld = row.place == head && !fitsAll;
+        const bool isHeld = row.key == head && !fitsAll;
         if (!isHeld && transaction.removals.size() < mostRemovals) {
-            transaction.removals.push_back(row.place);
+            transaction.removals.push_back(row.key);
         }
     }
     this->store.transact(std::move(transaction), [this, alive = this->alive, job, fitsAll](const RowTransactionResult &result) {
--- a/Services/Gateway/JobRunners.cpp
+++ b/Services/Gateway/JobRunners.cpp
@@ -116,7 +116,7 @@
 {
     std::set<JobId> listed;
     for (const StoredRow &row : rows) {
-        if (const std::optional<JobId> job = JobRows::openJobOf(row.place.key)) {
+        if (const std::optional<JobId> job = JobRows::openJobOf(row.key.key)) {
             listed.insert(*job);
         }
         this->takeChange(row);
@@ -140,7 +140,7 @@
 
 void JobRunners::takeChange(const StoredRow &row)
 {
-    const std::optional<JobId> job = JobRows::openJobOf(row.place.key);
+    const std::optional<JobId> job = JobRows::openJobOf(row.key.key);
     if (!job) {
         return;
     }
--- a/Services/Gateway/JobStore.cpp
+++ b/Services/Gateway/JobStore.cpp
@@ -140,16 +140,16 @@
             return;
         }
         const Submission &submission = submitting->submission;
-        const RowPlace order = JobRows::acceptanceOrder(submission.route, submission.workspace);
+        const RowKey order = JobRows::acceptanceOrder(submission.route, submission.workspace);
         std::uint64_t waiting = 0;
         RowVersion orderVersion = 0;
         bool isKnown = false;
         for (const StoredRow &row : result.rows) {
-            const std::optional<OpenJob> open = JobRows::openJobOf(row.place.key) ? decode<OpenJob>(row.value) : std::nullopt;
+            const std::optional<OpenJob> open = JobRows::openJobOf(row.key.key) ? decode<OpenJob>(row.value) : std::nullopt;
             const bool isCounted = open && open->route == submission.route && open->workspace == submission.workspace;
             waiting += isCounted ? open->waitingTokens : 0;
-            isKnown = isKnown || row.place == JobRows::open(submission.id);
-            orderVersion = row.place == order ? row.version : orderVersion;
+            isKnown = isKnown || row.key == JobRows::open(submission.id);
+            orderVersion = row.key == order ? row.version : orderVersion;
         }
         if (isKnown) {
             this->takeFound(submitting);
@@ -187,7 +187,7 @@
     }
     if (submission.waitingTokensLimit > 0) {
         // Each acceptance changes this row, so that two nodes can't both fill the last room.
-        const RowPlace order = JobRows::acceptanceOrder(submission.route, submission.workspace);
+        const RowKey order = JobRows::acceptanceOrder(submission.route, submission.workspace);
         transaction.expectations.push_back({order, orderVersion});
         transaction.puts.push_back({order, std::to_string(waiting + submitting->tokens)});
     }
@@ -208,7 +208,7 @@
         return;
     case WriteOutcome::Refused: {
         const bool isKnown = std::ranges::any_of(result.current, [&job](const StoredRow &row) {
-            return row.place == JobRows::head(job) && row.version > 0 && !row.isRemoved;
+            return row.key == JobRows::head(job) && row.version > 0 && !row.isRemoved;
         });
         if (isKnown) {
             this->takeFound(submitting);
@@ -247,14 +247,14 @@
         submitting->done(SubmitOutcome::Known);
         return;
     }
-    const RowPlace place = JobRows::open(submitting->submission.id);
+    const RowKey key = JobRows::open(submitting->submission.id);
     this->store.read(JobRows::openOnly(submitting->submission.id),
-                     [this, alive = this->alive, submitting, place](const RowRangeResult &result) {
+                     [this, alive = this->alive, submitting, key](const RowRangeResult &result) {
                          if (!*alive) {
                              return;
                          }
-                         const bool isOurs = std::ranges::any_of(result.rows, [this, &place](const StoredRow &row) {
-                             const std::optional<OpenJob> open = row.place == place ? decode<OpenJob>(row.value) : std::nullopt;
+                         const bool isOurs = std::ranges::any_of(result.rows, [this, &key](const StoredRow &row) {
+                             const std::optional<OpenJob> open = row.key == key ? decode<OpenJob>(row.value) : std::nullopt;
                              return open && open->runner == this->self();
                          });
                          submitting->done(isOurs ? SubmitOutcome::Accepted : SubmitOutcome::Known);
--- a/Services/Gateway/PeerNetwork.cpp
+++ b/Services/Gateway/PeerNetwork.cpp
@@ -386,20 +386,20 @@
 void PeerNetwork::applyNode(const StoredRow &row)
 {
     if (row.isRemoved) {
-        this->knownNodes.erase(row.place.key);
+        this->knownNodes.erase(row.key.key);
         return;
     }
     const std::optional<NodeRecord> record = decode<NodeRecord>(row.value);
     if (!record) {
-        log(LogLevel::Warning, "unreadable node row ignored", {{"key", row.place.key}});
+        log(LogLevel::Warning, "unreadable node row ignored", {{"key", row.key.key}});
         return;
     }
     if (this->nodeFollower) {
-        this->knownNodes.insert_or_assign(row.place.key, *record);
+        this->knownNodes.insert_or_assign(row.key.key, *record);
     }
     const bool hasSameSession = record->session == this->session && record->gossip != this->socket.address();
     if (hasSameSession) {
-        log(LogLevel::Warning, "another node has the same session number, drawing a new one", {{"key", row.place.key}});
+        log(LogLevel::Warning, "another node has the same session number, drawing a new one", {{"key", row.key.key}});
         this->renewSession();
     }
     if (record->session != this->session && this->membership->view()->find(record->session) == nullptr) {
--- a/Services/Gateway/RelayedStore.cpp
+++ b/Services/Gateway/RelayedStore.cpp
@@ -24,12 +24,12 @@
 /** How long the direct route is not tried first after another one answered sooner. */
 constexpr std::chrono::milliseconds retryDirectAfter{2000};
 
-StoreRow encodeRow(const RowPlace &place, const std::string &value, RowVersion version)
+StoreRow encodeRow(const RowKey &key, const std::string &value, RowVersion version)
 {
-    return {place.table, place.part, place.key, value, version};
+    return {key.table, key.part, key.key, value, version};
 }
 
-RowPlace placeOf(const StoreRow &row)
+RowKey rowKeyOf(const StoreRow &row)
 {
     return {row.table, row.part, row.key};
 }
@@ -39,7 +39,7 @@
     std::vector<StoreRow> encoded;
     encoded.reserve(rows.size());
     for (const StoredRow &row : rows) {
-        encoded.push_back(encodeRow(row.place, row.value, row.version));
+        encoded.push_back(encodeRow(row.key, row.value, row.version));
     }
     return encoded;
 }
@@ -49,7 +49,7 @@
     std::vector<StoredRow> decoded;
     decoded.reserve(rows.size());
     for (const StoreRow &row : rows) {
-        decoded.push_back({placeOf(row), row.value, row.version, false});
+        decoded.push_back({rowKeyOf(row), row.value, row.version, false});
     }
     return decoded;
 }
@@ -58,13 +58,13 @@
 {
     StoreTransactRequest request;
     for (const RowExpectation &expectation : transaction.expectations) {
-        request.expectations.push_back(encodeRow(expectation.place, {}, expectation.version));
+        request.expectations.push_back(encodeRow(expectation.key, {}, expectation.version));
     }
     for (const RowPut &put : transaction.puts) {
-        request.puts.push_back(encodeRow(put.place, put.value, 0));
+        request.puts.push_back(encodeRow(put.key, put.value, 0));
     }
-    for (const RowPlace &place : transaction.removals) {
-        request.removals.push_back(encodeRow(place, {}, 0));
+    for (const RowKey &key : transaction.removals) {
+        request.removals.push_back(encodeRow(key, {}, 0));
     }
     return request;
 }
@@ -73,13 +73,13 @@
 {
     RowTransaction transaction;
     for (const StoreRow &row : request.expectations) {
-        transaction.expectations.push_back({placeOf(row), row.version});
+        transaction.expectations.push_back({rowKeyOf(row), row.version});
     }
     for (const StoreRow &row : request.puts) {
-        transaction.puts.push_back({placeOf(row), row.value});
+        transaction.puts.push_back({rowKeyOf(row), row.value});
     }
     for (const StoreRow &row : request.removals) {
-        transaction.removals.push_back(placeOf(row));
+        transaction.removals.push_back(rowKeyOf(row));
     }
     return transaction;
 }
@@ -94,10 +94,10 @@
 /** @return whether a repetition of a committed transaction is always refused. */
 bool expectsAllItWrites(const RowTransaction &transaction)
 {
-    const auto isExpected = [&transaction](const RowPlace &place) {
-        return std::ranges::find(transaction.expectations, place, &RowExpectation::place) != transaction.expectations.end();
+    const auto isExpected = [&transaction](const RowKey &key) {
+        return std::ranges::find(transaction.expectations, key, &RowExpectation::key) != transaction.expectations.end();
     };
-    return std::ranges::all_of(transaction.puts, isExpected, &RowPut::place)
+    return std::ranges::all_of(transaction.puts, isExpected, &RowPut::key)
         && std::ranges::all_of(transaction.removals, isExpected);
 }
 
--- a/Services/Gateway/ReplicaFollower.cpp
+++ b/Services/Gateway/ReplicaFollower.cpp
@@ -248,15 +248,15 @@
 
 std::optional<ServingReplica> ReplicaFollower::decode(const StoredRow &row)
 {
-    std::optional<ServingReplica> replica = this->format.decode(row.place.key, row.value);
-    const EndpointName name(row.place.key);
+    std::optional<ServingReplica> replica = this->format.decode(row.key.key, row.value);
+    const EndpointName name(row.key.key);
     if (replica) {
         this->unreadable.erase(name);
     } else if (this->unreadable.size() < maxUnreadable && this->unreadable.insert(name).second) {
         // Logged once, not at each heartbeat.
         log(LogLevel::Warning,
             "replica entry unreadable, replica not used",
-            {{"key", row.place.key}, {"version", static_cast<std::int64_t>(row.version)}});
+            {{"key", row.key.key}, {"version", static_cast<std::int64_t>(row.version)}});
     }
     return replica;
 }
@@ -277,7 +277,7 @@
             replicas.push_back(*std::move(replica));
             continue;
         }
-        const EndpointName name(row.place.key);
+        const EndpointName name(row.key.key);
         this->list.markUnreadable(name);
         if (const ServingReplica *const listed = this->list.findRegistered(name)) {
             replicas.push_back(*listed);
@@ -307,7 +307,7 @@
 
 void ReplicaFollower::applyChange(const StoredRow &row)
 {
-    const EndpointName name(row.place.key);
+    const EndpointName name(row.key.key);
     if (row.isRemoved) {
         log(LogLevel::Info, "replica removed from the list", {{"replica", name.value()}});
         this->unreadable.erase(name);
--- a/Services/Gateway/TableFollower.cpp
+++ b/Services/Gateway/TableFollower.cpp
@@ -76,7 +76,7 @@
     this->tableRead.version = isFirst ? page.version : this->tableRead.version;
     this->tableRead.rows.insert(this->tableRead.rows.end(), page.rows.begin(), page.rows.end());
     if (page.isTruncated && !page.rows.empty()) {
-        this->tableRead.from = page.rows.back().place.key + '\0';
+        this->tableRead.from = page.rows.back().key.key + '\0';
         this->readPage();
         return;
     }
--- a/Services/Gateway/TableRelay.cpp
+++ b/Services/Gateway/TableRelay.cpp
@@ -28,7 +28,7 @@
     std::vector<FeedRow> encoded;
     encoded.reserve(rows.size());
     for (const StoredRow &row : rows) {
-        encoded.push_back({row.place.part, row.place.key, row.isRemoved ? std::string() : row.value, row.version, row.isRemoved});
+        encoded.push_back({row.key.part, row.key.key, row.isRemoved ? std::string() : row.value, row.version, row.isRemoved});
     }
     return encoded;
 }
--- a/Tests/Fakes/FakeRowStore.cpp
+++ b/Tests/Fakes/FakeRowStore.cpp
@@ -41,7 +41,7 @@
     RowTransactionResult result;
     bool holds = true;
     for (const RowExpectation &expectation : transaction.expectations) {
-        const auto found = this->rows.find(expectation.place);
+        const auto found = this->rows.find(expectation.key);
         const RowVersion current = found != this->rows.end() ? found->second.version : 0;
         holds = holds && current == expectation.version;
         if (found != this->rows.end()) {
@@ -54,13 +54,13 @@
     }
     ++this->version;
     for (const RowPut &put : transaction.puts) {
-        const StoredRow row{put.place, put.value, this->version, false};
-        this->rows.insert_or_assign(put.place, row);
+        const StoredRow row{put.key, put.value, this->version, false};
+        this->rows.insert_or_assign(put.key, row);
         this->history.push_back(row);
     }
-    for (const RowPlace &place : transaction.removals) {
-        if (this->rows.erase(place) > 0) {
-            this->history.push_back({place, {}, this->version, true});
+    for (const RowKey &key : transaction.removals) {
+        if (this->rows.erase(key) > 0) {
+            this->history.push_back({key, {}, this->version, true});
         }
     }
     return {WriteOutcome::Done, this->version, {}};
@@ -105,9 +105,9 @@
     if (!this->down) {
         result.outcome = ReadOutcome::Found;
         result.version = this->version;
-        for (const auto &[place, row] : this->rows) {
-            const bool isIn = place.table == range.table && place.part == range.part && place.key >= range.from
-                && (range.to.empty() || place.key < range.to);
+        for (const auto &[key, row] : this->rows) {
+            const bool isIn = key.table == range.table && key.part == range.part && key.key >= range.from
+                && (range.to.empty() || key.key < range.to);
             if (!isIn) {
                 continue;
             }
@@ -118,8 +118,8 @@
             result.rows.push_back(row);
         }
     }
-    if (const auto place = std::exchange(this->removedAfterRead, std::nullopt)) {
-        this->remove(*place);
+    if (const auto key = std::exchange(this->removedAfterRead, std::nullopt)) {
+        this->remove(*key);
     }
     this->answer([done = std::move(done), result = std::move(result)] {
         done(result);
@@ -139,7 +139,7 @@
     result.outcome = FollowOutcome::Followed;
     result.version = this->version;
     for (const StoredRow &row : this->history) {
-        if (row.place.table == table && row.version > since) {
+        if (row.key.table == table && row.version > since) {
             result.rows.push_back(row);
         }
     }
@@ -202,9 +202,9 @@
     this->pageSize = rows;
 }
 
-void FakeRowStore::removeAfterRead(const RowPlace &place)
+void FakeRowStore::removeAfterRead(const RowKey &key)
 {
-    this->removedAfterRead = place;
+    this->removedAfterRead = key;
 }
 
 void FakeRowStore::loseAnswers(std::size_t count)
@@ -228,25 +228,25 @@
 std::vector<StoredRow> FakeRowStore::rowsOf(const std::string &table) const
 {
     std::vector<StoredRow> found;
-    for (const auto &[place, row] : this->rows) {
-        if (place.table == table) {
+    for (const auto &[key, row] : this->rows) {
+        if (key.table == table) {
             found.push_back(row);
         }
     }
     return found;
 }
 
-void FakeRowStore::put(const RowPlace &place, const std::string &value)
+void FakeRowStore::put(const RowKey &key, const std::string &value)
 {
     RowTransaction transaction;
-    transaction.puts.push_back({place, value});
+    transaction.puts.push_back({key, value});
     this->apply(transaction);
 }
 
-void FakeRowStore::remove(const RowPlace &place)
+void FakeRowStore::remove(const RowKey &key)
 {
     RowTransaction transaction;
-    transaction.removals.push_back(place);
+    transaction.removals.push_back(key);
     this->apply(transaction);
 }
 
@@ -255,10 +255,10 @@
     RowPartsResult result;
     if (!this->down) {
         result.outcome = ReadOutcome::Found;
-        for (const auto &[place, row] : this->rows) {
-            const bool isNew = result.parts.empty() || result.parts.back() != place.part;
-            if (place.table == table && place.part > after && isNew) {
-                result.parts.push_back(place.part);
+        for (const auto &[key, row] : this->rows) {
+            const bool isNew = result.parts.empty() || result.parts.back() != key.part;
+            if (key.table == table && key.part > after && isNew) {
+                result.parts.push_back(key.part);
             }
         }
     }
--- a/Tests/Fakes/FakeRowStore.h
+++ b/Tests/Fakes/FakeRowStore.h
@@ -60,13 +60,13 @@
     std::vector<StoredRow> rowsOf(const std::string &table) const;
 
     /** Put a row as the operator or a replica does. */
-    void put(const RowPlace &place, const std::string &value);
+    void put(const RowKey &key, const std::string &value);
 
     /** Remove a row as soon as the next read is answered. */
-    void removeAfterRead(const RowPlace &place);
+    void removeAfterRead(const RowKey &key);
 
     /** Remove a row as the platform does. */
-    void remove(const RowPlace &place);
+    void remove(const RowKey &key);
 
 private:
     RowTransactionResult apply(const RowTransaction &transaction);
@@ -75,7 +75,7 @@
     void answer(std::function<void()> action);
 
     Scheduler &scheduler;
-    std::map<RowPlace, StoredRow> rows;
+    std::map<RowKey, StoredRow> rows;
     std::map<std::string, std::string> objects;
     std::vector<StoredRow> history;
     RowVersion version = 0;
@@ -84,7 +84,7 @@
     bool mute = false;
     std::size_t readCount = 0;
     std::size_t pageSize = 1'000'000;
-    std::optional<RowPlace> removedAfterRead;
+    std::optional<RowKey> removedAfterRead;
     std::size_t answersToLose = 0;
     std::size_t writesToDelay = 0;
     std::chrono::milliseconds writeDelay{0};
--- a/Tests/Fakes/StandInStore.cpp
+++ b/Tests/Fakes/StandInStore.cpp
@@ -18,7 +18,7 @@
     return queryValue(query, name).value_or("");
 }
 
-RowPlace placeOf(const Json &entry)
+RowKey rowKeyOf(const Json &entry)
 {
     return {entry.value("table", ""), entry.value("part", ""), entry.value("key", "")};
 }
@@ -27,7 +27,7 @@
 {
     Json list = Json::array();
     for (const StoredRow &row : rows) {
-        Json entry{{"table", row.place.table}, {"part", row.place.part}, {"key", row.place.key}, {"ver", row.version}};
+        Json entry{{"table", row.key.table}, {"part", row.key.part}, {"key", row.key.key}, {"ver", row.version}};
         if (row.isRemoved) {
             entry["deleted"] = true;
         } else {
@@ -122,13 +122,13 @@
     const Json body = Json::parse(exchange->body());
     RowTransaction transaction;
     for (const Json &entry : body["expectedRev"]) {
-        transaction.expectations.push_back({placeOf(entry), entry["ver"].get<RowVersion>()});
+        transaction.expectations.push_back({rowKeyOf(entry), entry["ver"].get<RowVersion>()});
     }
     for (const Json &entry : body["puts"]) {
-        transaction.puts.push_back({placeOf(entry), decodeBase64(entry["value"].get<std::string>()).value()});
+        transaction.puts.push_back({rowKeyOf(entry), decodeBase64(entry["value"].get<std::string>()).value()});
     }
     for (const Json &entry : body["remove"]) {
-        transaction.removals.push_back(placeOf(entry));
+        transaction.removals.push_back(rowKeyOf(entry));
     }
     this->store->transact(std::move(transaction), [this, exchange](const RowTransactionResult &result) {
         if (result.outcome == WriteOutcome::Done) {
--- a/Tests/LibGateway/TestJobRows.cpp
+++ b/Tests/LibGateway/TestJobRows.cpp
@@ -17,12 +17,12 @@
 std::vector<StoredRow> stored(std::vector<RowPut> puts)
 {
     std::ranges::sort(puts, {}, [](const RowPut &put) {
-        return put.place.key;
+        return put.key.key;
     });
     std::vector<StoredRow> rows;
     rows.reserve(puts.size());
     for (const RowPut &put : puts) {
-        rows.push_back({put.place, put.value, 1, false});
+        rows.push_back({put.key, put.value, 1, false});
     }
     return rows;
 }
--- a/Tests/LibPlatform/TestTableMirror.cpp
+++ b/Tests/LibPlatform/TestTableMirror.cpp
@@ -27,7 +27,7 @@
     REQUIRE(changes.rows.size() == 3);
     CHECK(changes.rows[0].version == 7);
     CHECK(changes.rows[1].version == 7);
-    CHECK(changes.rows[2].place.key == "a");
+    CHECK(changes.rows[2].key.key == "a");
     CHECK(changes.rows[2].isRemoved);
     CHECK(changes.version == 9);
     CHECK(mirror.changesSince(8).rows.empty());
@@ -54,8 +54,8 @@
     const FollowResult changes = mirror.changesSince(5);
     REQUIRE(changes.outcome == FollowOutcome::Followed);
     REQUIRE(changes.rows.size() == 2);
-    CHECK(changes.rows[0].place.key == "c");
-    CHECK(changes.rows[1].place.key == "a");
+    CHECK(changes.rows[0].key.key == "c");
+    CHECK(changes.rows[1].key.key == "a");
     CHECK(changes.rows[1].isRemoved);
 }
 
@@ -78,7 +78,7 @@
     REQUIRE(first.rows.size() == 2);
     CHECK(first.isTruncated);
     CHECK(first.version == 5);
-    CHECK(first.rows[1].place.key == "b");
+    CHECK(first.rows[1].key.key == "b");
     const RowRangeResult rest = mirror.read("", "b\x01", 2);
     REQUIRE(rest.rows.size() == 1);
     CHECK_FALSE(rest.isTruncated);
--- a/Tests/ServiceGateway/TestEndedJobs.cpp
+++ b/Tests/ServiceGateway/TestEndedJobs.cpp
@@ -34,10 +34,10 @@
 void endHead(GatewayBench &bench)
 {
     for (const StoredRow &row : bench.store.rows().rowsOf(JobRows::jobTable)) {
-        if (row.place == JobRows::head(job)) {
+        if (row.key == JobRows::head(job)) {
             JobHead head = decode<JobHead>(row.value).value();
             head.isEnded = true;
-            bench.store.rows().put(row.place, encode(head));
+            bench.store.rows().put(row.key, encode(head));
         }
     }
 }
--- a/Tests/ServiceGateway/TestJobCleaner.cpp
+++ b/Tests/ServiceGateway/TestJobCleaner.cpp
@@ -32,7 +32,7 @@
         for (std::size_t i = 0; i < results; ++i) {
             const ItemResult result{ItemId("i"), ItemOutcome::Completed, "x"};
             for (const RowPut &put : JobRows::putResult(JobId(name), i, result, 1000)) {
-                this->store.put(put.place, put.value);
+                this->store.put(put.key, put.value);
             }
         }
     }
@@ -41,7 +41,7 @@
     {
         std::set<std::string> names;
         for (const StoredRow &row : this->store.rowsOf(JobRows::jobTable)) {
-            names.insert(row.place.part);
+            names.insert(row.key.part);
         }
         return names;
     }
--- a/Tests/ServiceGateway/TestJobRunners.cpp
+++ b/Tests/ServiceGateway/TestJobRunners.cpp
@@ -72,12 +72,12 @@
 /** Write that a node runs the job, as if it had. */
 void nameRunner(GatewayBench &bench, const Gateway &node)
 {
-    const RowPlace place = JobRows::open(JobId("q1"));
-    for (const StoredRow &row : bench.store.rows().rowsOf(place.table)) {
-        if (row.place == place) {
+    const RowKey key = JobRows::open(JobId("q1"));
+    for (const StoredRow &row : bench.store.rows().rowsOf(key.table)) {
+        if (row.key == key) {
             OpenJob open = decode<OpenJob>(row.value).value();
             open.runner = node.session();
-            bench.store.rows().put(place, encode(open));
+            bench.store.rows().put(key, encode(open));
         }
     }
 }
--- a/Tests/ServiceGateway/TestTableFollower.cpp
+++ b/Tests/ServiceGateway/TestTableFollower.cpp
@@ -28,16 +28,16 @@
                         [this](const std::vector<StoredRow> &rows) {
                             this->known.clear();
                             for (const StoredRow &row : rows) {
-                                this->known[row.place.key] = row.value;
+                                this->known[row.key.key] = row.value;
                             }
                             ++this->reads;
                         },
                     .onChange =
                         [this](const StoredRow &row) {
                             if (row.isRemoved) {
-                                this->known.erase(row.place.key);
+                                this->known.erase(row.key.key);
                             } else {
-                                this->known[row.place.key] = row.value;
+                                this->known[row.key.key] = row.value;
                             }
                         },
                     .onAnswer = [] {},
@@ -56,7 +56,7 @@
     TableFollower follower;
 };
 
-RowPlace place(const std::string &key)
+RowKey rowKey(const std::string &key)
 {
     return {"t", "", key};
 }
@@ -66,11 +66,11 @@
 TEST_CASE("a table is read once, and then its changes are delivered")
 {
     Bench bench;
-    bench.store.put(place("a"), "1");
+    bench.store.put(rowKey("a"), "1");
     bench.clock.advance(std::chrono::milliseconds(100));
     CHECK(bench.known == std::map<std::string, std::string>{{"a", "1"}});
-    bench.store.put(place("b"), "2");
-    bench.store.remove(place("a"));
+    bench.store.put(rowKey("b"), "2");
+    bench.store.remove(rowKey("a"));
     bench.clock.advance(std::chrono::milliseconds(100));
     CHECK(bench.known == std::map<std::string, std::string>{{"b", "2"}});
     CHECK(bench.reads == 1);
@@ -81,9 +81,9 @@
 TEST_CASE("the table is read again after a gap in the history")
 {
     Bench bench;
-    bench.store.put(place("a"), "1");
+    bench.store.put(rowKey("a"), "1");
     bench.clock.advance(std::chrono::milliseconds(100));
-    bench.store.remove(place("a"));
+    bench.store.remove(rowKey("a"));
     bench.store.dropHistory();
     bench.clock.advance(std::chrono::milliseconds(200));
     CHECK(bench.known.empty());
@@ -93,12 +93,12 @@
 TEST_CASE("changes during an outage of the store are delivered soon after its return")
 {
     Bench bench;
-    bench.store.put(place("a"), "1");
+    bench.store.put(rowKey("a"), "1");
     bench.clock.advance(std::chrono::milliseconds(100));
     bench.store.setDown(true);
     bench.clock.advance(std::chrono::seconds(10));
     CHECK(bench.failures > 10);
-    bench.store.put(place("a"), "2");
+    bench.store.put(rowKey("a"), "2");
     bench.store.setDown(false);
     bench.clock.advance(std::chrono::milliseconds(450));
     CHECK(bench.known["a"] == "2");
@@ -111,11 +111,11 @@
     Bench bench;
     bench.store.setPageSize(2);
     for (const char *key : {"a", "b", "c"}) {
-        bench.store.put(place(key), "1");
+        bench.store.put(rowKey(key), "1");
     }
     bench.clock.advance(std::chrono::milliseconds(500));
     bench.store.dropHistory();
-    bench.store.removeAfterRead(place("a"));
+    bench.store.removeAfterRead(rowKey("a"));
     bench.clock.advance(std::chrono::milliseconds(500));
     CHECK(bench.reads == 2);
     CHECK(bench.known == std::map<std::string, std::string>{{"b", "1"}, {"c", "1"}});
@@ -129,7 +129,7 @@
     bench.store.setPageSize(2);
     bench.clock.advance(std::chrono::milliseconds(100));
     for (const char *key : {"a", "b", "c", "d", "e", "f"}) {
-        bench.store.put(place(key), "1");
+        bench.store.put(rowKey(key), "1");
     }
     bench.store.dropHistory();
     const std::size_t first = bench.store.reads();
@@ -140,7 +140,7 @@
     bench.clock.advance(std::chrono::milliseconds(40));
     bench.store.setDown(false);
     const std::size_t before = bench.store.reads();
-    bench.store.put(place("a"), "2");
+    bench.store.put(rowKey("a"), "2");
     bench.clock.advance(std::chrono::milliseconds(500));
     CHECK(bench.known.size() == 6);
     CHECK(bench.known["a"] == "2");
@@ -152,12 +152,12 @@
     Bench bench;
     bench.store.setDown(true);
     bench.clock.advance(std::chrono::milliseconds(100));
-    bench.store.put(place("a"), "1");
+    bench.store.put(rowKey("a"), "1");
     const RowVersion version = bench.store.rowsOf("t").at(0).version;
     bench.follower.followFrom(version);
     bench.store.setDown(false);
     const std::size_t before = bench.store.reads();
-    bench.store.put(place("b"), "2");
+    bench.store.put(rowKey("b"), "2");
     bench.clock.advance(std::chrono::milliseconds(500));
     CHECK(bench.known == std::map<std::string, std::string>{{"b", "2"}});
     CHECK(bench.store.reads() == before);
@@ -167,11 +167,11 @@
 TEST_CASE("a refresh sends a new request, and answers to the former one are ignored")
 {
     Bench bench;
-    bench.store.put(place("a"), "1");
+    bench.store.put(rowKey("a"), "1");
     bench.clock.advance(std::chrono::milliseconds(100));
     bench.store.setMute(true);
     bench.clock.advance(std::chrono::milliseconds(100));
-    bench.store.put(place("a"), "2");
+    bench.store.put(rowKey("a"), "2");
     bench.store.setMute(false);
     bench.clock.advance(std::chrono::seconds(5));
     CHECK(bench.known["a"] == "1");
--- a/Tests/ServiceGateway/TestTableRelay.cpp
+++ b/Tests/ServiceGateway/TestTableRelay.cpp
@@ -128,7 +128,7 @@
     CHECK(decoded.outcome == FollowOutcome::Followed);
     CHECK(decoded.version == 9);
     REQUIRE(decoded.rows.size() == 2);
-    CHECK(decoded.rows[0].place == RowPlace{"t", "p", "k"});
+    CHECK(decoded.rows[0].key == RowKey{"t", "p", "k"});
     CHECK(decoded.rows[1].isRemoved);
     CHECK(decodeFeed(encodeFeed({FollowOutcome::HistoryLost, {}, 9}), "t").outcome == FollowOutcome::HistoryLost);
     CHECK(decodeFeed(encodeFeed({}), "t").outcome == FollowOutcome::Failed);
--- a/Tests/ServiceGateway/TestWorkspaces.cpp
+++ b/Tests/ServiceGateway/TestWorkspaces.cpp
@@ -266,7 +266,7 @@
             std::string text;
             for (const char *const table : {"jobs", "jobs-open", "nodes"}) {
                 for (const StoredRow &row : bench.store.rows().rowsOf(table)) {
-                    text.append(row.place.part).append(row.place.key).append(row.value);
+                    text.append(row.key.part).append(row.key.key).append(row.value);
                 }
             }
             return text;
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -692,9 +692,8 @@
             std::string text;
             for (const char *const table : {"jobs", "jobs-open"}) {
                 for (const StoredRow &row : world.platform().rows().rowsOf(table)) {
-                    const bool isOfJob = row.place.part == job || row.place.key.ends_with(job);
-                    text += isOfJob ? row.place.table + ' ' + row.place.key + " version " + std::to_string(row.version) + "; "
-                                    : "";
+                    const bool isOfJob = row.key.part == job || row.key.key.ends_with(job);
+                    text += isOfJob ? row.key.table + ' ' + row.key.key + " version " + std::to_string(row.version) + "; " : "";
                 }
             }
             return text;
