--- a/Libraries/LibPlatform/HedgedCall.h
+++ b/Libraries/LibPlatform/HedgedCall.h
@@ -23,7 +23,7 @@
 {
 public:
     using Done = std::function<void(Result)>;
-    using Way = std::function<void(Done)>;
+    using Route = std::function<void(Done)>;
 
     /** What an answer of one way means for the call. */
     enum class Meaning {
@@ -32,7 +32,7 @@
         /** Another way may answer better; a way that has not begun may still be tried. */
         Failed,
         /** As Failed, but no further way may be begun: what this one did is not known. */
-        Open,
+        Unknown,
     };
 
     struct Policy
@@ -44,8 +44,8 @@
         std::function<Result(const std::vector<Result> &)> merge;
     };
 
-    HedgedCall(Scheduler &scheduler, std::vector<Way> ways, Policy policy, Done done)
-        : scheduler(scheduler), ways(std::move(ways)), policy(std::move(policy)), done(std::move(done))
+    HedgedCall(Scheduler &scheduler, std::vector<Route> routes, Policy policy, Done done)
+        : scheduler(scheduler), routes(std::move(routes)), policy(std::move(policy)), done(std::move(done))
     {
     }
 
@@ -57,10 +57,10 @@
 private:
     void tryNext()
     {
-        if (this->next == this->ways.size() || this->isClosed) {
+        if (this->next == this->routes.size() || this->isClosed) {
             return;
         }
-        const Way way = this->ways[this->next++];
+        const Route route = this->routes[this->next++];
         const auto self = this->shared_from_this();
         if (this->policy.hedgeDelay) {
             this->timer = this->scheduler.schedule(*this->policy.hedgeDelay, [self] {
@@ -68,7 +68,7 @@
                 self->tryNext();
             });
         }
-        way([self](Result result) {
+        route([self](Result result) {
             self->take(std::move(result));
         });
     }
@@ -84,9 +84,9 @@
             this->finish(this->results.back());
             return;
         }
-        this->isClosed = this->isClosed || meaning == Meaning::Open;
+        this->isClosed = this->isClosed || meaning == Meaning::Unknown;
         const bool isLastBegun = this->results.size() == this->next;
-        if (isLastBegun && this->next < this->ways.size() && !this->isClosed) {
+        if (isLastBegun && this->next < this->routes.size() && !this->isClosed) {
             this->scheduler.cancel(std::exchange(this->timer, 0));
             this->tryNext();
         } else if (isLastBegun) {
@@ -103,7 +103,7 @@
     }
 
     Scheduler &scheduler;
-    std::vector<Way> ways;
+    std::vector<Route> routes;
     Policy policy;
     Done done;
     std::vector<Result> results;
--- a/Libraries/LibPlatform/StoreClock.cpp
+++ b/Libraries/LibPlatform/StoreClock.cpp
@@ -15,7 +15,7 @@
 {
 }
 
-void StoreClock::note(StoreTime reported)
+void StoreClock::record(StoreTime reported)
 {
     const SteadyTime now = this->clock.now();
     const std::chrono::nanoseconds difference = reported.time_since_epoch() - now.time_since_epoch();
--- a/Libraries/LibPlatform/StoreClock.h
+++ b/Libraries/LibPlatform/StoreClock.h
@@ -19,7 +19,7 @@
     explicit StoreClock(const Clock &clock);
 
     /** An answer of the store has just come. @param reported the time in it */
-    void note(StoreTime reported);
+    void record(StoreTime reported);
 
     /** @return the time at the store now; nothing as long as no answer has come. */
     std::optional<StoreTime> now() const;
--- a/Libraries/LibPlatform/TableMirror.cpp
+++ b/Libraries/LibPlatform/TableMirror.cpp
@@ -30,15 +30,15 @@
         this->historyFrom = version;
     }
     for (const StoredRow &row : gone) {
-        this->take(row);
+        this->apply(row);
     }
     for (const StoredRow &row : rows) {
-        this->take(row);
+        this->apply(row);
     }
-    this->noteVersion(version);
+    this->advanceTo(version);
 }
 
-void TableMirror::take(const StoredRow &row)
+void TableMirror::apply(const StoredRow &row)
 {
     const Key key(row.key.part, row.key.key);
     const auto known = this->rows.find(key);
@@ -59,7 +59,7 @@
     }
 }
 
-void TableMirror::noteVersion(RowVersion version)
+void TableMirror::advanceTo(RowVersion version)
 {
     this->latest = std::max(this->latest, version);
 }
--- a/Libraries/LibPlatform/TableMirror.h
+++ b/Libraries/LibPlatform/TableMirror.h
@@ -19,10 +19,10 @@
     void replaceAll(const std::vector<StoredRow> &rows, RowVersion version);
 
     /** Take a change of a row. */
-    void take(const StoredRow &row);
+    void apply(const StoredRow &row);
 
     /** All changes up to a version have been taken. */
-    void noteVersion(RowVersion version);
+    void advanceTo(RowVersion version);
 
     /** @return whether the table has been taken whole. */
     bool isRead() const;
--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -512,7 +512,7 @@
         }
     }
     std::ranges::shuffle(addresses, this->random);
-    addresses.resize(std::min(addresses.size(), mostAddresses));
+    addresses.resize(std::min(addresses.size(), maxAddresses));
     if (addresses.empty()) {
         exchange->send(statusUnavailable, retryHeaders(noAddressRetryAfter), {});
         return;
--- a/Services/Gateway/RelayedStore.cpp
+++ b/Services/Gateway/RelayedStore.cpp
@@ -125,9 +125,9 @@
     case WriteOutcome::Refused:
         // Either another writer changed a row, or the same call was committed by another route.
     case WriteOutcome::Unknown:
-        return TransactCall::Meaning::Open;
+        return TransactCall::Meaning::Unknown;
     }
-    return TransactCall::Meaning::Open;
+    return TransactCall::Meaning::Unknown;
 }
 
 /** @return the result of a transaction that was tried by several routes and is not known to be committed by any. */
@@ -244,9 +244,9 @@
                          typename HedgedCall<Result>::Done done)
 {
     using Call = HedgedCall<Result>;
-    std::vector<typename Call::Way> ways;
+    std::vector<typename Call::Route> routes;
     for (const Route &route : this->routes()) {
-        ways.emplace_back([this, alive = this->alive, route, attempt](typename Call::Done answered) {
+        routes.emplace_back([this, alive = this->alive, route, attempt](typename Call::Done answered) {
             if (!*alive) {
                 return;
             }
@@ -262,7 +262,7 @@
             });
         });
     }
-    std::make_shared<Call>(this->scheduler, std::move(ways), std::move(policy), std::move(done))->start();
+    std::make_shared<Call>(this->scheduler, std::move(routes), std::move(policy), std::move(done))->start();
 }
 
 void RelayedStore::transact(RowTransaction transaction, std::function<void(RowTransactionResult)> done)
@@ -315,7 +315,7 @@
 {
     // The epoch means that the other node does not know the time either.
     if (reported != StoreTime()) {
-        this->storeClock.note(reported);
+        this->storeClock.record(reported);
     }
 }
 
--- a/Services/Gateway/TableRelay.cpp
+++ b/Services/Gateway/TableRelay.cpp
@@ -109,11 +109,11 @@
             },
         .onChange =
             [&table](const StoredRow &row) {
-                table.mirror.take(row);
+                table.mirror.apply(row);
             },
         .onDelivered =
             [this, &table] {
-                table.mirror.noteVersion(table.follower->version());
+                table.mirror.advanceTo(table.follower->version());
                 this->notifyWaiters(table);
             },
         .onAnswer =
--- a/Tests/LibPlatform/TestStoreClock.cpp
+++ b/Tests/LibPlatform/TestStoreClock.cpp
@@ -11,12 +11,12 @@
     ManualClock clock;
     StoreClock storeClock(clock);
     CHECK_FALSE(storeClock.now());
-    storeClock.note(StoreTime(1000ms));
+    storeClock.record(StoreTime(1000ms));
     clock.advance(500ms);
     CHECK(storeClock.now() == StoreTime(1500ms));
-    storeClock.note(StoreTime(1200ms));
+    storeClock.record(StoreTime(1200ms));
     CHECK(storeClock.now() == StoreTime(1500ms));
-    storeClock.note(StoreTime(1504ms));
+    storeClock.record(StoreTime(1504ms));
     CHECK(storeClock.now() == StoreTime(1504ms));
 }
 
@@ -26,8 +26,8 @@
 {
     ManualClock clock;
     StoreClock storeClock(clock);
-    storeClock.note(StoreTime(1000ms));
-    storeClock.note(StoreTime(9000ms));
+    storeClock.record(StoreTime(1000ms));
+    storeClock.record(StoreTime(9000ms));
     CHECK(storeClock.now() == StoreTime(9000ms));
 }
 
@@ -35,8 +35,8 @@
 {
     ManualClock clock;
     StoreClock storeClock(clock);
-    storeClock.note(StoreTime(1000ms));
+    storeClock.record(StoreTime(1000ms));
     clock.advance(61s);
-    storeClock.note(StoreTime(61990ms));
+    storeClock.record(StoreTime(61990ms));
     CHECK(storeClock.now() == StoreTime(61990ms));
 }
--- a/Tests/LibPlatform/TestTableMirror.cpp
+++ b/Tests/LibPlatform/TestTableMirror.cpp
@@ -18,10 +18,10 @@
 {
     TableMirror mirror;
     mirror.replaceAll({row("a", 1), row("b", 2)}, 5);
-    mirror.take(row("b", 7));
-    mirror.take(row("c", 7));
-    mirror.take(row("a", 8, true));
-    mirror.noteVersion(9);
+    mirror.apply(row("b", 7));
+    mirror.apply(row("c", 7));
+    mirror.apply(row("a", 8, true));
+    mirror.advanceTo(9);
     const FollowResult changes = mirror.changesSince(5);
     REQUIRE(changes.outcome == FollowOutcome::Followed);
     REQUIRE(changes.rows.size() == 3);
@@ -64,7 +64,7 @@
     TableMirror mirror;
     mirror.replaceAll({}, 1);
     for (RowVersion version = 2; version < 6000; ++version) {
-        mirror.take(row("k" + std::to_string(version), version, true));
+        mirror.apply(row("k" + std::to_string(version), version, true));
     }
     CHECK(mirror.changesSince(1).outcome == FollowOutcome::HistoryLost);
     CHECK(mirror.changesSince(5000).rows.size() == 999);
--- a/Tests/ServiceGateway/TestJobCleaner.cpp
+++ b/Tests/ServiceGateway/TestJobCleaner.cpp
@@ -20,7 +20,7 @@
 public:
     Bench()
     {
-        this->storeClock.note(StoreTime(std::chrono::hours(1)));
+        this->storeClock.record(StoreTime(std::chrono::hours(1)));
     }
 
     void addJob(const std::string &name, std::size_t results, std::uint32_t total = 0)
