--- a/Libraries/LibPlatform/CallBudget.cpp
+++ b/Libraries/LibPlatform/CallBudget.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-/** What may be used at once after a quiet time; a second's worth would let all nodes together exceed the limit at once. */
+/** Unused budget that may be spent in a burst. With a full second, all nodes together could exceed the limit in a burst. */
 constexpr std::chrono::milliseconds burst{250};
-/** Calls a second that a node may make however many nodes there are: a start or a takeover must come to an end. */
-constexpr double leastShare = 2;
+/** Calls per second that a node may make regardless of the number of nodes, so that a start or a takeover completes. */
+constexpr double minShare = 2;
 
 } // namespace
 
@@ -31,21 +31,21 @@
     this->rates = rates;
 }
 
-std::optional<std::chrono::milliseconds> CallBudget::take(CallKind kind, std::chrono::milliseconds longestWait)
+std::optional<std::chrono::milliseconds> CallBudget::acquire(CallKind kind, std::chrono::milliseconds maxWait)
 {
     const std::lock_guard lock(this->mutex);
     const double rate = kind == CallKind::Read ? this->rates.readsPerSecond : this->rates.writesPerSecond;
     Pace &pace = kind == CallKind::Read ? this->reads : this->writes;
-    const double share = std::max(leastShare, rate / static_cast<double>(this->members));
+    const double share = std::max(minShare, rate / static_cast<double>(this->members));
     const std::chrono::duration<double> step(1 / share);
     const SteadyTime now = this->clock.now();
-    pace.next = std::max(pace.next, now - burst);
-    const SteadyTime mine = pace.next;
-    if (mine > now + longestWait) {
+    pace.nextStart = std::max(pace.nextStart, now - burst);
+    const SteadyTime start = pace.nextStart;
+    if (start > now + maxWait) {
         return std::nullopt;
     }
-    pace.next += std::chrono::duration_cast<SteadyTime::duration>(step);
-    return mine <= now ? std::chrono::milliseconds(0) : std::chrono::ceil<std::chrono::milliseconds>(mine - now);
+    pace.nextStart += std::chrono::duration_cast<SteadyTime::duration>(step);
+    return start <= now ? std::chrono::milliseconds(0) : std::chrono::ceil<std::chrono::milliseconds>(start - now);
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibPlatform/CallBudget.h
+++ b/Libraries/LibPlatform/CallBudget.h
@@ -9,20 +9,20 @@
 namespace Dogwoodkeel
 {
 
-/** Which of the platform's limits a call counts against. */
+/** The platform limit that a call counts against. */
 enum class CallKind {
     Read,
     Write,
 };
 
 /**
- * This node's share of the calls a second that the platform takes from all nodes: the total by the number of members.
- * Shared by the node's tasks, and used from any thread.
+ * Rate limiter for this node's share of the calls per second that the platform accepts from all nodes: the total divided by the
+ * number of members. Thread-safe; the node's tasks share one instance.
  */
 class CallBudget
 {
 public:
-    /** Of all nodes together. */
+    /** Limits for all nodes together. */
     struct Rates
     {
         double readsPerSecond = 0;
@@ -34,21 +34,21 @@
     /** @param members nodes that share the platform, this one included */
     void setMembers(std::size_t members);
 
-    /** @param rates changed by a new configuration */
+    /** @param rates limits of a new configuration */
     void setRates(Rates rates);
 
     /**
-     * Take one call's place. Places are given out in order, so a call that has to wait keeps its turn.
-     * @param longestWait nothing is taken if the wait would be longer
-     * @return how long the call has to wait, zero if it may go at once, or nothing if too long
+     * Reserves the next start time for one call. Start times are assigned in order, so a waiting call keeps its position.
+     * @param maxWait nothing is reserved if the wait would be longer
+     * @return how long the call has to wait, zero if it may start immediately; nothing if the wait would be too long
      */
-    std::optional<std::chrono::milliseconds> take(CallKind kind, std::chrono::milliseconds longestWait);
+    std::optional<std::chrono::milliseconds> acquire(CallKind kind, std::chrono::milliseconds maxWait);
 
 private:
-    /** Calls of one kind: when the next place is free, at an even pace. */
+    /** Start time of the next call of one kind, at evenly spaced intervals. */
     struct Pace
     {
-        SteadyTime next{};
+        SteadyTime nextStart{};
     };
 
     const Clock &clock;
--- a/Libraries/LibPlatform/EmbeddedPlatform.cpp
+++ b/Libraries/LibPlatform/EmbeddedPlatform.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds atOnce{0};
+constexpr std::chrono::milliseconds immediately{0};
 
 }
 
@@ -36,7 +36,7 @@
 {
     std::optional<Row> row = this->store->read(key);
     RowResult result{row ? ReadOutcome::Found : ReadOutcome::Absent, row.value_or(Row())};
-    this->scheduler.schedule(atOnce, [done = std::move(done), result = std::move(result)] {
+    this->scheduler.schedule(immediately, [done = std::move(done), result = std::move(result)] {
         done(result);
     });
 }
@@ -44,7 +44,7 @@
 void EmbeddedPlatform::readRange(const std::string &from, const std::string &to, std::size_t limit, RowsRead done)
 {
     RowsResult result{ReadOutcome::Found, this->store->readRange(from, to, limit)};
-    this->scheduler.schedule(atOnce, [done = std::move(done), result = std::move(result)] {
+    this->scheduler.schedule(immediately, [done = std::move(done), result = std::move(result)] {
         done(result);
     });
 }
@@ -52,7 +52,7 @@
 void EmbeddedPlatform::transact(const Transaction &transaction, TableService::Written done)
 {
     const WriteOutcome outcome = this->store->transact(transaction) ? WriteOutcome::Done : WriteOutcome::Refused;
-    this->scheduler.schedule(atOnce, [done = std::move(done), outcome] {
+    this->scheduler.schedule(immediately, [done = std::move(done), outcome] {
         done(outcome);
     });
 }
@@ -60,7 +60,7 @@
 void EmbeddedPlatform::putIfAbsent(const std::string &key, const std::string &content, ObjectStore::Written done)
 {
     const WriteOutcome outcome = this->store->putIfAbsent(key, content) ? WriteOutcome::Done : WriteOutcome::Refused;
-    this->scheduler.schedule(atOnce, [done = std::move(done), outcome] {
+    this->scheduler.schedule(immediately, [done = std::move(done), outcome] {
         done(outcome);
     });
 }
@@ -69,7 +69,7 @@
 {
     std::optional<std::string> content = this->store->get(key);
     ObjectResult result{content ? ReadOutcome::Found : ReadOutcome::Absent, content.value_or(std::string())};
-    this->scheduler.schedule(atOnce, [done = std::move(done), result = std::move(result)] {
+    this->scheduler.schedule(immediately, [done = std::move(done), result = std::move(result)] {
         done(result);
     });
 }
@@ -77,7 +77,7 @@
 void EmbeddedPlatform::list(const std::string &prefix, KeysRead done)
 {
     ObjectKeysResult result{ReadOutcome::Found, this->store->list(prefix)};
-    this->scheduler.schedule(atOnce, [done = std::move(done), result = std::move(result)] {
+    this->scheduler.schedule(immediately, [done = std::move(done), result = std::move(result)] {
         done(result);
     });
 }
@@ -85,14 +85,14 @@
 void EmbeddedPlatform::remove(const std::string &key, ObjectStore::Written done)
 {
     this->store->remove(key);
-    this->scheduler.schedule(atOnce, [done = std::move(done)] {
+    this->scheduler.schedule(immediately, [done = std::move(done)] {
         done(WriteOutcome::Done);
     });
 }
 
 void EmbeddedPlatform::fetch(Fetched done)
 {
-    this->scheduler.schedule(atOnce, [done = std::move(done)] {
+    this->scheduler.schedule(immediately, [done = std::move(done)] {
         done(std::vector<ListedVm>());
     });
 }
--- a/Libraries/LibPlatform/EmbeddedPlatform.h
+++ b/Libraries/LibPlatform/EmbeddedPlatform.h
@@ -10,13 +10,13 @@
 namespace Dogwoodkeel
 {
 
-/** A platform inside this process, for a trial on one VM and for tests. */
+/** In-process platform, for trials on one VM and for tests. */
 class EmbeddedPlatform final : public Platform, private TableService, private ObjectStore, private VmList
 {
 public:
     /**
-     * @param store the data, shared with the process's other tasks
-     * @param scheduler of the owning task, by which the answers come
+     * @param store the data, shared with the other tasks of the process
+     * @param scheduler of the owning task; runs the completion callbacks
      */
     EmbeddedPlatform(std::shared_ptr<EmbeddedStore> store, Scheduler &scheduler);
 
--- a/Libraries/LibPlatform/EmbeddedStore.cpp
+++ b/Libraries/LibPlatform/EmbeddedStore.cpp
@@ -25,7 +25,7 @@
     return found;
 }
 
-bool EmbeddedStore::holds(const RowCondition &condition) const
+bool EmbeddedStore::isMet(const RowCondition &condition) const
 {
     const auto found = this->rows.find(condition.key);
     if (!condition.version) {
@@ -37,15 +37,15 @@
 bool EmbeddedStore::transact(const Transaction &transaction)
 {
     const std::lock_guard lock(this->mutex);
-    const bool allHold = std::ranges::all_of(transaction.conditions, [this](const auto &each) {
-        return this->holds(each);
+    const bool areAllMet = std::ranges::all_of(transaction.conditions, [this](const auto &each) {
+        return this->isMet(each);
     });
-    if (!allHold) {
+    if (!areAllMet) {
         return false;
     }
     for (const RowWrite &write : transaction.writes) {
         if (write.value) {
-            this->rows.insert_or_assign(write.key, Stored{*write.value, ++this->lastVersion});
+            this->rows.insert_or_assign(write.key, VersionedValue{*write.value, ++this->lastVersion});
         } else {
             this->rows.erase(write.key);
         }
--- a/Libraries/LibPlatform/EmbeddedStore.h
+++ b/Libraries/LibPlatform/EmbeddedStore.h
@@ -9,7 +9,7 @@
 namespace Dogwoodkeel
 {
 
-/** The data of an embedded platform, shared by the tasks of one process. Nothing outlives the process. */
+/** In-memory data of an embedded platform. Thread-safe, shared by the tasks of one process; nothing is persisted. */
 class EmbeddedStore
 {
 public:
@@ -19,24 +19,24 @@
     /** @return whether all conditions held and the writes took effect. */
     bool transact(const Transaction &transaction);
 
-    /** @return whether the object was absent and is written. */
+    /** @return whether the object was absent and has been written. */
     bool putIfAbsent(const std::string &key, const std::string &content);
     std::optional<std::string> get(const std::string &key) const;
     std::vector<std::string> list(const std::string &prefix) const;
     void remove(const std::string &key);
 
 private:
-    struct Stored
+    struct VersionedValue
     {
         std::string value;
         RowVersion version = 0;
     };
 
-    bool holds(const RowCondition &condition) const;
+    bool isMet(const RowCondition &condition) const;
 
     mutable std::mutex mutex;
     RowVersion lastVersion = 0;
-    std::map<std::string, Stored> rows;
+    std::map<std::string, VersionedValue> rows;
     std::map<std::string, std::string> objects;
 };
 
--- a/Libraries/LibPlatform/GuardedPlatform.cpp
+++ b/Libraries/LibPlatform/GuardedPlatform.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds atOnce{0};
+constexpr std::chrono::milliseconds immediately{0};
 constexpr std::string_view vmsCause = "vms";
 constexpr std::string_view journalCause = "journal";
 
@@ -23,7 +23,7 @@
     return transaction.writes.empty() ? std::string("none") : causeOf(transaction.writes.front().key);
 }
 
-std::string_view wordOf(WriteOutcome outcome)
+std::string_view nameOf(WriteOutcome outcome)
 {
     switch (outcome) {
     case WriteOutcome::Done:
@@ -44,13 +44,13 @@
                                  Scheduler &scheduler,
                                  const Clock &clock,
                                  std::shared_ptr<CallBudget> budget,
-                                 std::chrono::milliseconds longestWait,
+                                 std::chrono::milliseconds maxWait,
                                  CountCall count)
     : inner(std::move(inner))
     , scheduler(scheduler)
     , circuit(clock, {}, std::random_device()())
     , budget(std::move(budget))
-    , longestWait(longestWait)
+    , maxWait(maxWait)
     , count(std::move(count))
 {
 }
@@ -75,23 +75,24 @@
     return *this;
 }
 
-void GuardedPlatform::admit(CallKind kind, std::string_view cause, std::function<void()> call, std::function<void()> turnAway)
+void GuardedPlatform::admit(CallKind kind, std::string_view cause, std::function<void()> call, std::function<void()> reject)
 {
     if (!this->circuit.admit()) {
         this->count(kind, cause, "circuit_open");
-        this->scheduler.schedule(atOnce, std::move(turnAway));
+        this->scheduler.schedule(immediately, std::move(reject));
         return;
     }
-    // The journals pace themselves by the whole budget, and only some nodes hold one: an equal share would starve those.
-    const auto wait = cause == journalCause ? std::optional(atOnce) : this->budget->take(kind, this->longestWait);
+    // Journals limit their own rate against the whole budget, and only some nodes have one: an equal share would starve those
+    // nodes.
+    const auto wait = cause == journalCause ? std::optional(immediately) : this->budget->acquire(kind, this->maxWait);
     if (!wait) {
-        // NOTE: A probe that is turned away here is told as failed, or the circuit would wait for its outcome for ever.
+        // NOTE: A probe that is rejected here is reported as failed; otherwise the circuit would wait for its outcome forever.
         this->circuit.onOutcome(!this->circuit.isOpen());
         this->count(kind, cause, "over_budget");
-        this->scheduler.schedule(atOnce, std::move(turnAway));
+        this->scheduler.schedule(immediately, std::move(reject));
         return;
     }
-    if (*wait == atOnce) {
+    if (*wait == immediately) {
         call();
         return;
     }
@@ -111,7 +112,7 @@
 void GuardedPlatform::onWrite(std::string_view cause, WriteOutcome outcome)
 {
     this->circuit.onOutcome(outcome == WriteOutcome::Done || outcome == WriteOutcome::Refused);
-    this->count(CallKind::Write, cause, wordOf(outcome));
+    this->count(CallKind::Write, cause, nameOf(outcome));
 }
 
 void GuardedPlatform::read(const std::string &key, RowRead done)
--- a/Libraries/LibPlatform/GuardedPlatform.h
+++ b/Libraries/LibPlatform/GuardedPlatform.h
@@ -14,21 +14,21 @@
 {
 
 /**
- * A platform whose calls keep to this node's budget, are turned away while it is down, and are counted by cause. A call
- * that is turned away is told as not applied, or as a failed read: it is proved that it was not made.
+ * Wraps a platform: limits the calls to this node's budget, rejects them while the platform is down, and counts them by cause.
+ * A rejected call is never sent, so it is reported as NotApplied, or as a failed read.
  */
 class GuardedPlatform final : public Platform, private TableService, private ObjectStore, private VmList
 {
 public:
-    /** Told of each call with its cause: the first part of its key, such as journal or items. */
+    /** Called for each call with its cause: the first segment of its key, such as journal or items. */
     using CountCall = std::function<void(CallKind kind, std::string_view cause, std::string_view outcome)>;
 
-    /** @param longestWait a call that would have to wait longer for the budget is turned away */
+    /** @param maxWait a call that would wait longer for the budget is rejected */
     GuardedPlatform(std::unique_ptr<Platform> inner,
                     Scheduler &scheduler,
                     const Clock &clock,
                     std::shared_ptr<CallBudget> budget,
-                    std::chrono::milliseconds longestWait,
+                    std::chrono::milliseconds maxWait,
                     CountCall count);
     ~GuardedPlatform() override;
 
@@ -46,8 +46,9 @@
     void remove(const std::string &key, ObjectStore::Written done) override;
     void fetch(Fetched done) override;
 
-    /** Run a call in its turn, or turn it away; either from the loop, never from inside. */
-    void admit(CallKind kind, std::string_view cause, std::function<void()> call, std::function<void()> turnAway);
+    /** Runs a call when the budget permits it, or rejects it. `reject` always runs from the loop, never from inside this
+     * function. */
+    void admit(CallKind kind, std::string_view cause, std::function<void()> call, std::function<void()> reject);
     void onRead(std::string_view cause, ReadOutcome outcome);
     void onWrite(std::string_view cause, WriteOutcome outcome);
 
@@ -55,7 +56,7 @@
     Scheduler &scheduler;
     PlatformCircuit circuit;
     std::shared_ptr<CallBudget> budget;
-    std::chrono::milliseconds longestWait;
+    std::chrono::milliseconds maxWait;
     CountCall count;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/Libraries/LibPlatform/HedgedCall.h
+++ b/Libraries/LibPlatform/HedgedCall.h
@@ -14,9 +14,9 @@
 {
 
 /**
- * One call by several ways: the next way is tried when the one before has failed, or has not answered for a while. So a way that
- * is dead costs that while and not its whole timeout.
- * @tparam Result what a way answers
+ * Sends one call over several routes in turn: starts the next route when the previous one has failed or has not answered within
+ * a delay. An unreachable route therefore costs that delay and not its whole timeout.
+ * @tparam Result the result type of a route
  */
 template <typename Result>
 class HedgedCall : public std::enable_shared_from_this<HedgedCall<Result>>
@@ -25,22 +25,22 @@
     using Done = std::function<void(Result)>;
     using Route = std::function<void(Done)>;
 
-    /** What an answer of one way means for the call. */
+    /** What the result of one route means for the call. */
     enum class Meaning {
-        /** It is the answer. */
+        /** It is the result of the call. */
         Final,
-        /** Another way may answer better; a way that has not begun may still be tried. */
+        /** Another route may succeed; routes that have not been started may still be tried. */
         Failed,
-        /** As Failed, but no further way may be begun: what this one did is not known. */
+        /** As Failed, but no further route may be started, because the effect of this one is unknown. */
         Unknown,
     };
 
     struct Policy
     {
-        /** After how long without an answer the next way is tried beside a way; nothing: only once it has failed. */
+        /** Time without an answer after which the next route is started in parallel; nothing: only after a failure. */
         std::optional<std::chrono::milliseconds> hedgeDelay;
         std::function<Meaning(const Result &)> meaning;
-        /** @return the answer of a call whose ways have all answered, none of them finally. */
+        /** @return the result of a call all of whose started routes have answered, none with a final result. */
         std::function<Result(const std::vector<Result> &)> merge;
     };
 
@@ -51,29 +51,29 @@
 
     void start()
     {
-        this->tryNext();
+        this->startNext();
     }
 
 private:
-    void tryNext()
+    void startNext()
     {
-        if (this->next == this->routes.size() || this->isClosed) {
+        if (this->nextRoute == this->routes.size() || this->isClosed) {
             return;
         }
-        const Route route = this->routes[this->next++];
+        const Route route = this->routes[this->nextRoute++];
         const auto self = this->shared_from_this();
         if (this->policy.hedgeDelay) {
             this->timer = this->scheduler.schedule(*this->policy.hedgeDelay, [self] {
                 self->timer = 0;
-                self->tryNext();
+                self->startNext();
             });
         }
         route([self](Result result) {
-            self->take(std::move(result));
+            self->handleResult(std::move(result));
         });
     }
 
-    void take(Result result)
+    void handleResult(Result result)
     {
         if (!this->done) {
             return;
@@ -85,11 +85,11 @@
             return;
         }
         this->isClosed = this->isClosed || meaning == Meaning::Unknown;
-        const bool isLastBegun = this->results.size() == this->next;
-        if (isLastBegun && this->next < this->routes.size() && !this->isClosed) {
+        const bool haveAllStartedAnswered = this->results.size() == this->nextRoute;
+        if (haveAllStartedAnswered && this->nextRoute < this->routes.size() && !this->isClosed) {
             this->scheduler.cancel(std::exchange(this->timer, 0));
-            this->tryNext();
-        } else if (isLastBegun) {
+            this->startNext();
+        } else if (haveAllStartedAnswered) {
             this->finish(this->policy.merge(this->results));
         }
     }
@@ -107,7 +107,7 @@
     Policy policy;
     Done done;
     std::vector<Result> results;
-    std::size_t next = 0;
+    std::size_t nextRoute = 0;
     bool isClosed = false;
     TimerId timer = 0;
 };
--- a/Libraries/LibPlatform/HttpPlatform.cpp
+++ b/Libraries/LibPlatform/HttpPlatform.cpp
@@ -34,7 +34,7 @@
         return WriteOutcome::Refused;
     case statusTooMany:
     case statusUnavailable:
-        // The platform says with these two that it did not look at the request.
+        // The platform sends these two only if it has not processed the request.
         return WriteOutcome::NotApplied;
     default:
         return WriteOutcome::Unknown;
--- a/Libraries/LibPlatform/HttpPlatform.h
+++ b/Libraries/LibPlatform/HttpPlatform.h
@@ -10,8 +10,8 @@
 {
 
 /**
- * The platform's service as reached by HTTP. The protocol is told on docs/operators/platform.md; another platform's
- * client is another class like this one.
+ * HTTP client of the platform's service. docs/operators/platform.md describes the protocol. Another platform needs another
+ * implementation of Platform.
  */
 class HttpPlatform final : public Platform, private TableService, private ObjectStore, private VmList
 {
--- a/Libraries/LibPlatform/ObjectStore.h
+++ b/Libraries/LibPlatform/ObjectStore.h
@@ -9,23 +9,23 @@
 namespace Dogwoodkeel
 {
 
-/** The answer to a read of an object. */
+/** Result of reading an object. */
 struct ObjectResult
 {
     ReadOutcome outcome = ReadOutcome::Failed;
-    /** With Found. */
+    /** Set with Found. */
     std::string content;
 };
 
-/** The answer to a listing. */
+/** Result of listing objects. */
 struct ObjectKeysResult
 {
-    /** Found (also when there are none) or Failed. */
+    /** Found (also if there are none) or Failed. */
     ReadOutcome outcome = ReadOutcome::Failed;
     std::vector<std::string> keys;
 };
 
-/** The platform's object store. Objects are written once. Answers come on the owning loop, never from inside the call. */
+/** The platform's object store. Objects are immutable. Callbacks run on the owning loop, never from inside the call. */
 class ObjectStore
 {
 public:
@@ -35,10 +35,10 @@
 
     virtual ~ObjectStore() = default;
 
-    /** Write an object that must be absent: Refused if it is there. */
+    /** Writes an object that must be absent; Refused if it exists. */
     virtual void putIfAbsent(const std::string &key, const std::string &content, Written done) = 0;
     virtual void get(const std::string &key, ObjectRead done) = 0;
-    /** @param prefix of the keys wanted, in key order */
+    /** Lists keys in order. @param prefix of the keys to list */
     virtual void list(const std::string &prefix, KeysRead done) = 0;
     virtual void remove(const std::string &key, Written done) = 0;
 };
--- a/Libraries/LibPlatform/Outcomes.h
+++ b/Libraries/LibPlatform/Outcomes.h
@@ -5,28 +5,28 @@
 namespace Dogwoodkeel
 {
 
-/** What became of a write to the platform. Everything that writes has a right answer to each of the four. */
+/** Outcome of a write to the platform. Every writer must handle all four. */
 enum class WriteOutcome {
     /** It took effect. */
     Done,
-    /** A condition failed: it took no effect. */
+    /** A condition failed; the write took no effect. */
     Refused,
-    /** Proved that it took no effect, for another reason: the platform was not reached, or turned it away. */
+    /** The write certainly took no effect, for another reason: the platform was unreachable or rejected it. */
     NotApplied,
-    /** The answer was lost: it may have taken effect, or may yet. */
+    /** The answer was lost: the write may have taken effect, or may still do so. */
     Unknown,
 };
 
-/** What became of a read from the platform. */
+/** Outcome of a read from the platform. */
 enum class ReadOutcome {
     Found,
-    /** Proved absent. */
+    /** The row or object certainly does not exist. */
     Absent,
     /** No answer. */
     Failed,
 };
 
-/** Counts the changes of a row; the platform gives it out. */
+/** Version of a row, assigned by the platform; grows with each change. */
 using RowVersion = std::uint64_t;
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibPlatform/Platform.h
+++ b/Libraries/LibPlatform/Platform.h
@@ -7,7 +7,7 @@
 namespace Dogwoodkeel
 {
 
-/** All of the platform's services, as one task reaches them. */
+/** Access of one task to all of the platform's services. */
 class Platform
 {
 public:
--- a/Libraries/LibPlatform/PlatformCircuit.cpp
+++ b/Libraries/LibPlatform/PlatformCircuit.cpp
@@ -7,7 +7,7 @@
 {
 
 PlatformCircuit::PlatformCircuit(const Clock &clock, Options options, std::uint64_t seed)
-    : clock(clock), options(options), random(seed), nextRest(options.firstRest)
+    : clock(clock), options(options), random(seed), nextBackoff(options.initialBackoff)
 {
 }
 
@@ -16,7 +16,7 @@
     if (!this->open) {
         return true;
     }
-    if (this->isProbing || this->clock.now() < this->restEnd) {
+    if (this->isProbing || this->clock.now() < this->backoffEnd) {
         return false;
     }
     this->isProbing = true;
@@ -26,18 +26,18 @@
 void PlatformCircuit::onOutcome(bool isAnswered)
 {
     if (isAnswered) {
-        this->failures = 0;
+        this->consecutiveFailures = 0;
         this->open = false;
         this->isProbing = false;
-        this->nextRest = this->options.firstRest;
+        this->nextBackoff = this->options.initialBackoff;
         return;
     }
-    // Calls that were made before it opened may fail long after: only the probe's failure makes the next rest longer.
+    // Calls sent before the circuit opened may fail long afterwards: only a failed probe makes the backoff longer.
     if (this->open && !std::exchange(this->isProbing, false)) {
         return;
     }
-    if (this->open || ++this->failures >= this->options.failuresInARow) {
-        this->rest();
+    if (this->open || ++this->consecutiveFailures >= this->options.failureThreshold) {
+        this->trip();
     }
 }
 
@@ -46,12 +46,12 @@
     return this->open;
 }
 
-void PlatformCircuit::rest()
+void PlatformCircuit::trip()
 {
     this->open = true;
-    std::uniform_int_distribution<std::int64_t> jitter(this->nextRest.count() / 2, this->nextRest.count());
-    this->restEnd = this->clock.now() + std::chrono::milliseconds(jitter(this->random));
-    this->nextRest = std::min(this->nextRest * 2, this->options.longestRest);
+    std::uniform_int_distribution<std::int64_t> jitter(this->nextBackoff.count() / 2, this->nextBackoff.count());
+    this->backoffEnd = this->clock.now() + std::chrono::milliseconds(jitter(this->random));
+    this->nextBackoff = std::min(this->nextBackoff * 2, this->options.maxBackoff);
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibPlatform/PlatformCircuit.h
+++ b/Libraries/LibPlatform/PlatformCircuit.h
@@ -9,45 +9,45 @@
 {
 
 /**
- * Decides whether the platform is called at all. After failures in a row it is given a rest, with one call at a time to
- * see whether it is back; the rests grow, with jitter, so that the nodes of a site do not all come at once.
+ * Circuit breaker for calls to the platform. Opens after consecutive failures and lets one probe through after each backoff.
+ * The backoff grows, with jitter, so that the nodes of a site do not all probe at the same time.
  *
- * Without it each waiting call of each node would be repeated against a platform that is down or just coming back, and
- * the repeats alone could keep it down.
+ * Without it, every node would retry every pending call against a platform that is down or recovering, and the retries alone
+ * could keep it down.
  */
 class PlatformCircuit
 {
 public:
-    /** When it opens, and for how long. */
+    /** How many failures open the circuit, and for how long. */
     struct Options
     {
-        int failuresInARow = 5;
-        std::chrono::milliseconds firstRest{100};
-        std::chrono::milliseconds longestRest{5000};
+        int failureThreshold = 5;
+        std::chrono::milliseconds initialBackoff{100};
+        std::chrono::milliseconds maxBackoff{5000};
     };
 
     PlatformCircuit(const Clock &clock, Options options, std::uint64_t seed);
 
-    /** @return whether a call may be made now; if so, its outcome must be told. */
+    /** @return whether a call may be made now; if so, its outcome must be reported with onOutcome(). */
     bool admit();
 
-    /** @param isAnswered whether the platform gave any answer that shows it works, a refusal included */
+    /** @param isAnswered whether the platform gave an answer that shows that it works; a refusal is one */
     void onOutcome(bool isAnswered);
 
-    /** @return whether calls are turned away. */
+    /** @return whether calls are rejected. */
     bool isOpen() const;
 
 private:
-    void rest();
+    void trip();
 
     const Clock &clock;
     Options options;
     std::mt19937_64 random;
-    int failures = 0;
+    int consecutiveFailures = 0;
     bool open = false;
     bool isProbing = false;
-    std::chrono::milliseconds nextRest;
-    SteadyTime restEnd{};
+    std::chrono::milliseconds nextBackoff;
+    SteadyTime backoffEnd{};
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibPlatform/PlatformProtocol.cpp
+++ b/Libraries/LibPlatform/PlatformProtocol.cpp
@@ -16,7 +16,7 @@
 
 using Json = nlohmann::json;
 
-/** Runs a decoder over parsed JSON; a wrong shape is nothing. */
+/** Parses the body and runs a decoder on it. @return nothing if the JSON is malformed or lacks an expected field */
 template <typename Decoded>
 std::optional<Decoded> decodeJson(std::string_view body, const std::function<Decoded(const Json &)> &decoder)
 {
@@ -35,7 +35,7 @@
 {
     const auto bytes = decodeBase64(json.at(key).get_ref<const std::string &>());
     if (!bytes) {
-        throw Json::other_error::create(0, "not base64", &json);
+        throw Json::other_error::create(0, "value is not valid base64", &json);
     }
     return *bytes;
 }
--- a/Libraries/LibPlatform/PlatformProtocol.h
+++ b/Libraries/LibPlatform/PlatformProtocol.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 /**
- * The HTTP protocol of the platform's service: paths, and JSON bodies in which values are base64. Both ends are here,
- * so that the client and the stand-in cannot disagree.
+ * The HTTP protocol of the platform's service: paths, and JSON bodies with base64 values. Contains the encoders and decoders
+ * of both sides, so that the client and the test server cannot diverge.
  */
 namespace Dogwoodkeel::PlatformProtocol
 {
@@ -22,10 +22,10 @@
 inline constexpr const char *listPath = "/objects";
 inline constexpr const char *vmsPath = "/vms";
 
-/** @return the query that names a key. */
+/** @return the query string for a key. */
 std::string keyQuery(std::string_view key);
 
-/** What a ranged read asks for. */
+/** Parameters of a range read. */
 struct Range
 {
     std::string from;
--- a/Libraries/LibPlatform/ReadAllRows.cpp
+++ b/Libraries/LibPlatform/ReadAllRows.cpp
@@ -21,7 +21,8 @@
     store.read(reading->range, [&store, reading](const RowRangeResult &part) {
         RowRangeResult &result = reading->result;
         const bool isFirst = result.outcome != ReadOutcome::Found;
-        // An older answer behind a newer one comes from a copy of the store that lags: the two don't fit together.
+        // A page with an older version than the first comes from a lagging copy of the store and is not consistent with the
+        // first.
         if (part.outcome != ReadOutcome::Found || (!isFirst && part.version < result.version)) {
             reading->done({});
             return;
--- a/Libraries/LibPlatform/ReadAllRows.h
+++ b/Libraries/LibPlatform/ReadAllRows.h
@@ -8,12 +8,12 @@
 {
 
 /**
- * Read a range of rows whole, in as many answers as it takes.
+ * Reads a whole range of rows, page by page.
  *
- * The answers are of different moments. Their rows come in key order, so what stands before them all was read first; the
- * version told is the first answer's, so that following the table from there leaves out no change made meanwhile.
- * @param store must outlive the read, or drop its answers with itself
- * @param done Failed if any part was not answered
+ * The pages are snapshots of different moments, in key order. The reported version is that of the first page, so that following
+ * the table from it misses no change made during the read.
+ * @param store must outlive the read, or drop pending callbacks when it is destroyed
+ * @param done receives Failed if any page could not be read, or if a page is older than the first
  */
 void readAllRows(RowStore &store, RowRange range, std::function<void(RowRangeResult)> done);
 
--- a/Libraries/LibPlatform/RowStore.h
+++ b/Libraries/LibPlatform/RowStore.h
@@ -11,7 +11,7 @@
 namespace Dogwoodkeel
 {
 
-/** Where a row lies. Rows of one part are changed together at no extra cost, and one after the other. */
+/** Identifies a row. A transaction on rows of one part costs nothing extra; changes within a part are serialized. */
 struct RowKey
 {
     std::string table;
@@ -30,11 +30,11 @@
     bool isRemoved = false;
 };
 
-/** What must hold of a row for a transaction to take effect. */
+/** Condition on a row that must hold for a transaction to take effect. */
 struct RowExpectation
 {
     RowKey key;
-    /** The version that it must have; 0: it must be absent. */
+    /** The expected version; 0: the row must be absent. */
     RowVersion version = 0;
 };
 
@@ -45,7 +45,7 @@
     std::string value;
 };
 
-/** Changes that take effect together, if all expectations hold. */
+/** Changes that take effect atomically, if all expectations hold. */
 struct RowTransaction
 {
     std::vector<RowExpectation> expectations;
@@ -53,60 +53,60 @@
     std::vector<RowKey> removals;
 };
 
-/** What became of a transaction. */
+/** Result of a transaction. */
 struct RowTransactionResult
 {
     WriteOutcome outcome = WriteOutcome::Unknown;
-    /** With Done: the version that all rows put by it have now. */
+    /** With Done: the new version of all rows that it put. */
     RowVersion version = 0;
-    /** With Refused: the expected rows that are there, as they are now. */
+    /** With Refused: those expected rows that exist, in their current state. */
     std::vector<StoredRow> current;
 };
 
-/** Rows of one part in key order. */
+/** Range of rows of one part, in key order. */
 struct RowRange
 {
     std::string table;
     std::string part;
-    /** The first key; empty: from the start. */
+    /** First key, inclusive; empty: from the start. */
     std::string from;
-    /** The key behind the last; empty: to the end. */
+    /** End key, exclusive; empty: to the end. */
     std::string to;
-    /** How many rows at most; 0: as many as one answer holds. */
+    /** Max number of rows; 0: as many as one answer can hold. */
     std::size_t limit = 0;
 };
 
-/** The answer to a ranged read, as of one moment. */
+/** Result of a range read: a snapshot of one moment. */
 struct RowRangeResult
 {
-    /** Found, also when there are no rows, or Failed. */
+    /** Found, also if there are no rows, or Failed. */
     ReadOutcome outcome = ReadOutcome::Failed;
     std::vector<StoredRow> rows;
-    /** Whether there are more rows than were answered. */
+    /** Whether the range has more rows than were returned. */
     bool isTruncated = false;
-    /** The newest version of any row at that moment: where to follow a table from. */
+    /** The newest version of any row at that moment: the version from which to follow the table. */
     RowVersion version = 0;
 };
 
-/** The parts of a table that have rows. */
+/** Result of listing the parts of a table that have rows. */
 struct RowPartsResult
 {
-    /** Found, also when there are none, or Failed. */
+    /** Found, also if there are none, or Failed. */
     ReadOutcome outcome = ReadOutcome::Failed;
     std::vector<std::string> parts;
 };
 
-/** What became of following a table. */
+/** Outcome of following a table. */
 enum class FollowOutcome {
-    /** The changes, possibly none, up to the version told. */
+    /** The changes, possibly none, up to the reported version. */
     Followed,
-    /** The history since then is not kept: the table has to be read anew. */
+    /** The history since the requested version is no longer retained: the table must be read again. */
     HistoryLost,
     /** No answer. */
     Failed,
 };
 
-/** Changes of a table in their order. */
+/** Changes of a table, in the order of their versions. */
 struct FollowResult
 {
     FollowOutcome outcome = FollowOutcome::Failed;
@@ -114,7 +114,7 @@
     RowVersion version = 0;
 };
 
-/** Tables that can be read and followed. Answers come on the owning loop, never from inside the call. */
+/** Tables that can be read and followed. Callbacks run on the owning loop, never from inside the call. */
 class RowFeed
 {
 public:
@@ -123,8 +123,8 @@
     virtual void read(RowRange range, std::function<void(RowRangeResult)> done) = 0;
 
     /**
-     * Ask for the changes of a table since a version; answered as soon as there is one.
-     * @param wait how long the platform may wait for one
+     * Requests the changes of a table since a version; answered as soon as there is one (long poll).
+     * @param wait how long the platform may wait for a change
      */
     virtual void
     follow(const std::string &table, RowVersion since, std::chrono::milliseconds wait, std::function<void(FollowResult)> done)
@@ -137,10 +137,10 @@
 public:
     virtual void transact(RowTransaction transaction, std::function<void(RowTransactionResult)> done) = 0;
 
-    /** List parts of a table in order. @param after the last part of the answer before; empty: from the start */
+    /** Lists parts of a table in order. @param after the last part of the previous page; empty: from the start */
     virtual void listParts(const std::string &table, const std::string &after, std::function<void(RowPartsResult)> done) = 0;
 
-    /** Write an object. One of that name that is there is left as it is, and counts as written. */
+    /** Writes an object. An existing object of that name is left unchanged and reported as written. */
     virtual void putObject(const std::string &name, std::string content, std::function<void(WriteOutcome)> done) = 0;
     virtual void readObject(const std::string &name, std::function<void(ReadOutcome, std::string)> done) = 0;
     virtual void removeObject(const std::string &name, std::function<void(WriteOutcome)> done) = 0;
--- a/Libraries/LibPlatform/StoreClock.cpp
+++ b/Libraries/LibPlatform/StoreClock.cpp
@@ -6,8 +6,8 @@
 namespace
 {
 
-/** Two steady clocks drift apart by some milliseconds in this time: then an answer that was slower counts as well. */
-constexpr std::chrono::seconds offsetKept{60};
+/** Two steady clocks drift apart by some milliseconds in this time; after it, the offset of a slower answer is used as well. */
+constexpr std::chrono::seconds maxOffsetAge{60};
 
 } // namespace
 
@@ -19,11 +19,11 @@
 {
     const SteadyTime now = this->clock.now();
     const std::chrono::nanoseconds difference = reported.time_since_epoch() - now.time_since_epoch();
-    // What an answer tells is as old as it was on its way: of two, the later time is nearer to the truth. A VM that was paused
-    // finds its own clock behind, and the difference larger, as it should.
-    if (!this->offset || difference >= *this->offset || now - this->noted > offsetKept) {
+    // The time in an answer is outdated by the transit time, so of two offsets the larger is more accurate. A pause of the VM
+    // leaves its steady clock behind and makes the offset larger, which corrects the estimate.
+    if (!this->offset || difference >= *this->offset || now - this->recordedAt > maxOffsetAge) {
         this->offset = difference;
-        this->noted = now;
+        this->recordedAt = now;
     }
 }
 
--- a/Libraries/LibPlatform/StoreClock.h
+++ b/Libraries/LibPlatform/StoreClock.h
@@ -9,26 +9,26 @@
 {
 
 /**
- * What time it is at the platform's store, by its answers and this node's steady clock. Ages that nodes compare with each
- * other are told by it: the time of day differs between VMs and may jump by seconds, and a job would be given up too early or
- * run as the last one.
+ * Estimates the current time of the platform's store from the times in its answers and this node's steady clock. Ages that nodes
+ * compare with each other are computed with it. The time of day differs between VMs and may jump by seconds, so that a job
+ * could be abandoned too early or be scheduled last.
  */
 class StoreClock
 {
 public:
     explicit StoreClock(const Clock &clock);
 
-    /** An answer of the store has just come. @param reported the time in it */
+    /** Records the time in an answer that has just arrived from the store. @param reported that time */
     void record(StoreTime reported);
 
-    /** @return the time at the store now; nothing as long as no answer has come. */
+    /** @return the current time of the store; nothing before the first answer. */
     std::optional<StoreTime> now() const;
 
 private:
     const Clock &clock;
-    /** The store's time minus this node's steady time, from the answer that was on its way for the shortest time. */
+    /** The store's time minus this node's steady time, from the answer with the shortest transit time. */
     std::optional<std::chrono::nanoseconds> offset;
-    SteadyTime noted{};
+    SteadyTime recordedAt{};
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibPlatform/TableMirror.cpp
+++ b/Libraries/LibPlatform/TableMirror.cpp
@@ -8,28 +8,28 @@
 namespace
 {
 
-/** A bound on memory; who follows without a pause misses none of so many removals. */
-constexpr std::size_t removalsRetained = 4096;
+/** Bounds the memory use. A node that follows without a pause misses no removals within this number. */
+constexpr std::size_t maxRemovals = 4096;
 
 } // namespace
 
 void TableMirror::replaceAll(const std::vector<StoredRow> &rows, RowVersion version)
 {
-    // Who follows through this node need not read anew: what went while the history was lost shows by what is there no more.
+    // Rows missing from the snapshot were removed while the history was lost; with them, followers need not read the table again.
     std::set<Key> present;
     for (const StoredRow &row : rows) {
         present.emplace(row.key.part, row.key.key);
     }
-    std::vector<StoredRow> gone;
+    std::vector<StoredRow> removedRows;
     for (const auto &[key, row] : this->rows) {
         if (!present.contains(key)) {
-            gone.push_back({row.key, {}, version, true});
+            removedRows.push_back({row.key, {}, version, true});
         }
     }
     if (this->latest == 0) {
-        this->historyFrom = version;
+        this->historyStart = version;
     }
-    for (const StoredRow &row : gone) {
+    for (const StoredRow &row : removedRows) {
         this->apply(row);
     }
     for (const StoredRow &row : rows) {
@@ -53,8 +53,8 @@
         return;
     }
     this->removed.push_back(row);
-    if (this->removed.size() > removalsRetained) {
-        this->historyFrom = std::max(this->historyFrom, this->removed.front().version);
+    if (this->removed.size() > maxRemovals) {
+        this->historyStart = std::max(this->historyStart, this->removed.front().version);
         this->removed.pop_front();
     }
 }
@@ -78,7 +78,7 @@
 {
     FollowResult result;
     result.version = std::max(this->latest, since);
-    if (since < this->historyFrom) {
+    if (since < this->historyStart) {
         result.outcome = FollowOutcome::HistoryLost;
         return result;
     }
@@ -96,13 +96,13 @@
     return result;
 }
 
-RowRangeResult TableMirror::read(const std::string &part, const std::string &from, std::size_t most) const
+RowRangeResult TableMirror::read(const std::string &part, const std::string &from, std::size_t limit) const
 {
     RowRangeResult result;
     result.outcome = ReadOutcome::Found;
     result.version = this->latest;
     for (auto row = this->rows.lower_bound(Key(part, from)); row != this->rows.end() && row->first.first == part; ++row) {
-        if (result.rows.size() == most) {
+        if (result.rows.size() == limit) {
             result.isTruncated = true;
             break;
         }
--- a/Libraries/LibPlatform/TableMirror.h
+++ b/Libraries/LibPlatform/TableMirror.h
@@ -11,41 +11,41 @@
 namespace Dogwoodkeel
 {
 
-/** A table of the store as it was followed, for those who follow it through this node. */
+/** Local copy of a table of the store, which serves the nodes that follow the table through this node. */
 class TableMirror
 {
 public:
-    /** Take the whole table as it was at a version. */
+    /** Replaces the whole table by a snapshot at a version; rows that it lacks are recorded as removed. */
     void replaceAll(const std::vector<StoredRow> &rows, RowVersion version);
 
-    /** Take a change of a row. */
+    /** Applies a change of a row. */
     void apply(const StoredRow &row);
 
-    /** All changes up to a version have been taken. */
+    /** Records that all changes up to a version have been applied. */
     void advanceTo(RowVersion version);
 
-    /** @return whether the table has been taken whole. */
+    /** @return whether the table has been read completely. */
     bool isRead() const;
 
-    /** @return up to which version the changes have been taken. */
+    /** @return the version up to which changes have been applied. */
     RowVersion version() const;
 
-    /** @return what changed after a version, in order; HistoryLost if it isn't known any more what was removed since. */
+    /** @return the changes after a version, in order; HistoryLost if the removals since then are no longer known. */
     FollowResult changesSince(RowVersion since) const;
 
-    /** @return rows of a part in key order, from a key on. @param most how many at most */
-    RowRangeResult read(const std::string &part, const std::string &from, std::size_t most) const;
+    /** @return rows of a part in key order, starting at a key. @param limit max number of rows */
+    RowRangeResult read(const std::string &part, const std::string &from, std::size_t limit) const;
 
 private:
     using Key = std::pair<std::string, std::string>;
 
     std::map<Key, StoredRow> rows;
-    /** Several rows have one version if one transaction put them. */
+    /** Rows that one transaction put share a version. */
     std::set<std::pair<RowVersion, Key>> byVersion;
-    /** Removed rows, by the order of their removal. */
+    /** Removed rows, in the order of their removal. */
     std::deque<StoredRow> removed;
-    /** What was removed up to this version is not known. */
-    RowVersion historyFrom = 0;
+    /** Removals up to this version are unknown. */
+    RowVersion historyStart = 0;
     RowVersion latest = 0;
 };
 
--- a/Libraries/LibPlatform/TableService.h
+++ b/Libraries/LibPlatform/TableService.h
@@ -18,27 +18,27 @@
     RowVersion version = 0;
 };
 
-/** The answer to a read of one row. */
+/** Result of reading one row. */
 struct RowResult
 {
     ReadOutcome outcome = ReadOutcome::Failed;
-    /** With Found. */
+    /** Set with Found. */
     Row row;
 };
 
-/** The answer to a ranged read. */
+/** Result of a range read. */
 struct RowsResult
 {
-    /** Found (also when there are no rows) or Failed. */
+    /** Found (also if there are no rows) or Failed. */
     ReadOutcome outcome = ReadOutcome::Failed;
     std::vector<Row> rows;
 };
 
-/** What must hold of a row for a transaction to take effect. */
+/** Condition on a row that must hold for a transaction to take effect. */
 struct RowCondition
 {
     std::string key;
-    /** The version it must have; nothing: it must be absent. */
+    /** The expected version; nothing: the row must be absent. */
     std::optional<RowVersion> version;
 };
 
@@ -50,7 +50,7 @@
     std::optional<std::string> value;
 };
 
-/** Changes that take effect together, if all conditions hold. */
+/** Changes that take effect atomically, if all conditions hold. */
 struct Transaction
 {
     std::vector<RowCondition> conditions;
@@ -58,8 +58,8 @@
 };
 
 /**
- * The platform's transactional table service. Calls may be made from the owning loop only; answers come on that loop,
- * never from inside the call.
+ * The platform's transactional table service. Must be called from the owning loop only; callbacks run on that loop, never from
+ * inside the call.
  */
 class TableService
 {
@@ -73,16 +73,16 @@
     virtual void read(const std::string &key, RowRead done) = 0;
 
     /**
-     * Read rows in key order.
-     * @param from the first key
-     * @param to the key behind the last
-     * @param limit how many at most
+     * Reads rows in key order.
+     * @param from first key, inclusive
+     * @param to end key, exclusive
+     * @param limit max number of rows
      */
     virtual void readRange(const std::string &from, const std::string &to, std::size_t limit, RowsRead done) = 0;
 
     virtual void transact(const Transaction &transaction, Written done) = 0;
 
-    /** Write a row that must be absent. */
+    /** Writes a row that must be absent. */
     void insertIfAbsent(const std::string &key, std::string value, Written done)
     {
         this->transact({{{key, std::nullopt}}, {{key, std::move(value)}}}, std::move(done));
--- a/Libraries/LibPlatform/VmList.h
+++ b/Libraries/LibPlatform/VmList.h
@@ -10,17 +10,17 @@
 namespace Dogwoodkeel
 {
 
-/** A VM as the platform lists it. The list lags. */
+/** Entry of the platform's VM list, which may lag behind the actual state. */
 struct ListedVm
 {
     VmName name;
-    /** Whether the platform is about to take it away. */
+    /** Whether the platform is about to remove the VM. */
     bool isLeaving = false;
 
     bool operator==(const ListedVm &) const = default;
 };
 
-/** The platform's list of live and leaving VMs, nodes and endpoints alike. */
+/** The platform's list of live and leaving VMs, of both nodes and endpoints. */
 class VmList
 {
 public:
@@ -28,7 +28,7 @@
 
     virtual ~VmList() = default;
 
-    /** @param done gets the list, or nothing if there was no answer */
+    /** Reads the list. @param done receives the list, or nothing if there was no answer */
     virtual void fetch(Fetched done) = 0;
 };
 
--- a/Libraries/LibPlatform/VmWatch.cpp
+++ b/Libraries/LibPlatform/VmWatch.cpp
@@ -46,35 +46,35 @@
 void VmWatch::receive(std::vector<ListedVm> listed)
 {
     this->listed = std::move(listed);
-    // What the others saw counts until the VM is off the list.
+    // A mark set by other nodes applies until the VM is no longer listed.
     std::erase_if(this->leaving, [this](const VmName &name) {
         return std::ranges::find(this->listed, name, &ListedVm::name) == this->listed.end();
     });
-    this->tell();
+    this->publish();
 }
 
 void VmWatch::markLeaving(const std::vector<VmName> &names)
 {
     this->leaving.insert(names.begin(), names.end());
-    this->tell();
+    this->publish();
 }
 
-void VmWatch::tell()
+void VmWatch::publish()
 {
-    std::vector<ListedVm> seen = this->listed;
+    std::vector<ListedVm> current = this->listed;
     for (const VmName &name : this->leaving) {
-        const auto found = std::ranges::find(seen, name, &ListedVm::name);
-        if (found != seen.end()) {
+        const auto found = std::ranges::find(current, name, &ListedVm::name);
+        if (found != current.end()) {
             found->isLeaving = true;
         } else {
-            seen.push_back({name, true});
+            current.push_back({name, true});
         }
     }
-    if (this->last && *this->last == seen) {
+    if (this->published && *this->published == current) {
         return;
     }
-    this->last = std::make_shared<const std::vector<ListedVm>>(std::move(seen));
-    this->changed(this->last);
+    this->published = std::make_shared<const std::vector<ListedVm>>(std::move(current));
+    this->changed(this->published);
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibPlatform/VmWatch.h
+++ b/Libraries/LibPlatform/VmWatch.h
@@ -12,12 +12,12 @@
 namespace Dogwoodkeel
 {
 
-/** The platform's VM list as it was last read; never changed, so tasks share it. */
+/** Immutable copy of the platform's VM list, shared by tasks. */
 using ListedVmsPointer = std::shared_ptr<const std::vector<ListedVm>>;
 
 /**
- * Reads the platform's VM list again and again and tells of each change. While the platform does not answer, what was
- * read last stays in force: an outage must neither bring back a VM that was leaving nor take away one that serves.
+ * Polls the platform's VM list and reports each change. While the platform does not answer, the last list stays in force: an
+ * outage must neither restore a VM that was leaving nor remove one that is serving.
  */
 class VmWatch
 {
@@ -27,26 +27,26 @@
     /**
      * @param vms the platform's list; outlives the watch
      * @param scheduler of the owning task
-     * @param changed told of the first list that is read, and of each that differs from the one before
+     * @param changed called with the first list, and with each list that differs from the previous one
      */
     VmWatch(VmList &vms, Scheduler &scheduler, Changed changed);
     ~VmWatch();
     VmWatch(const VmWatch &) = delete;
     VmWatch &operator=(const VmWatch &) = delete;
 
-    /** Read now, and then at intervals. @param interval between the end of one read and the start of the next */
+    /** Reads the list now and then periodically. @param interval between the end of one read and the start of the next */
     void start(std::chrono::milliseconds interval);
 
-    /** Other nodes saw on the list that these VMs are leaving; this node's own reading may lag behind theirs. */
+    /** Marks VMs that other nodes have seen listed as leaving; this node's list may lag behind theirs. */
     void markLeaving(const std::vector<VmName> &names);
 
-    /** Change the interval; takes effect with the next read. */
+    /** Changes the interval; takes effect after the next read. */
     void setInterval(std::chrono::milliseconds interval);
 
 private:
     void read();
     void receive(std::vector<ListedVm> listed);
-    void tell();
+    void publish();
 
     VmList &vms;
     Scheduler &scheduler;
@@ -54,7 +54,7 @@
     std::chrono::milliseconds interval{1000};
     std::vector<ListedVm> listed;
     std::set<VmName> leaving;
-    ListedVmsPointer last;
+    ListedVmsPointer published;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/Tests/LibPlatform/TestTableMirror.cpp
+++ b/Tests/LibPlatform/TestTableMirror.cpp
@@ -79,7 +79,7 @@
     CHECK(first.isTruncated);
     CHECK(first.version == 5);
     CHECK(first.rows[1].key.key == "b");
-    const RowRangeResult rest = mirror.read("", "b\x01", 2);
-    REQUIRE(rest.rows.size() == 1);
-    CHECK_FALSE(rest.isTruncated);
+    const RowRangeResult remaining = mirror.read("", "b\x01", 2);
+    REQUIRE(remaining.rows.size() == 1);
+    CHECK_FALSE(remaining.isTruncated);
 }
--- a/Tests/LibPlatform/TestVmWatch.cpp
+++ b/Tests/LibPlatform/TestVmWatch.cpp
@@ -10,7 +10,7 @@
 {
 
 /** A list that a test sets; nothing while the platform is down. */
-struct SetVmList final : VmList
+struct FakeVmList final : VmList
 {
     std::optional<std::vector<ListedVm>> listed;
 
@@ -27,7 +27,7 @@
     // The caller sees requests cut on an endpoint that was known to be leaving. The list names it, then the platform
     // goes down; a failed read taken for an empty list would forget it and send it new work.
     ManualClock clock;
-    SetVmList list;
+    FakeVmList list;
     ListedVmsPointer reported;
     std::size_t changes = 0;
     VmWatch watch(list, clock, [&](const ListedVmsPointer &vms) {
--- a/Tests/Platform/TestFormats.cpp
+++ b/Tests/Platform/TestFormats.cpp
@@ -116,7 +116,7 @@
     CHECK(traits.id == "r1");
     CHECK(traits.timeout == std::chrono::milliseconds(5000));
     CHECK(traits.promptTokens == 1460);
-    CHECK(traits.mostOutputTokens == 80);
+    CHECK(traits.maxOutputTokens == 80);
     CHECK(traits.sharedPromptParts == std::vector<std::string>{"5c1e"});
     CHECK(traits.lastPromptPart == "e440");
     CHECK_FALSE(traits.lastEvent);
@@ -216,7 +216,7 @@
 // are not there.
 TEST_CASE("an entry that is not what a replica writes names none")
 {
-    const std::map<std::string, std::vector<nlohmann::json>> spoilt{
+    const std::map<std::string, std::vector<nlohmann::json>> malformed{
         {"service", {nullptr, "", 7, nlohmann::json::array()}},
         {"address", {nullptr, "", "10.0.0.9", "10.0.0.9:0", "10.0.0.9:99999", "host:80", 80}},
         {"zone", {nullptr, "", 1}},
@@ -227,7 +227,7 @@
         {"seq", {nullptr, -1, 1.5, "3"}},
         {"born", {nullptr, -1, 1.5, "1764700000000", true, nlohmann::json::array()}},
     };
-    for (const auto &one : spoilt) {
+    for (const auto &one : malformed) {
         const std::string &field = one.first;
         nlohmann::json entry = replicaEntry();
         entry.erase(field);
@@ -260,8 +260,8 @@
     });
     rc::check("an entry with some bytes changed", [](const std::vector<std::pair<std::uint8_t, char>> &changes) {
         std::string text = replicaEntry().dump();
-        for (const auto &[place, byte] : changes) {
-            text[place % text.size()] = byte;
+        for (const auto &[position, byte] : changes) {
+            text[position % text.size()] = byte;
         }
         if (const auto read = decodeReplica("i-1", text)) {
             RC_ASSERT(read->slots > 0);
