--- a/Tests/LibPlatform/TestGuardedPlatform.cpp
+++ b/Tests/LibPlatform/TestGuardedPlatform.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** A guarded platform over one that can be down. */
+/** A GuardedPlatform around a platform that the test can set to be down. */
 struct Fixture
 {
     ManualClock clock;
@@ -34,7 +34,7 @@
                                                            });
     }
 
-    /** Insert a row, wait for a moment, and return what became of it, if it is known by then. */
+    /** Inserts a row and advances the clock. @return the outcome, if it is known by then */
     std::optional<WriteOutcome> write(const std::string &key, std::chrono::milliseconds wait = std::chrono::milliseconds(1))
     {
         const auto outcome = std::make_shared<std::optional<WriteOutcome>>();
@@ -48,9 +48,9 @@
 
 } // namespace
 
-// The platform goes down while a node has much to write. Each write is repeated until it is done. If each repeat went out,
-// the nodes together would keep the platform busy with turning calls away, also when it tries to come back.
-TEST_CASE("A platform that is down is left alone but for a probe now and then")
+// Guards against retry storms. Nodes with many pending writes retry each one; if all retries were sent to a platform that is
+// down, rejecting them would overload it, also while it recovers.
+TEST_CASE("A platform that is down receives only occasional probes")
 {
     Fixture fixture;
     fixture.faulty->setDown(true);
@@ -80,7 +80,7 @@
     }
 }
 
-TEST_CASE("Writes keep to this node's share of the rate, and wait their turn")
+TEST_CASE("Writes are limited to this node's share of the rate, and run in order")
 {
     Fixture fixture;
     fixture.budget->setMembers(10);
@@ -91,7 +91,7 @@
         });
     }
     fixture.clock.advance(std::chrono::milliseconds(1));
-    // 10 a second for this node: a quarter second's worth at once, then one each 100 ms.
+    // 10 per second for this node: the burst of a quarter second immediately, then one every 100 ms.
     CHECK(done == 3);
     fixture.clock.advance(std::chrono::seconds(1));
     CHECK(done == 13);
@@ -100,13 +100,13 @@
     CHECK(fixture.calls["items over_budget"] == 2);
 }
 
-TEST_CASE("Reads and writes have rates of their own")
+TEST_CASE("Reads and writes are limited separately")
 {
     Fixture fixture;
     fixture.budget->setMembers(100);
     fixture.write("items/1");
     CHECK(fixture.write("items/2") == std::nullopt);
-    // The journal paces itself.
+    // The journal limits its own rate.
     CHECK(fixture.write("journal/1") == WriteOutcome::Done);
     bool isRead = false;
     fixture.platform->tables().read("items/1", [&isRead](const RowResult &result) {
--- a/Tests/LibPlatform/TestHedgedCall.cpp
+++ b/Tests/LibPlatform/TestHedgedCall.cpp
@@ -23,7 +23,7 @@
 
 using Call = HedgedCall<Answer>;
 
-/** A call by three ways that the test answers. */
+/** A call over three routes that the test answers. */
 class ThreeRoutes
 {
 public:
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("a way that answers is the only one")
+TEST_CASE("no other route is started if the first answers in time")
 {
     ThreeRoutes routes(150ms);
     routes.started[0](Answer::Good);
@@ -66,8 +66,8 @@
     CHECK(routes.answers == std::vector{Answer::Good});
 }
 
-// Guards against a job that a node cut off from the store accepts only when its own call has timed out.
-TEST_CASE("beside a way that is silent the next is tried, and the first good answer counts")
+// Guards against a node without a connection to the store that accepts a job only after its own call has timed out.
+TEST_CASE("an unresponsive route is hedged by the next one, and the first good answer is the result")
 {
     ThreeRoutes routes(150ms);
     routes.clock.advance(149ms);
@@ -82,7 +82,7 @@
     CHECK(routes.started.size() == 2);
 }
 
-TEST_CASE("a way that fails is followed by the next at once")
+TEST_CASE("a failed route is followed by the next one immediately")
 {
     ThreeRoutes routes(150ms);
     routes.started[0](Answer::Failed);
@@ -94,8 +94,8 @@
     CHECK(routes.answers == std::vector{Answer::Failed});
 }
 
-// Guards against "surely not stored" for a write that a way without an answer may have done.
-TEST_CASE("what one way leaves open is not settled by another's failure")
+// Guards against reporting a write as not applied although an unanswered route may have applied it.
+TEST_CASE("an unknown outcome on one route is not overridden by a failure on another")
 {
     ThreeRoutes routes(150ms);
     routes.clock.advance(150ms);
@@ -108,7 +108,7 @@
     CHECK(routes.started.size() == 2);
 }
 
-TEST_CASE("without a delay a way is tried only when the one before has failed")
+TEST_CASE("without a hedge delay a route is started only when the previous one has failed")
 {
     ThreeRoutes routes(std::nullopt);
     routes.clock.advance(10s);
--- a/Tests/LibPlatform/TestStoreClock.cpp
+++ b/Tests/LibPlatform/TestStoreClock.cpp
@@ -6,7 +6,7 @@
 using namespace Dogwoodkeel;
 using namespace std::chrono_literals;
 
-TEST_CASE("the store's time goes on between its answers, and an answer that was long on its way does not set it back")
+TEST_CASE("the store's time advances between its answers, and a delayed answer does not set it back")
 {
     ManualClock clock;
     StoreClock storeClock(clock);
@@ -20,9 +20,9 @@
     CHECK(storeClock.now() == StoreTime(1504ms));
 }
 
-// A VM is paused for seconds, and its steady clock does not count them. By its own clock the items of its jobs would have those
-// seconds still to run.
-TEST_CASE("after a pause of the VM the next answer sets the time right")
+// Guards against wrong deadlines after a pause of the VM, which its steady clock does not count: by that clock, the items of its
+// jobs would still have those seconds left.
+TEST_CASE("after a pause of the VM the next answer corrects the time")
 {
     ManualClock clock;
     StoreClock storeClock(clock);
@@ -31,7 +31,7 @@
     CHECK(storeClock.now() == StoreTime(9000ms));
 }
 
-TEST_CASE("clocks that drift apart are brought together again")
+TEST_CASE("drift between the clocks is corrected")
 {
     ManualClock clock;
     StoreClock storeClock(clock);
--- a/Tests/LibPlatform/TestTableMirror.cpp
+++ b/Tests/LibPlatform/TestTableMirror.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("who follows a mirror is told each row once, as it is now, in the order of the versions")
+TEST_CASE("a follower of a mirror receives each changed row once, in its current state and in version order")
 {
     TableMirror mirror;
     mirror.replaceAll({row("a", 1), row("b", 2)}, 5);
@@ -34,8 +34,8 @@
     CHECK(mirror.changesSince(20).version == 20);
 }
 
-// What was removed before the mirror was read is not known there: who follows from before must read the table anew.
-TEST_CASE("who follows from before the mirror was read has to read anew")
+// A mirror does not know the removals before its first read, so a follower at an older version must read the table again.
+TEST_CASE("a follower at a version before the first read of the mirror must read the table again")
 {
     TableMirror mirror;
     CHECK_FALSE(mirror.isRead());
@@ -45,8 +45,9 @@
     CHECK(mirror.changesSince(5).outcome == FollowOutcome::Followed);
 }
 
-// The store may drop its history at any time. Were the mirror's followers to read anew each time, all nodes would read at once.
-TEST_CASE("a mirror that is read anew tells its followers what changed and what went meanwhile")
+// The store may drop its history at any time. If all followers of the mirror then had to read the table again, all nodes would do
+// so at the same time.
+TEST_CASE("a mirror that is read again reports the rows changed and removed in the meantime")
 {
     TableMirror mirror;
     mirror.replaceAll({row("a", 1), row("b", 2)}, 5);
@@ -59,7 +60,7 @@
     CHECK(changes.rows[1].isRemoved);
 }
 
-TEST_CASE("removals are remembered up to a bound, and who is behind it reads anew")
+TEST_CASE("removals are retained up to a limit, and a follower behind it must read the table again")
 {
     TableMirror mirror;
     mirror.replaceAll({}, 1);
@@ -70,7 +71,7 @@
     CHECK(mirror.changesSince(5000).rows.size() == 999);
 }
 
-TEST_CASE("a mirror is read in key order and in parts")
+TEST_CASE("a mirror is read in key order and page by page")
 {
     TableMirror mirror;
     mirror.replaceAll({row("c", 1), row("a", 2), row("b", 3)}, 5);
--- a/Tests/LibPlatform/TestVmWatch.cpp
+++ b/Tests/LibPlatform/TestVmWatch.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** A list that a test sets; nothing while the platform is down. */
+/** VM list set by the test; empty optional while the platform is down. */
 struct FakeVmList final : VmList
 {
     std::optional<std::vector<ListedVm>> listed;
@@ -24,8 +24,8 @@
 
 TEST_CASE("a VM that was listed as leaving stays so while the platform is down")
 {
-    // The caller sees requests cut on an endpoint that was known to be leaving. The list names it, then the platform
-    // goes down; a failed read taken for an empty list would forget it and send it new work.
+    // Guards against requests that are cut off on an endpoint known to be leaving. If a failed read counted as an empty list, the
+    // VM's state would be lost, and it would be sent new work.
     ManualClock clock;
     FakeVmList list;
     ListedVmsPointer reported;
--- a/Tests/Platform/TestFormats.cpp
+++ b/Tests/Platform/TestFormats.cpp
@@ -27,7 +27,7 @@
 const ServingReplica replica{
     EndpointName("i-7@5"), EndpointName("i-7"), ServiceName("s"), {"10.0.0.1", 80}, FailureDomain("z"), 8, false};
 
-/** What a replica writes of itself. */
+/** An entry as a replica writes it. */
 nlohmann::json replicaEntry()
 {
     return nlohmann::json::parse(R"({"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":8,
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration is read into routes, services and limits")
+TEST_CASE("a configuration is decoded into routes, services and limits")
 {
     const auto read = decodeConfiguration(R"({"version":7,"routes":[
         {"name":"a","host":"h","prefix":"/a/","routeKind":"streaming","timeoutMs":5000,"fullValueMs":300,"priority":1,
@@ -62,7 +62,7 @@
     CHECK(read->limits.idleTimeout == std::chrono::milliseconds(400));
 }
 
-TEST_CASE("what is no configuration is not taken for one")
+TEST_CASE("an invalid configuration is rejected")
 {
     CHECK_FALSE(decodeConfiguration(""));
     CHECK_FALSE(decodeConfiguration("[]"));
@@ -70,7 +70,7 @@
     CHECK(decodeConfiguration(R"({"version":1,"routes":[{"timeoutMs":-5,"maxAttempts":"x","split":7}]})"));
 }
 
-TEST_CASE("a replica's entry is read, and one without an address is none")
+TEST_CASE("a replica's entry is decoded, and an entry without an address is rejected")
 {
     const auto read = decodeReplica("i-1", replicaEntry().dump());
     REQUIRE(read);
@@ -82,9 +82,9 @@
     CHECK_FALSE(decodeReplica("i-1", "nonsense"));
 }
 
-// Whatever a caller puts into the headers that the system sets itself, a replica gets each of them once: the replica would
-// otherwise go on behind an event that its reader does not have, or work for longer than anybody waits.
-TEST_CASE("a replica gets the caller's headers, and those that the system sets once each")
+// Guards against callers who send headers that only the system may set. A replica that received such a header twice could resume
+// a stream after an event that the reader has not received, or work past the deadline.
+TEST_CASE("a replica receives the caller's headers, and each header that the system sets exactly once")
 {
     MessageHead head = requestHead("POST", "/a/b?c=%20d");
     head.headers.add("Host", "h");
@@ -103,7 +103,7 @@
              "X-Deadline-Ms: 1200\r\nX-Expect-Instance: i-7\r\nLast-Event-Id: 9\r\n");
 }
 
-TEST_CASE("what a caller says of its request is read, and nonsense left out")
+TEST_CASE("the properties in request headers are decoded, and malformed ones are ignored")
 {
     HeaderList headers;
     headers.add("X-Request-Id", "r1");
@@ -124,7 +124,7 @@
     CHECK_FALSE(decodeTraits({}).timeout);
 }
 
-TEST_CASE("only a replica's own word says that a request was not run")
+TEST_CASE("only a header or status of a replica proves that a request was not run")
 {
     MessageHead head;
     head.status = 503;
@@ -136,7 +136,7 @@
     CHECK(decodeReplicaAnswer(misdirected).isNotExecuted);
 }
 
-TEST_CASE("the load that a replica states is three whole numbers, or none")
+TEST_CASE("the load header of a replica must consist of three whole numbers")
 {
     const auto stated = [](const std::string &text) {
         MessageHead head;
@@ -169,8 +169,8 @@
     CHECK(std::holds_alternative<std::monostate>(decodeJobCall(requestHead("GET", "/other/j1"))));
 }
 
-// An item's header or path with a line end in it would become a header, or a request, that its caller never sent.
-TEST_CASE("a submission with an item that could smuggle something is refused whole")
+// Guards against header and request injection: a line break in a header or path of an item would add a header or a request.
+TEST_CASE("a submission with an item that could inject a header or a request is rejected as a whole")
 {
     const auto submission = [](const std::string &path, const std::string &name, const std::string &value) {
         return R"({"requests":[{"id":"i1","path":")" + path + R"(","headers":{")" + name + R"(":")" + value
@@ -188,7 +188,7 @@
     CHECK_FALSE(decodeSubmission("{"));
 }
 
-TEST_CASE("addresses are told with how long they may be kept")
+TEST_CASE("addresses are encoded with their time to live")
 {
     CHECK(encodeAddresses({{"10.0.0.1", 80}}, std::chrono::milliseconds(1500)) == R"({"addresses":["10.0.0.1:80"],"ttlS":1.5})");
     const auto query = decodeAddressQuery(requestHead("GET", "/resolve?name=h&region=r&zone=z%2D1"));
@@ -197,7 +197,7 @@
     CHECK_FALSE(decodeAddressQuery(requestHead("POST", "/resolve")));
 }
 
-TEST_CASE("a replica that starts again under its name is another incarnation")
+TEST_CASE("a replica that restarts under the same name is a new incarnation")
 {
     nlohmann::json again = replicaEntry();
     again["born"] = 1764700009000;
@@ -211,10 +211,10 @@
     CHECK(decodeReplica("i-1", again.dump())->instance == EndpointName("i-1"));
 }
 
-// Another program writes into the list: a field is missing or of another type, the state is one that nobody knows, the bytes are
-// no text. A node that made a replica of it would send callers' requests to an address where none listens, or count slots that
-// are not there.
-TEST_CASE("an entry that is not what a replica writes names none")
+// Guards against entries that another program wrote: a field is missing or has another type, the state is unknown, or the bytes
+// are not valid text. A node that accepted one would send requests to an address without a listener, or count slots that do not
+// exist.
+TEST_CASE("an entry with a missing or malformed field is rejected")
 {
     const std::map<std::string, std::vector<nlohmann::json>> malformed{
         {"service", {nullptr, "", 7, nlohmann::json::array()}},
@@ -247,7 +247,7 @@
     CHECK_FALSE(decodeReplica("i-1", ""));
 }
 
-TEST_CASE("rows that others may write are read or passed over, whatever they hold")
+TEST_CASE("decoders of rows written by other programs accept or reject any content without failing")
 {
     rc::check("any text", [](const std::string &text) {
         decodeReplica("i-1", text);
