--- a/Libraries/LibPlatform/ReadAllRows.cpp
+++ b/Libraries/LibPlatform/ReadAllRows.cpp
@@ -21,7 +21,8 @@
     store.read(reading->range, [&store, reading](const RowRangeResult &part) {
         RowRangeResult &result = reading->result;
         const bool isFirst = result.outcome != ReadOutcome::Found;
-        // An older answer behind a newer one comes from a copy of the store that lags: the two don't fit together.
+        // A page with an older version than the first comes from a lagging copy of the store and is not consistent with the
+        // first.
         if (part.outcome != ReadOutcome::Found || (!isFirst && part.version < result.version)) {
             reading->done({});
             return;
@@ -35,7 +36,7 @@
             reading->done(std::move(result));
             return;
         }
-        reading->range.from = part.rows.back().place.key + '\0';
+        reading->range.from = part.rows.back().key.key + '\0';
         readNext(store, reading);
     });
 }
--- a/Services/Gateway/JobCleaner.cpp
+++ b/Services/Gateway/JobCleaner.cpp
@@ -119,13 +119,13 @@
 void JobCleaner::removeRows(const JobId &job, const std::vector<StoredRow> &rows)
 {
     // The head is removed last: as long as it exists, an interrupted removal is repeated.
-    const RowPlace head = JobRows::head(job);
+    const RowKey head = JobRows::head(job);
     const bool fitsAll = rows.size() <= maxRemovals;
     RowTransaction transaction;
     for (const StoredRow &row : rows) {
-        const bool isDeferred = row.place == head && !fitsAll;
+        const bool isDeferred = row.key == head && !fitsAll;
         if (!isDeferred && transaction.removals.size() < maxRemovals) {
-            transaction.removals.push_back(row.place);
+            transaction.removals.push_back(row.key);
         }
     }
     this->store.transact(std::move(transaction), [this, alive = this->alive, job, fitsAll](const RowTransactionResult &result) {
--- a/Services/Gateway/JobStore.cpp
+++ b/Services/Gateway/JobStore.cpp
@@ -140,16 +140,16 @@
             return;
         }
         const Submission &submission = submitting->submission;
-        const RowPlace order = JobRows::acceptanceOrder(submission.route, submission.workspace);
+        const RowKey order = JobRows::acceptanceOrder(submission.route, submission.workspace);
         std::uint64_t waiting = 0;
         RowVersion orderVersion = 0;
         bool isKnown = false;
         for (const StoredRow &row : result.rows) {
-            const std::optional<OpenJob> open = JobRows::openJobOf(row.place.key) ? decode<OpenJob>(row.value) : std::nullopt;
+            const std::optional<OpenJob> open = JobRows::openJobOf(row.key.key) ? decode<OpenJob>(row.value) : std::nullopt;
             const bool isCounted = open && open->route == submission.route && open->workspace == submission.workspace;
             waiting += isCounted ? open->waitingTokens : 0;
-            isKnown = isKnown || row.place == JobRows::open(submission.id);
-            orderVersion = row.place == order ? row.version : orderVersion;
+            isKnown = isKnown || row.key == JobRows::open(submission.id);
+            orderVersion = row.key == order ? row.version : orderVersion;
         }
         if (isKnown) {
             this->handleFound(submitting);
@@ -187,7 +187,7 @@
     }
     if (submission.waitingTokensLimit > 0) {
         // Each acceptance changes this row, so that two nodes can't both use the last capacity.
-        const RowPlace order = JobRows::acceptanceOrder(submission.route, submission.workspace);
+        const RowKey order = JobRows::acceptanceOrder(submission.route, submission.workspace);
         transaction.expectations.push_back({order, orderVersion});
         transaction.puts.push_back({order, std::to_string(waiting + submitting->tokens)});
     }
@@ -208,7 +208,7 @@
         return;
     case WriteOutcome::Refused: {
         const bool isKnown = std::ranges::any_of(result.current, [&job](const StoredRow &row) {
-            return row.place == JobRows::head(job) && row.version > 0 && !row.isRemoved;
+            return row.key == JobRows::head(job) && row.version > 0 && !row.isRemoved;
         });
         if (isKnown) {
             this->handleFound(submitting);
@@ -247,14 +247,14 @@
         submitting->done(SubmitOutcome::Known);
         return;
     }
-    const RowPlace place = JobRows::open(submitting->submission.id);
+    const RowKey key = JobRows::open(submitting->submission.id);
     this->store.read(JobRows::openOnly(submitting->submission.id),
-                     [this, alive = this->alive, submitting, place](const RowRangeResult &result) {
+                     [this, alive = this->alive, submitting, key](const RowRangeResult &result) {
                          if (!*alive) {
                              return;
                          }
-                         const bool isLocal = std::ranges::any_of(result.rows, [this, &place](const StoredRow &row) {
-                             const std::optional<OpenJob> open = row.place == place ? decode<OpenJob>(row.value) : std::nullopt;
+                         const bool isLocal = std::ranges::any_of(result.rows, [this, &key](const StoredRow &row) {
+                             const std::optional<OpenJob> open = row.key == key ? decode<OpenJob>(row.value) : std::nullopt;
                              return open && open->runner == this->self();
                          });
                          submitting->done(isLocal ? SubmitOutcome::Accepted : SubmitOutcome::Known);
