--- a/Benchmarks/Measure/DecisionsBatch.cpp
+++ b/Benchmarks/Measure/DecisionsBatch.cpp
@@ -6,7 +6,7 @@
 #include <LibBatch/JobSchedule.h>
 #include <LibBatch/JobTable.h>
 #include <LibBatch/Lane.h>
-#include <LibBatch/OwnerChoice.h>
+#include <LibBatch/OwnerSelector.h>
 
 #include <malloc.h>
 
--- a/Libraries/LibBatch/OwnerChoice.cpp
+++ b/Libraries/LibBatch/OwnerSelector.cpp
@@ -1,4 +1,4 @@
-#include <LibBatch/OwnerChoice.h>
+#include <LibBatch/OwnerSelector.h>
 
 namespace Dogwoodkeel
 {
--- a/Libraries/LibWorkspace/LoneQuota.cpp
+++ b/Libraries/LibWorkspace/LocalQuota.cpp
@@ -1,4 +1,4 @@
-#include <LibWorkspace/LoneQuota.h>
+#include <LibWorkspace/LocalQuota.h>
 
 #include <LibBase/Hash.h>
 
--- a/Libraries/LibWorkspace/QuotaAsker.cpp
+++ b/Libraries/LibWorkspace/QuotaClient.cpp
@@ -1,4 +1,4 @@
-#include <LibWorkspace/QuotaAsker.h>
+#include <LibWorkspace/QuotaClient.h>
 
 #include <LibBase/Hash.h>
 
--- a/Libraries/LibWorkspace/QuotaAsker.h
+++ b/Libraries/LibWorkspace/QuotaClient.h
@@ -2,7 +2,7 @@
 
 #include <LibBase/Clock.h>
 #include <LibBase/Identifiers.h>
-#include <LibWorkspace/LoneQuota.h>
+#include <LibWorkspace/LocalQuota.h>
 #include <LibWorkspace/QuotaBounds.h>
 #include <LibWorkspace/QuotaDecision.h>
 
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -4,7 +4,7 @@
 #include <LibMembership/ReachabilityEstimator.h>
 #include <LibMembership/RecentMembers.h>
 #include <LibWire/DatagramSocket.h>
-#include <LibWorkspace/QuotaAsker.h>
+#include <LibWorkspace/QuotaClient.h>
 #include <LibWorkspace/QuotaCounter.h>
 #include <Services/Gateway/CoordinatorElections.h>
 #include <Services/Gateway/PeerNetwork.h>
--- a/Services/Lane/ItemSource.h
+++ b/Services/Lane/ItemSource.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibBase/Clock.h>
-#include <LibBatch/OwnerChoice.h>
+#include <LibBatch/OwnerSelector.h>
 #include <LibTask/EventLoop.h>
 #include <LibWire/PeerClient.h>
 #include <Services/Lane/ItemRun.h>
--- a/Tests/LibWorkspace/QuotaFleet.h
+++ b/Tests/LibWorkspace/QuotaFleet.h
@@ -2,7 +2,7 @@
 
 #include <LibBase/Clock.h>
 #include <LibMembership/ReachabilityEstimator.h>
-#include <LibWorkspace/QuotaAsker.h>
+#include <LibWorkspace/QuotaClient.h>
 #include <LibWorkspace/QuotaCounter.h>
 
 #include <cstddef>
--- a/Tests/LibWorkspace/TestQuotaAsker.cpp
+++ b/Tests/LibWorkspace/TestQuotaClient.cpp
@@ -1,5 +1,5 @@
 #include <LibBase/ManualClock.h>
-#include <LibWorkspace/QuotaAsker.h>
+#include <LibWorkspace/QuotaClient.h>
 
 #include <doctest/doctest.h>
 
