--- a/Libraries/LibWorkspace/LocalQuota.cpp
+++ b/Libraries/LibWorkspace/LocalQuota.cpp
@@ -5,35 +5,35 @@
 namespace Dogwoodkeel
 {
 
-LoneQuota::LoneQuota(const Clock &clock, const QuotaBounds &bounds) : clock(clock), bounds(bounds)
+LocalQuota::LocalQuota(const Clock &clock, const QuotaBounds &bounds) : clock(clock), bounds(bounds)
 {
 }
 
-void LoneQuota::setNodes(std::size_t place, std::size_t count)
+void LocalQuota::setNodes(std::size_t position, std::size_t count)
 {
-    this->place = place;
+    this->position = position;
     this->count = count;
 }
 
-std::uint64_t LoneQuota::part(const WorkspaceName &workspace, const RequestQuota &quota) const
+std::uint64_t LocalQuota::share(const WorkspaceName &workspace, const RequestQuota &quota) const
 {
     if (this->count == 0) {
         return 0;
     }
-    const auto whole = static_cast<std::uint64_t>(QuotaMargins(this->bounds.tolerance(quota)).alone);
+    const auto total = static_cast<std::uint64_t>(QuotaMargins(this->bounds.tolerance(quota)).local);
     const std::uint64_t first = stableHash(workspace.value()) % this->count;
-    const std::uint64_t behindFirst = (this->place + this->count - first) % this->count;
-    return whole / this->count + (behindFirst < whole % this->count ? 1 : 0);
+    const std::uint64_t offset = (this->position + this->count - first) % this->count;
+    return total / this->count + (offset < total % this->count ? 1 : 0);
 }
 
-bool LoneQuota::take(const WorkspaceName &workspace, const RequestQuota &quota)
+bool LocalQuota::tryAcquire(const WorkspaceName &workspace, const RequestQuota &quota)
 {
     const SteadyTime now = this->clock.now();
     std::deque<SteadyTime> &times = this->granted[workspace];
     while (!times.empty() && now - times.front() > this->bounds.window) {
         times.pop_front();
     }
-    const bool isGranted = times.size() < this->part(workspace, quota);
+    const bool isGranted = times.size() < this->share(workspace, quota);
     if (isGranted) {
         times.push_back(now);
     } else if (times.empty()) {
--- a/Libraries/LibWorkspace/LocalQuota.h
+++ b/Libraries/LibWorkspace/LocalQuota.h
@@ -14,29 +14,29 @@
 
 /**
  * What a node may grant that reaches no counter. All such nodes together may grant only a small part of a window, mostly fewer
- * requests than there are nodes; so whole requests are dealt to nodes by the workspace's name, and most nodes get none.
+ * requests than there are nodes; so total requests are dealt to nodes by the workspace's name, and most nodes get none.
  */
-class LoneQuota
+class LocalQuota
 {
 public:
-    LoneQuota(const Clock &clock, const QuotaBounds &bounds);
+    LocalQuota(const Clock &clock, const QuotaBounds &bounds);
 
     /**
-     * The nodes, as long as this one is in touch with them. One that is cut off sees the others vanish, and must not take their
-     * parts.
-     * @param place of this node among them, in an order that is the same for all
+     * The nodes, as long as this one is in touch with them. One that is cut off sees the others vanish, and must not tryAcquire
+     * their parts.
+     * @param position of this node among them, in an order that is the same for all
      */
-    void setNodes(std::size_t place, std::size_t count);
+    void setNodes(std::size_t position, std::size_t count);
 
     /** @return whether one more request of the workspace may run. */
-    bool take(const WorkspaceName &workspace, const RequestQuota &quota);
+    bool tryAcquire(const WorkspaceName &workspace, const RequestQuota &quota);
 
 private:
-    std::uint64_t part(const WorkspaceName &workspace, const RequestQuota &quota) const;
+    std::uint64_t share(const WorkspaceName &workspace, const RequestQuota &quota) const;
 
     const Clock &clock;
     QuotaBounds bounds;
-    std::size_t place = 0;
+    std::size_t position = 0;
     /** 0: not known yet, so no part is this node's own. */
     std::size_t count = 0;
     /** When requests were granted within the last window. */
--- a/Libraries/LibWorkspace/QuotaBounds.h
+++ b/Libraries/LibWorkspace/QuotaBounds.h
@@ -41,9 +41,9 @@
     /** What a counter may grant that takes the duty over, before and beyond what its rate allows from then on. */
     double takeover = 0;
     /** What all nodes together may grant that reach no counter. */
-    double alone = 0;
+    double local = 0;
 
-    explicit QuotaMargins(double tolerance) : burst(tolerance / 4), takeover(tolerance / 4), alone(tolerance / 8)
+    explicit QuotaMargins(double tolerance) : burst(tolerance / 4), takeover(tolerance / 4), local(tolerance / 8)
     {
     }
 };
--- a/Libraries/LibWorkspace/QuotaBucket.cpp
+++ b/Libraries/LibWorkspace/QuotaBucket.cpp
@@ -9,12 +9,12 @@
 {
 
 /** Told to a workspace whose quota is next to nothing. */
-constexpr std::chrono::seconds longestRetryAfter{60};
+constexpr std::chrono::seconds maxRetryAfter{60};
 
 } // namespace
 
 QuotaBucket::QuotaBucket(SteadyTime now, const RequestQuota &quota, double margin, double level)
-    : limit(quota), margin(margin), tokens(std::min(level, quota.burst + margin)), filled(now), announcedUntil(now)
+    : limit(quota), margin(margin), tokens(std::min(level, quota.burst + margin)), filled(now), retryTimesGivenUntil(now)
 {
 }
 
@@ -56,7 +56,7 @@
     this->tokens = std::min(this->capacity(), this->tokens + tokens);
 }
 
-std::optional<std::chrono::milliseconds> QuotaBucket::take(SteadyTime now)
+std::optional<std::chrono::milliseconds> QuotaBucket::tryAcquire(SteadyTime now)
 {
     this->fill(now);
     if (this->tokens >= 1) {
@@ -64,15 +64,15 @@
         return std::nullopt;
     }
     const double rate = this->limit.perSecond * (this->share > 0 ? this->share : 1);
-    const std::chrono::duration<double> longest = longestRetryAfter;
-    const auto secondsFor = [rate, longest](double missing) {
-        return std::chrono::duration<double>(rate > 0 ? std::min(missing / rate, longest.count()) : longest.count());
+    const std::chrono::duration<double> maxSeconds = maxRetryAfter;
+    const auto secondsFor = [rate, maxSeconds](double missing) {
+        return std::chrono::duration<double>(rate > 0 ? std::min(missing / rate, maxSeconds.count()) : maxSeconds.count());
     };
     // Each who is refused is told a time of its own. Told the same one, all would come back at once, and all but one in vain.
-    const SteadyTime room = now + std::chrono::duration_cast<SteadyTime::duration>(secondsFor(1 - this->tokens));
-    const SteadyTime behindOthers = this->announcedUntil + std::chrono::duration_cast<SteadyTime::duration>(secondsFor(1));
-    this->announcedUntil = std::min(std::max(room, behindOthers), now + longestRetryAfter);
-    return std::chrono::ceil<std::chrono::milliseconds>(this->announcedUntil - now);
+    const SteadyTime tokenAvailable = now + std::chrono::duration_cast<SteadyTime::duration>(secondsFor(1 - this->tokens));
+    const SteadyTime behindOthers = this->retryTimesGivenUntil + std::chrono::duration_cast<SteadyTime::duration>(secondsFor(1));
+    this->retryTimesGivenUntil = std::min(std::max(tokenAvailable, behindOthers), now + maxRetryAfter);
+    return std::chrono::ceil<std::chrono::milliseconds>(this->retryTimesGivenUntil - now);
 }
 
 bool QuotaBucket::isFull(SteadyTime now) const
--- a/Libraries/LibWorkspace/QuotaBucket.h
+++ b/Libraries/LibWorkspace/QuotaBucket.h
@@ -28,8 +28,9 @@
     /** Add to what it may grant at once, up to its capacity. */
     void add(SteadyTime now, double tokens);
 
-    /** @return nothing if a request is granted, else how long until there is room, behind those who were told before. */
-    std::optional<std::chrono::milliseconds> take(SteadyTime now);
+    /** @return nothing if a request is granted, else how long until there is tokenAvailable, behind those who were told before.
+     */
+    std::optional<std::chrono::milliseconds> tryAcquire(SteadyTime now);
 
     /** @return what it may grant at once. */
     double level(SteadyTime now) const;
@@ -48,8 +49,8 @@
     double share = 1;
     double tokens;
     SteadyTime filled;
-    /** Up to when the room is told to those who were refused. */
-    SteadyTime announcedUntil;
+    /** Up to when the tokenAvailable is told to those who were refused. */
+    SteadyTime retryTimesGivenUntil;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibWorkspace/QuotaClient.cpp
+++ b/Libraries/LibWorkspace/QuotaClient.cpp
@@ -12,17 +12,17 @@
 {
 
 /** A datagram that was lost is sent again after this: several round trips between failure domains. */
-constexpr std::chrono::milliseconds askRepeat{20};
+constexpr std::chrono::milliseconds resendInterval{20};
 /** A counter that has not answered by then is away. */
 constexpr std::chrono::milliseconds answerTimeout{60};
 /** How long a counter that did not answer is not waited for; then one request tries it again. */
 constexpr std::chrono::milliseconds suspicionTime{400};
 /** A node that has just started meets others in some tens of milliseconds; until then there is nobody to ask. */
-constexpr std::chrono::milliseconds meetingTime{100};
+constexpr std::chrono::milliseconds discoveryTime{100};
 /** Told to who can't be counted: by then the duty has most likely been taken over, and other nodes may reach its holder now. */
 constexpr std::chrono::milliseconds unknownRetryAfter{200};
 /** A node whose counters have answered within this time sees the other nodes as they are. */
-constexpr std::chrono::milliseconds touchTime{500};
+constexpr std::chrono::milliseconds recentAnswerTime{500};
 
 } // namespace
 
@@ -31,165 +31,165 @@
     return stableHash(workspace.value()) % quotaParts;
 }
 
-QuotaAsker::QuotaAsker(const Clock &clock, const QuotaBounds &bounds, Hooks hooks)
-    : clock(clock), hooks(std::move(hooks)), own(clock, bounds)
+QuotaClient::QuotaClient(const Clock &clock, const QuotaBounds &bounds, Hooks hooks)
+    : clock(clock), hooks(std::move(hooks)), localQuota(clock, bounds)
 {
 }
 
-void QuotaAsker::setNodes(std::size_t place, std::size_t count)
+void QuotaClient::setNodes(std::size_t position, std::size_t count)
 {
-    this->own.setNodes(place, count);
+    this->localQuota.setNodes(position, count);
 }
 
-QuotaAsker::Ticket
-QuotaAsker::ask(const WorkspaceName &workspace, const RequestQuota &quota, std::uint64_t version, Decided decided)
+QuotaClient::Ticket
+QuotaClient::query(const WorkspaceName &workspace, const RequestQuota &quota, std::uint64_t version, DecisionHandler onDecision)
 {
     const Ticket ticket = ++this->lastTicket;
-    Asked asked;
-    asked.question = {ticket, workspace, quota, version};
-    asked.decided = std::move(decided);
-    asked.begun = this->clock.now();
-    this->open.emplace(ticket, std::move(asked));
-    const bool isSuspected = this->clock.now() < this->parts[quotaPartOf(workspace)].holderSuspectedUntil;
-    this->askCounter(ticket, isSuspected ? Counter::Successor : Counter::Holder);
+    PendingQuery pending;
+    pending.query = {ticket, workspace, quota, version};
+    pending.onDecision = std::move(onDecision);
+    pending.started = this->clock.now();
+    this->pendingQueries.emplace(ticket, std::move(pending));
+    const bool isSuspected = this->clock.now() < this->parts[quotaPartOf(workspace)].coordinatorSuspectedUntil;
+    this->sendToCounter(ticket, isSuspected ? Counter::Successor : Counter::Coordinator);
     return ticket;
 }
 
-void QuotaAsker::askCounter(Ticket ticket, Counter counter)
+void QuotaClient::sendToCounter(Ticket ticket, Counter counter)
 {
-    Asked &asked = this->open.at(ticket);
+    PendingQuery &pending = this->pendingQueries.at(ticket);
     const SteadyTime now = this->clock.now();
-    const Part &part = this->parts[quotaPartOf(asked.question.workspace)];
+    const Part &part = this->parts[quotaPartOf(pending.query.workspace)];
     if (counter == Counter::Successor && now < part.successorSuspectedUntil) {
-        this->decideAlone(ticket);
+        this->decideLocally(ticket);
         return;
     }
-    if (asked.last == SteadyTime() || asked.counter != counter) {
-        asked.first = now;
+    if (pending.lastSent == SteadyTime() || pending.counter != counter) {
+        pending.firstSent = now;
     }
-    asked.counter = counter;
-    asked.last = now;
-    asked.isStranded = false;
+    pending.counter = counter;
+    pending.lastSent = now;
+    pending.hasNoCounter = false;
     // Asking may answer at once, which ends the ticket.
-    const QuotaQuestion question = asked.question;
-    if (!this->hooks.ask(question, counter)) {
-        this->askNext(ticket);
+    const CounterQuery query = pending.query;
+    if (!this->hooks.sendQuery(query, counter)) {
+        this->tryNextCounter(ticket);
     }
 }
 
-void QuotaAsker::askNext(Ticket ticket)
+void QuotaClient::tryNextCounter(Ticket ticket)
 {
-    const auto found = this->open.find(ticket);
-    if (found == this->open.end()) {
+    const auto found = this->pendingQueries.find(ticket);
+    if (found == this->pendingQueries.end()) {
         return;
     }
-    Asked &asked = found->second;
-    if (asked.counter == Counter::Holder) {
-        this->askCounter(ticket, Counter::Successor);
-    } else if (this->clock.now() - asked.begun < meetingTime) {
-        asked.isStranded = true;
+    PendingQuery &pending = found->second;
+    if (pending.counter == Counter::Coordinator) {
+        this->sendToCounter(ticket, Counter::Successor);
+    } else if (this->clock.now() - pending.started < discoveryTime) {
+        pending.hasNoCounter = true;
     } else {
-        this->decideAlone(ticket);
+        this->decideLocally(ticket);
     }
 }
 
-void QuotaAsker::decideAlone(Ticket ticket)
+void QuotaClient::decideLocally(Ticket ticket)
 {
-    ++this->aloneCount;
-    const Asked &asked = this->open.at(ticket);
-    const bool isGranted = this->own.take(asked.question.workspace, asked.question.quota);
+    ++this->localDecisions;
+    const PendingQuery &pending = this->pendingQueries.at(ticket);
+    const bool isGranted = this->localQuota.tryAcquire(pending.query.workspace, pending.query.quota);
     this->decide(ticket, isGranted ? QuotaDecision{} : QuotaDecision{QuotaDecision::Kind::Unknown, unknownRetryAfter});
 }
 
-void QuotaAsker::cancel(Ticket ticket)
+void QuotaClient::cancel(Ticket ticket)
 {
-    this->open.erase(ticket);
+    this->pendingQueries.erase(ticket);
 }
 
-void QuotaAsker::take(Ticket ticket, const QuotaDecision &decision)
+void QuotaClient::handleAnswer(Ticket ticket, const QuotaDecision &decision)
 {
-    const auto found = this->open.find(ticket);
-    if (found == this->open.end()) {
+    const auto found = this->pendingQueries.find(ticket);
+    if (found == this->pendingQueries.end()) {
         return;
     }
-    Part &part = this->parts[quotaPartOf(found->second.question.workspace)];
+    Part &part = this->parts[quotaPartOf(found->second.query.workspace)];
     part.answered = this->clock.now();
-    if (found->second.counter == Counter::Holder) {
-        part.holderSuspectedUntil = {};
+    if (found->second.counter == Counter::Coordinator) {
+        part.coordinatorSuspectedUntil = {};
     }
     part.successorSuspectedUntil = {};
     this->decide(ticket, decision);
 }
 
-void QuotaAsker::decide(Ticket ticket, const QuotaDecision &decision)
+void QuotaClient::decide(Ticket ticket, const QuotaDecision &decision)
 {
-    auto node = this->open.extract(ticket);
+    auto node = this->pendingQueries.extract(ticket);
     if (!node.empty()) {
-        node.mapped().decided(decision);
+        node.mapped().onDecision(decision);
     }
 }
 
-void QuotaAsker::noteHolderChanged(std::size_t part)
+void QuotaClient::handleCoordinatorChange(std::size_t part)
 {
-    this->parts[part].holderSuspectedUntil = {};
+    this->parts[part].coordinatorSuspectedUntil = {};
     this->parts[part].successorSuspectedUntil = {};
 }
 
-void QuotaAsker::tick()
+void QuotaClient::tick()
 {
     const SteadyTime now = this->clock.now();
     std::vector<Ticket> due;
-    for (const auto &[ticket, asked] : this->open) {
-        if (now - asked.last >= askRepeat) {
+    for (const auto &[ticket, pending] : this->pendingQueries) {
+        if (now - pending.lastSent >= resendInterval) {
             due.push_back(ticket);
         }
     }
     for (const Ticket ticket : due) {
-        this->tickOne(ticket);
+        this->checkQuery(ticket);
     }
 }
 
-void QuotaAsker::tickOne(Ticket ticket)
+void QuotaClient::checkQuery(Ticket ticket)
 {
-    const auto found = this->open.find(ticket);
-    if (found == this->open.end()) {
+    const auto found = this->pendingQueries.find(ticket);
+    if (found == this->pendingQueries.end()) {
         return;
     }
-    const Asked &asked = found->second;
-    if (asked.isStranded) {
-        this->askCounter(ticket, Counter::Holder);
-    } else if (this->clock.now() - asked.first < answerTimeout) {
-        this->askCounter(ticket, asked.counter);
+    const PendingQuery &pending = found->second;
+    if (pending.hasNoCounter) {
+        this->sendToCounter(ticket, Counter::Coordinator);
+    } else if (this->clock.now() - pending.firstSent < answerTimeout) {
+        this->sendToCounter(ticket, pending.counter);
     } else {
-        this->suspectCounter(asked);
-        this->askNext(ticket);
+        this->suspectCounter(pending);
+        this->tryNextCounter(ticket);
     }
 }
 
-void QuotaAsker::suspectCounter(const Asked &asked)
+void QuotaClient::suspectCounter(const PendingQuery &pending)
 {
     const SteadyTime now = this->clock.now();
-    const std::size_t number = quotaPartOf(asked.question.workspace);
+    const std::size_t number = quotaPartOf(pending.query.workspace);
     Part &part = this->parts[number];
-    if (asked.counter == Counter::Successor) {
+    if (pending.counter == Counter::Successor) {
         part.successorSuspectedUntil = now + suspicionTime;
         return;
     }
-    if (now >= part.holderSuspectedUntil) {
-        this->hooks.suspectHolder(number);
+    if (now >= part.coordinatorSuspectedUntil) {
+        this->hooks.suspectCoordinator(number);
     }
-    part.holderSuspectedUntil = now + suspicionTime;
+    part.coordinatorSuspectedUntil = now + suspicionTime;
 }
 
-std::uint64_t QuotaAsker::decidedAlone() const
+std::uint64_t QuotaClient::decidedLocally() const
 {
-    return this->aloneCount;
+    return this->localDecisions;
 }
 
-bool QuotaAsker::isInTouch(std::size_t part) const
+bool QuotaClient::hasRecentAnswer(std::size_t part) const
 {
     const SteadyTime answered = this->parts[part].answered;
-    return answered != SteadyTime() && this->clock.now() - answered < touchTime;
+    return answered != SteadyTime() && this->clock.now() - answered < recentAnswerTime;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibWorkspace/QuotaCounter.cpp
+++ b/Libraries/LibWorkspace/QuotaCounter.cpp
@@ -11,20 +11,20 @@
 /** While nobody has a claim, two may count for a moment. */
 constexpr double unclaimedShare = 0.5;
 /** With more of the fleet a counter grants the whole quotas, with less nothing; between, its part grows evenly. */
-constexpr double leastShare = 0.45;
-constexpr double wholeShare = 0.6;
+constexpr double minShare = 0.45;
+constexpr double fullShare = 0.6;
 
 // The parts of two counters that share a fleet between them add up to one at most, and to less where the fleet is cut in the
 // middle: there each estimate moves its part most.
-double partOf(double share)
+double fractionOf(double share)
 {
-    return std::clamp((share - leastShare) / (wholeShare - leastShare), 0.0, 1.0);
+    return std::clamp((share - minShare) / (fullShare - minShare), 0.0, 1.0);
 }
 
 } // namespace
 
-QuotaCounter::QuotaCounter(const Clock &clock, const QuotaBounds &bounds, Beginning beginning)
-    : clock(clock), bounds(bounds), beginning(beginning)
+QuotaCounter::QuotaCounter(const Clock &clock, const QuotaBounds &bounds, StartReason startReason)
+    : clock(clock), bounds(bounds), startReason(startReason)
 {
 }
 
@@ -40,37 +40,37 @@
     }
     this->confirmed = this->clock.now();
     this->filledUntil = *this->confirmed;
-    this->applyPart();
+    this->applyFraction();
 }
 
 void QuotaCounter::setShare(double share)
 {
-    const double granted = partOf(share);
-    if (this->part == granted) {
+    const double granted = fractionOf(share);
+    if (this->fraction == granted) {
         return;
     }
     this->filledBefore = this->filledSeconds();
     this->filledUntil = this->clock.now();
-    this->part = granted;
-    this->applyPart();
+    this->fraction = granted;
+    this->applyFraction();
 }
 
-double QuotaCounter::grantedPart() const
+double QuotaCounter::grantedFraction() const
 {
     if (!this->confirmed) {
         // Beside one that goes on counting, what is granted here is not replaced before it has left the window.
-        return this->beginning == Beginning::NobodyClaimed ? unclaimedShare : 0;
+        return this->startReason == StartReason::NoClaim ? unclaimedShare : 0;
     }
     // One that follows a silent counter may be the one that is cut off.
-    const double assumed = this->beginning == Beginning::HolderSilent && !this->isInformed ? 0 : 1;
-    return this->part.value_or(assumed);
+    const double assumed = this->startReason == StartReason::CoordinatorUnresponsive && !this->isHistoryKnown ? 0 : 1;
+    return this->fraction.value_or(assumed);
 }
 
-void QuotaCounter::applyPart()
+void QuotaCounter::applyFraction()
 {
     const SteadyTime now = this->clock.now();
-    for (auto &[workspace, entry] : this->counted) {
-        entry.bucket.setShare(now, this->grantedPart());
+    for (auto &[workspace, entry] : this->entries) {
+        entry.bucket.setShare(now, this->grantedFraction());
     }
 }
 
@@ -80,25 +80,25 @@
         return 0;
     }
     const std::chrono::duration<double> passed = this->clock.now() - this->filledUntil;
-    return this->filledBefore + passed.count() * this->grantedPart();
+    return this->filledBefore + passed.count() * this->grantedFraction();
 }
 
-void QuotaCounter::inform(const std::vector<QuotaLevel> &left)
+void QuotaCounter::restoreLevels(const std::vector<QuotaLevel> &left)
 {
-    if (this->isInformed) {
+    if (this->isHistoryKnown) {
         return;
     }
     this->confirm();
     this->filledBefore = this->filledSeconds();
     this->filledUntil = this->clock.now();
-    this->isInformed = true;
-    this->applyPart();
+    this->isHistoryKnown = true;
+    this->applyFraction();
     for (const QuotaLevel &entry : left) {
         this->inherited.insert_or_assign(entry.workspace, entry.level);
     }
     // Those that were asked for meanwhile began from less, or more, than there was.
     const SteadyTime now = this->clock.now();
-    for (auto &[workspace, entry] : this->counted) {
+    for (auto &[workspace, entry] : this->entries) {
         const RequestQuota &quota = entry.bucket.quota();
         entry.bucket.add(now, this->inheritedLevel(workspace, quota) - this->marginsOf(quota).takeover);
     }
@@ -113,27 +113,27 @@
 QuotaBucket QuotaCounter::makeBucket(const WorkspaceName &workspace, const RequestQuota &quota) const
 {
     const QuotaMargins margins = this->marginsOf(quota);
-    const bool isInherited = this->confirmed && this->isInformed;
+    const bool isInherited = this->confirmed && this->isHistoryKnown;
     // As it would be, had it been made when the duty was taken over.
     const double level
         = (isInherited ? this->inheritedLevel(workspace, quota) : margins.takeover) + quota.perSecond * this->filledSeconds();
     QuotaBucket bucket(this->clock.now(), quota, margins.burst, level);
-    bucket.setShare(this->clock.now(), this->grantedPart());
+    bucket.setShare(this->clock.now(), this->grantedFraction());
     return bucket;
 }
 
-QuotaDecision QuotaCounter::take(const WorkspaceName &workspace, const RequestQuota &quota, std::uint64_t version)
+QuotaDecision QuotaCounter::tryAcquire(const WorkspaceName &workspace, const RequestQuota &quota, std::uint64_t version)
 {
-    auto found = this->counted.find(workspace);
-    if (found == this->counted.end()) {
-        found = this->counted.emplace(workspace, Counted{this->makeBucket(workspace, quota), version}).first;
+    auto found = this->entries.find(workspace);
+    if (found == this->entries.end()) {
+        found = this->entries.emplace(workspace, Entry{this->makeBucket(workspace, quota), version}).first;
     }
-    Counted &entry = found->second;
+    Entry &entry = found->second;
     if (version > entry.version) {
         entry.bucket.setQuota(this->clock.now(), quota, this->marginsOf(quota).burst);
         entry.version = version;
     }
-    const std::optional<std::chrono::milliseconds> retryAfter = entry.bucket.take(this->clock.now());
+    const std::optional<std::chrono::milliseconds> retryAfter = entry.bucket.tryAcquire(this->clock.now());
     if (!retryAfter) {
         entry.granted = this->clock.now();
     }
@@ -144,7 +144,7 @@
 {
     const SteadyTime now = this->clock.now();
     std::vector<QuotaLevel> levels;
-    for (const auto &[workspace, entry] : this->counted) {
+    for (const auto &[workspace, entry] : this->entries) {
         if (!entry.bucket.isFull(now)) {
             levels.push_back({workspace, entry.bucket.level(now)});
         }
@@ -152,17 +152,17 @@
     return levels;
 }
 
-void QuotaCounter::forgetUnused()
+void QuotaCounter::removeUnused()
 {
     const SteadyTime now = this->clock.now();
     if (!this->confirmed) {
-        std::erase_if(this->counted, [this, now](const auto &entry) {
+        std::erase_if(this->entries, [this, now](const auto &entry) {
             return now - entry.second.granted > this->bounds.window;
         });
     } else if (now - *this->confirmed > this->bounds.window) {
-        this->isInformed = true;
+        this->isHistoryKnown = true;
         this->inherited.clear();
-        std::erase_if(this->counted, [now](const auto &entry) {
+        std::erase_if(this->entries, [now](const auto &entry) {
             return entry.second.bucket.isFull(now);
         });
     }
@@ -170,7 +170,7 @@
 
 std::size_t QuotaCounter::size() const
 {
-    return this->counted.size();
+    return this->entries.size();
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibWorkspace/QuotaCounter.h
+++ b/Libraries/LibWorkspace/QuotaCounter.h
@@ -29,14 +29,14 @@
 {
 public:
     /** How a counter comes to count before it has a claim. */
-    enum class Beginning {
+    enum class StartReason {
         /** Nobody has told of a claim: all nodes have most likely just started, and views of them differ for a moment. */
-        NobodyClaimed,
+        NoClaim,
         /** The one with the claim does not answer; it may count on for others. */
-        HolderSilent,
+        CoordinatorUnresponsive,
     };
 
-    QuotaCounter(const Clock &clock, const QuotaBounds &bounds, Beginning beginning);
+    QuotaCounter(const Clock &clock, const QuotaBounds &bounds, StartReason startReason);
 
     /** This counter has the duty by a claim from now on. */
     void confirm();
@@ -48,33 +48,33 @@
     void setShare(double share);
 
     /** The one that had the duty before tells what it left. Those that are not listed are whole. */
-    void inform(const std::vector<QuotaLevel> &left);
+    void restoreLevels(const std::vector<QuotaLevel> &left);
 
     /**
      * @param version of the configuration that the quota stands in; an older one than is known changes nothing
      * @return whether one more request of the workspace may run
      */
-    QuotaDecision take(const WorkspaceName &workspace, const RequestQuota &quota, std::uint64_t version);
+    QuotaDecision tryAcquire(const WorkspaceName &workspace, const RequestQuota &quota, std::uint64_t version);
 
     /** @return what is left of the quotas that are used. Those that are not listed are whole. */
     std::vector<QuotaLevel> levels() const;
 
     /** Drop what tells no more than a new counter would know. */
-    void forgetUnused();
+    void removeUnused();
 
-    /** @return workspaces that are counted. */
+    /** @return workspaces that are entries. */
     std::size_t size() const;
 
 private:
-    struct Counted
+    struct Entry
     {
         QuotaBucket bucket;
         std::uint64_t version = 0;
         SteadyTime granted{};
     };
 
-    double grantedPart() const;
-    void applyPart();
+    double grantedFraction() const;
+    void applyFraction();
     double filledSeconds() const;
     QuotaBucket makeBucket(const WorkspaceName &workspace, const RequestQuota &quota) const;
     double inheritedLevel(const WorkspaceName &workspace, const RequestQuota &quota) const;
@@ -82,19 +82,19 @@
 
     const Clock &clock;
     QuotaBounds bounds;
-    Beginning beginning;
+    StartReason startReason;
     /** Since when it has the duty by a claim. */
     std::optional<SteadyTime> confirmed;
     /** Of the quotas, by the share of the fleet in contact; nothing until it is known. */
-    std::optional<double> part;
+    std::optional<double> fraction;
     /** Seconds, weighed by that part, in which quotas have filled since it had the duty; up to when they are summed up. */
     double filledBefore = 0;
     SteadyTime filledUntil{};
     /** Whether what was granted before it had the duty is known, or too long ago to count. */
-    bool isInformed = false;
+    bool isHistoryKnown = false;
     /** What the one before told. */
     std::unordered_map<WorkspaceName, double> inherited;
-    std::unordered_map<WorkspaceName, Counted> counted;
+    std::unordered_map<WorkspaceName, Entry> entries;
 };
 
 } // namespace Dogwoodkeel
--- a/Services/Gateway/OnlineCall.cpp
+++ b/Services/Gateway/OnlineCall.cpp
@@ -236,7 +236,7 @@
         return;
     }
     // The answer may arrive from inside the call.
-    const QuotaAsker::Ticket ticket = this->context.quotas.ask(
+    const QuotaClient::Ticket ticket = this->context.quotas.ask(
         *this->workspace, this->configuration->version, [self = this->shared_from_this()](const QuotaDecision &decision) {
             self->handleQuota(decision);
         });
--- a/Services/Gateway/OnlineCall.h
+++ b/Services/Gateway/OnlineCall.h
@@ -113,7 +113,7 @@
     std::uint32_t unexecutedAttempts = 0;
     std::vector<EndpointName> avoided;
     /** Set until the quota is decided. */
-    QuotaAsker::Ticket quotaTicket = 0;
+    QuotaClient::Ticket quotaTicket = 0;
     PlacementClient::Ticket placementTicket = 0;
     /** Set while the request waits for a slot. */
     WaitingRequests::Ticket waitingTicket = 0;
--- a/Services/Gateway/QuotaService.cpp
+++ b/Services/Gateway/QuotaService.cpp
@@ -40,7 +40,7 @@
 constexpr double cutShare = 0.6;
 constexpr double wholeShare = 0.9;
 
-QuotaAnswer answerOf(QuotaAsker::Ticket ticket, const QuotaDecision &decision)
+QuotaAnswer answerOf(QuotaClient::Ticket ticket, const QuotaDecision &decision)
 {
     return {ticket, decision.kind == QuotaDecision::Kind::Granted, decision.retryAfter};
 }
@@ -57,11 +57,11 @@
     , suspended(clock.suspended())
     , asker(clock,
             bounds,
-            {.ask =
-                 [this](const QuotaQuestion &question, QuotaAsker::Counter counter) {
+            {.sendQuery =
+                 [this](const CounterQuery &question, QuotaClient::Counter counter) {
                      return this->askCounter(question, counter);
                  },
-             .suspectHolder =
+             .suspectCoordinator =
                  [this](std::size_t number) {
                      const std::string &duty = this->parts[number].duty;
                      log(LogLevel::Warning, "counter of quotas does not answer", {{"duty", duty}});
@@ -86,21 +86,21 @@
     }
 }
 
-QuotaAsker::Ticket QuotaService::ask(const Workspace &workspace, std::uint64_t version, QuotaAsker::Decided decided)
+QuotaClient::Ticket QuotaService::ask(const Workspace &workspace, std::uint64_t version, QuotaClient::DecisionHandler decided)
 {
-    return this->asker.ask(workspace.name, workspace.quota, version, std::move(decided));
+    return this->asker.query(workspace.name, workspace.quota, version, std::move(decided));
 }
 
-void QuotaService::cancel(QuotaAsker::Ticket ticket)
+void QuotaService::cancel(QuotaClient::Ticket ticket)
 {
     this->asker.cancel(ticket);
 }
 
-bool QuotaService::askCounter(const QuotaQuestion &question, QuotaAsker::Counter counter)
+bool QuotaService::askCounter(const CounterQuery &question, QuotaClient::Counter counter)
 {
     const std::size_t number = quotaPartOf(question.workspace);
     const std::string &duty = this->parts[number].duty;
-    const bool isToSuccessor = counter == QuotaAsker::Counter::Successor;
+    const bool isToSuccessor = counter == QuotaClient::Counter::Successor;
     const Member *const member = isToSuccessor ? this->duties.successor(duty) : this->duties.coordinator(duty);
     if (member == nullptr) {
         return false;
@@ -109,7 +109,7 @@
         if (this->isOutOfTouch() || !this->mayCount(duty)) {
             return false;
         }
-        this->asker.take(question.ticket, this->count(number, {this->peers.self(), question.ticket}, question));
+        this->asker.handleAnswer(question.ticket, this->count(number, {this->peers.self(), question.ticket}, question));
         return true;
     }
     QuotaAsk ask;
@@ -135,7 +135,7 @@
     if (datagram.number == QuotaAnswer::number) {
         if (const auto answer = decode<QuotaAnswer>(datagram.payload)) {
             const auto kind = answer->isGranted ? QuotaDecision::Kind::Granted : QuotaDecision::Kind::OverLimit;
-            this->asker.take(answer->ticket, {kind, answer->retryAfter});
+            this->asker.handleAnswer(answer->ticket, {kind, answer->retryAfter});
         }
         return true;
     }
@@ -165,19 +165,19 @@
     if (!this->mayCount(duty)) {
         return;
     }
-    const QuotaQuestion question{ask.ticket, ask.workspace, {ask.perSecond, ask.burst}, ask.version};
+    const CounterQuery question{ask.ticket, ask.workspace, {ask.perSecond, ask.burst}, ask.version};
     const QuotaDecision decision = this->count(number, {ask.from, ask.ticket}, question);
     this->peers.datagrams().send(isPassedOn ? ask.replyTo : datagram.from, answerOf(ask.ticket, decision));
 }
 
-QuotaDecision QuotaService::count(std::size_t number, const QuestionId &id, const QuotaQuestion &question)
+QuotaDecision QuotaService::count(std::size_t number, const QuestionId &id, const CounterQuery &question)
 {
     Part &part = this->parts[number];
     const auto known = part.answered.find(id);
     if (known != part.answered.end()) {
         return known->second;
     }
-    const QuotaDecision decision = this->counterOf(part).take(question.workspace, question.quota, question.version);
+    const QuotaDecision decision = this->counterOf(part).tryAcquire(question.workspace, question.quota, question.version);
     if (decision.kind == QuotaDecision::Kind::OverLimit) {
         this->refused = this->clock.now();
     }
@@ -189,8 +189,8 @@
 QuotaCounter &QuotaService::counterOf(Part &part)
 {
     if (!part.counter) {
-        const auto beginning
-            = this->duties.isClaimed(part.duty) ? QuotaCounter::Beginning::HolderSilent : QuotaCounter::Beginning::NobodyClaimed;
+        const auto beginning = this->duties.isClaimed(part.duty) ? QuotaCounter::StartReason::CoordinatorUnresponsive
+                                                                 : QuotaCounter::StartReason::NoClaim;
         part.counter = std::make_unique<QuotaCounter>(this->clock, this->bounds, beginning);
         if (this->share) {
             part.counter->setShare(*this->share);
@@ -218,7 +218,7 @@
 void QuotaService::handOver(std::size_t number, const CoordinatorElections::Change &move)
 {
     Part &part = this->parts[number];
-    this->asker.noteHolderChanged(number);
+    this->asker.handleCoordinatorChange(number);
     if (move.former != this->peers.self() || !part.counter) {
         return;
     }
@@ -276,7 +276,7 @@
     }
     part.handover.clear();
     if (isCurrent) {
-        part.counter->inform(levels);
+        part.counter->restoreLevels(levels);
     }
 }
 
@@ -368,7 +368,7 @@
     bool isInTouch = false;
     for (std::size_t number = 0; number < this->parts.size(); ++number) {
         this->clean(this->parts[number]);
-        isInTouch = isInTouch || this->asker.isInTouch(number);
+        isInTouch = isInTouch || this->asker.hasRecentAnswer(number);
     }
     if (!isInTouch) {
         return;
@@ -392,13 +392,13 @@
         part.answeredOrder.pop_front();
     }
     if (part.counter) {
-        part.counter->forgetUnused();
+        part.counter->removeUnused();
     }
 }
 
 std::uint64_t QuotaService::decidedAlone() const
 {
-    return this->asker.decidedAlone();
+    return this->asker.decidedLocally();
 }
 
 std::size_t QuotaService::counted() const
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -33,11 +33,11 @@
     /** Take part in counting; to be called when there are workspaces. */
     void start();
 
-    /** See QuotaAsker::ask(). @param version of the configuration that names the workspace */
-    QuotaAsker::Ticket ask(const Workspace &workspace, std::uint64_t version, QuotaAsker::Decided decided);
+    /** See QuotaClient::query(). @param version of the configuration that names the workspace */
+    QuotaClient::Ticket ask(const Workspace &workspace, std::uint64_t version, QuotaClient::DecisionHandler decided);
 
     /** The answer is not wanted any more. */
-    void cancel(QuotaAsker::Ticket ticket);
+    void cancel(QuotaClient::Ticket ticket);
 
     /** Any datagram of another node came. */
     void noteReceived(const Address &from);
@@ -59,7 +59,7 @@
 
 private:
     /** Names a question among all nodes. */
-    using QuestionId = std::pair<SessionNumber, QuotaAsker::Ticket>;
+    using QuestionId = std::pair<SessionNumber, QuotaClient::Ticket>;
 
     /** One of the counters. */
     struct Part
@@ -76,11 +76,11 @@
         SteadyTime nextClean{};
     };
 
-    bool askCounter(const QuotaQuestion &question, QuotaAsker::Counter counter);
+    bool askCounter(const CounterQuery &question, QuotaClient::Counter counter);
     void receive(const Datagram &datagram, const QuotaAsk &ask);
     void receive(const QuotaHandover &handover);
     void takeHandover(Part &part);
-    QuotaDecision count(std::size_t number, const QuestionId &id, const QuotaQuestion &question);
+    QuotaDecision count(std::size_t number, const QuestionId &id, const CounterQuery &question);
     QuotaCounter &counterOf(Part &part);
     void handOver(std::size_t number, const CoordinatorElections::Change &move);
     void clean(Part &part);
@@ -100,7 +100,7 @@
     std::chrono::nanoseconds suspended{0};
     SteadyTime nextProbe{};
     std::array<Part, quotaParts> parts;
-    QuotaAsker asker;
+    QuotaClient asker;
     RecentMembers recent;
     ReachabilityEstimator contact;
     /** When the sample is next told who the others are. */
--- a/Tests/LibWorkspace/QuotaFleet.h
+++ b/Tests/LibWorkspace/QuotaFleet.h
@@ -64,7 +64,7 @@
 public:
     static constexpr std::chrono::milliseconds tickInterval{20};
     /** A counter that hears of nobody for so long stops to be one, as does one that stood still. */
-    static constexpr std::chrono::milliseconds touchLostAfter{400};
+    static constexpr std::chrono::milliseconds contactLostAfter{400};
 
     struct Links
     {
@@ -88,20 +88,20 @@
         return this->nodes.size();
     }
 
-    /** All nodes hold this one for the holder, and the next for its successor. */
-    void setHolder(std::size_t holder)
+    /** All nodes hold this one for the coordinator, and the next for its successor. */
+    void setCoordinator(std::size_t coordinator)
     {
         for (std::size_t node = 0; node < this->nodes.size(); ++node) {
-            this->setHolder(node, holder);
+            this->setCoordinator(node, coordinator);
         }
-        this->claim(holder);
+        this->claim(coordinator);
     }
 
-    void setHolder(std::size_t node, std::size_t holder)
+    void setCoordinator(std::size_t node, std::size_t coordinator)
     {
-        Node &told = *this->nodes[node];
-        if (std::exchange(told.holder, holder) != holder && told.asker) {
-            told.asker->noteHolderChanged(quotaPartOf(this->workspace));
+        Node &updated = *this->nodes[node];
+        if (std::exchange(updated.coordinator, coordinator) != coordinator && updated.client) {
+            updated.client->handleCoordinatorChange(quotaPartOf(this->workspace));
         }
     }
 
@@ -117,8 +117,8 @@
     {
         const std::vector<QuotaLevel> levels = this->counterOf(from).levels();
         this->nodes[from]->counter.reset();
-        this->setHolder(to);
-        this->counterOf(to).inform(levels);
+        this->setCoordinator(to);
+        this->counterOf(to).restoreLevels(levels);
     }
 
     /** A node is cut off from all others; it still serves callers. */
@@ -151,7 +151,7 @@
         this->nodes[node]->isRunning = false;
         this->nodes[node]->counter.reset();
         this->nodes[node]->answered.clear();
-        this->nodes[node]->asker.reset();
+        this->nodes[node]->client.reset();
     }
 
     void start(std::size_t node)
@@ -160,14 +160,14 @@
         started.isRunning = true;
         started.isFrozen = false;
         started.received = this->time.now();
-        QuotaAsker::Hooks hooks{
-            .ask =
-                [this, node](const QuotaQuestion &question, QuotaAsker::Counter counter) {
-                    return this->ask(node, question, counter);
+        QuotaClient::Hooks hooks{
+            .sendQuery =
+                [this, node](const CounterQuery &query, QuotaClient::Counter counter) {
+                    return this->sendQuery(node, query, counter);
                 },
-            .suspectHolder = [](std::size_t) {},
+            .suspectCoordinator = [](std::size_t) {},
         };
-        started.asker = std::make_unique<QuotaAsker>(this->time, this->bounds, std::move(hooks));
+        started.client = std::make_unique<QuotaClient>(this->time, this->bounds, std::move(hooks));
         started.contact = std::make_unique<ReachabilityEstimator>(this->time, node + 1, [this, node](const Address &other) {
             this->probe(node, other.port);
         });
@@ -190,12 +190,12 @@
     /** A request of the workspace comes to a node. */
     void request(std::size_t node)
     {
-        Node &asked = *this->nodes[node];
-        if (!asked.isRunning || asked.isFrozen) {
+        Node &target = *this->nodes[node];
+        if (!target.isRunning || target.isFrozen) {
             return;
         }
         ++this->requests;
-        asked.asker->ask(this->workspace, this->quota, this->version, [this](const QuotaDecision &decision) {
+        target.client->query(this->workspace, this->quota, this->version, [this](const QuotaDecision &decision) {
             if (decision.kind == QuotaDecision::Kind::Granted) {
                 this->granted.push_back(this->time.now());
             } else {
@@ -204,18 +204,18 @@
         });
     }
 
-    /** @return the most requests that were granted in any window so far. */
-    std::size_t mostInWindow() const
+    /** @return the max requests that were granted in any window so far. */
+    std::size_t maxInWindow() const
     {
-        std::size_t most = 0;
+        std::size_t max = 0;
         std::size_t first = 0;
         for (std::size_t last = 0; last < this->granted.size(); ++last) {
             while (this->granted[last] - this->granted[first] > this->bounds.window) {
                 ++first;
             }
-            most = std::max(most, last - first + 1);
+            max = std::max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
     /** Whether nodes know of a claim. */
@@ -240,16 +240,16 @@
         SteadyTime received{};
         /** When it last refused a request as a counter. */
         SteadyTime refused{};
-        std::size_t holder = 0;
-        std::unique_ptr<QuotaAsker> asker;
+        std::size_t coordinator = 0;
+        std::unique_ptr<QuotaClient> client;
         std::unique_ptr<QuotaCounter> counter;
         std::unique_ptr<ReachabilityEstimator> contact;
         std::map<std::pair<std::size_t, std::uint64_t>, QuotaDecision> answered;
     };
 
-    bool isOutOfTouch(const Node &node) const
+    bool hasLostContact(const Node &node) const
     {
-        return this->time.now() - node.received > touchLostAfter;
+        return this->time.now() - node.received > contactLostAfter;
     }
 
     QuotaCounter &counterOf(std::size_t node)
@@ -257,7 +257,7 @@
         std::unique_ptr<QuotaCounter> &counter = this->nodes[node]->counter;
         if (!counter) {
             const auto beginning
-                = this->isAnyClaimed ? QuotaCounter::Beginning::HolderSilent : QuotaCounter::Beginning::NobodyClaimed;
+                = this->isAnyClaimed ? QuotaCounter::StartReason::CoordinatorUnresponsive : QuotaCounter::StartReason::NoClaim;
             counter = std::make_unique<QuotaCounter>(this->time, this->bounds, beginning);
         }
         return *counter;
@@ -271,16 +271,16 @@
         }
         if (!ticked.isFrozen) {
             ticked.received = ticked.isCut ? ticked.received : this->time.now();
-            if (this->isOutOfTouch(ticked)) {
+            if (this->hasLostContact(ticked)) {
                 ticked.counter.reset();
             }
-            ticked.asker->tick();
+            ticked.client->tick();
             if (ticked.counter) {
                 this->measureContact(ticked);
-                ticked.counter->forgetUnused();
+                ticked.counter->removeUnused();
             }
-            if (ticked.asker->isInTouch(quotaPartOf(this->workspace))) {
-                ticked.asker->setNodes(node, this->nodes.size());
+            if (ticked.client->hasRecentAnswer(quotaPartOf(this->workspace))) {
+                ticked.client->setNodes(node, this->nodes.size());
             }
         }
         this->time.after(tickInterval, [this, node, incarnation] {
@@ -306,39 +306,40 @@
         });
     }
 
-    bool ask(std::size_t node, const QuotaQuestion &question, QuotaAsker::Counter counter)
+    bool sendQuery(std::size_t node, const CounterQuery &query, QuotaClient::Counter counter)
     {
-        const std::size_t holder = this->nodes[node]->holder;
-        const std::size_t asked = counter == QuotaAsker::Counter::Holder ? holder : (holder + 1) % this->nodes.size();
+        const std::size_t coordinator = this->nodes[node]->coordinator;
+        const std::size_t target
+            = counter == QuotaClient::Counter::Coordinator ? coordinator : (coordinator + 1) % this->nodes.size();
         // Nobody counts before there is a claim.
-        if (asked == node && (this->isOutOfTouch(*this->nodes[node]) || !this->isAnyClaimed)) {
+        if (target == node && (this->hasLostContact(*this->nodes[node]) || !this->isAnyClaimed)) {
             return false;
         }
-        if (asked == node) {
-            this->nodes[node]->asker->take(question.ticket, this->count(node, node, question));
+        if (target == node) {
+            this->nodes[node]->client->handleAnswer(query.ticket, this->count(node, node, query));
             return true;
         }
-        this->send(node, asked, [this, node, asked, question] {
+        this->send(node, target, [this, node, target, query] {
             if (!this->isAnyClaimed) {
                 return;
             }
-            const QuotaDecision decision = this->count(asked, node, question);
-            this->send(asked, node, [this, node, question, decision] {
-                this->nodes[node]->asker->take(question.ticket, decision);
+            const QuotaDecision decision = this->count(target, node, query);
+            this->send(target, node, [this, node, query, decision] {
+                this->nodes[node]->client->handleAnswer(query.ticket, decision);
             });
         });
         return true;
     }
 
-    QuotaDecision count(std::size_t counter, std::size_t asker, const QuotaQuestion &question)
+    QuotaDecision count(std::size_t counter, std::size_t client, const CounterQuery &query)
     {
         std::map<std::pair<std::size_t, std::uint64_t>, QuotaDecision> &answered = this->nodes[counter]->answered;
-        const std::pair id(asker * 1000 + this->nodes[asker]->incarnation, question.ticket);
+        const std::pair id(client * 1000 + this->nodes[client]->incarnation, query.ticket);
         const auto known = answered.find(id);
         if (known != answered.end()) {
             return known->second;
         }
-        const QuotaDecision decision = this->counterOf(counter).take(question.workspace, question.quota, question.version);
+        const QuotaDecision decision = this->counterOf(counter).tryAcquire(query.workspace, query.quota, query.version);
         if (decision.kind == QuotaDecision::Kind::OverLimit) {
             this->nodes[counter]->refused = this->time.now();
         }
--- a/Tests/LibWorkspace/TestQuotaBucket.cpp
+++ b/Tests/LibWorkspace/TestQuotaBucket.cpp
@@ -15,7 +15,7 @@
 int takeAll(QuotaBucket &bucket, SteadyTime now)
 {
     int taken = 0;
-    while (!bucket.take(now)) {
+    while (!bucket.tryAcquire(now)) {
         ++taken;
     }
     return taken;
@@ -34,15 +34,15 @@
 TEST_CASE("each who is refused is told a time behind those before")
 {
     QuotaBucket bucket(begin, tenASecond, 0, 0);
-    CHECK(*bucket.take(begin) == milliseconds(100));
-    CHECK(*bucket.take(begin) == milliseconds(200));
-    CHECK(*bucket.take(begin) == milliseconds(300));
-    CHECK(*bucket.take(begin + milliseconds(90)) == milliseconds(310));
+    CHECK(*bucket.tryAcquire(begin) == milliseconds(100));
+    CHECK(*bucket.tryAcquire(begin) == milliseconds(200));
+    CHECK(*bucket.tryAcquire(begin) == milliseconds(300));
+    CHECK(*bucket.tryAcquire(begin + milliseconds(90)) == milliseconds(310));
     // All of them had their time to come back.
     for (int request = 0; request < 5; ++request) {
-        CHECK_FALSE(bucket.take(begin + milliseconds(2000)));
+        CHECK_FALSE(bucket.tryAcquire(begin + milliseconds(2000)));
     }
-    CHECK(*bucket.take(begin + milliseconds(2000)) == milliseconds(100));
+    CHECK(*bucket.tryAcquire(begin + milliseconds(2000)) == milliseconds(100));
 }
 
 TEST_CASE("a quota that is lowered takes what is above it, and one that is raised gives nothing at once")
@@ -58,6 +58,6 @@
 TEST_CASE("a quota of nothing refuses, and tells a time all the same")
 {
     QuotaBucket bucket(begin, {0, 0}, 0, 0);
-    CHECK(*bucket.take(begin) == std::chrono::seconds(60));
-    CHECK(*bucket.take(begin + std::chrono::hours(1)) == std::chrono::seconds(60));
+    CHECK(*bucket.tryAcquire(begin) == std::chrono::seconds(60));
+    CHECK(*bucket.tryAcquire(begin + std::chrono::hours(1)) == std::chrono::seconds(60));
 }
--- a/Tests/LibWorkspace/TestQuotaClient.cpp
+++ b/Tests/LibWorkspace/TestQuotaClient.cpp
@@ -12,15 +12,15 @@
 {
 
 using std::chrono::milliseconds;
-using Counter = QuotaAsker::Counter;
+using Counter = QuotaClient::Counter;
 
-/** An asker whose questions are kept, and answered by the test. */
+/** An client whose questions are kept, and answered by the test. */
 class Bench
 {
 public:
-    void ask()
+    void query()
     {
-        this->last = this->asker.ask(WorkspaceName("w"), {10, 10}, 1, [this](const QuotaDecision &decision) {
+        this->last = this->client.query(WorkspaceName("w"), {10, 10}, 1, [this](const QuotaDecision &decision) {
             this->decision = decision;
         });
     }
@@ -30,43 +30,43 @@
     {
         for (milliseconds passed(0); passed < time; passed += milliseconds(20)) {
             this->clock.advance(milliseconds(20));
-            this->asker.tick();
+            this->client.tick();
         }
     }
 
     ManualClock clock;
-    bool hasHolder = true;
+    bool hasCoordinator = true;
     bool hasSuccessor = true;
-    std::vector<Counter> asked;
+    std::vector<Counter> queried;
     int suspicions = 0;
     std::optional<QuotaDecision> decision;
-    QuotaAsker::Ticket last = 0;
-    QuotaAsker asker{this->clock,
-                     {std::chrono::seconds(5), 0.1, 20},
-                     {.ask =
-                          [this](const QuotaQuestion &, Counter counter) {
-                              const bool isThere = counter == Counter::Holder ? this->hasHolder : this->hasSuccessor;
-                              if (isThere) {
-                                  this->asked.push_back(counter);
-                              }
-                              return isThere;
-                          },
-                      .suspectHolder =
-                          [this](std::size_t) {
-                              ++this->suspicions;
-                          }}};
+    QuotaClient::Ticket last = 0;
+    QuotaClient client{this->clock,
+                       {std::chrono::seconds(5), 0.1, 20},
+                       {.sendQuery =
+                            [this](const CounterQuery &, Counter counter) {
+                                const bool isThere = counter == Counter::Coordinator ? this->hasCoordinator : this->hasSuccessor;
+                                if (isThere) {
+                                    this->queried.push_back(counter);
+                                }
+                                return isThere;
+                            },
+                        .suspectCoordinator =
+                            [this](std::size_t) {
+                                ++this->suspicions;
+                            }}};
 };
 
 } // namespace
 
-TEST_CASE("a question is repeated, then goes to the successor, then is decided alone")
+TEST_CASE("a query is repeated, then goes to the successor, then is decided alone")
 {
     Bench bench;
-    bench.ask();
+    bench.query();
     bench.pass(milliseconds(40));
-    CHECK(bench.asked == std::vector{Counter::Holder, Counter::Holder, Counter::Holder});
+    CHECK(bench.queried == std::vector{Counter::Coordinator, Counter::Coordinator, Counter::Coordinator});
     bench.pass(milliseconds(20));
-    CHECK(bench.asked.back() == Counter::Successor);
+    CHECK(bench.queried.back() == Counter::Successor);
     CHECK(bench.suspicions == 1);
     CHECK_FALSE(bench.decision);
     bench.pass(milliseconds(80));
@@ -76,52 +76,52 @@
     CHECK(bench.decision->retryAfter > milliseconds(0));
 }
 
-TEST_CASE("a holder that did not answer is passed by for a while, and one that answers again is asked again")
+TEST_CASE("a coordinator that did not answer is passed by for a while, and one that answers again is queried again")
 {
     Bench bench;
-    bench.ask();
+    bench.query();
     bench.pass(milliseconds(60));
-    bench.asker.take(bench.last, {});
+    bench.client.handleAnswer(bench.last, {});
     CHECK(bench.decision->kind == QuotaDecision::Kind::Granted);
-    bench.asked.clear();
-    bench.ask();
-    CHECK(bench.asked == std::vector{Counter::Successor});
-    bench.asker.take(bench.last, {});
+    bench.queried.clear();
+    bench.query();
+    CHECK(bench.queried == std::vector{Counter::Successor});
+    bench.client.handleAnswer(bench.last, {});
     bench.clock.advance(milliseconds(500));
-    bench.ask();
-    CHECK(bench.asked.back() == Counter::Holder);
+    bench.query();
+    CHECK(bench.queried.back() == Counter::Coordinator);
 }
 
 // Guards against callers that a node refuses because it has not met anybody yet, though it will in a moment.
 TEST_CASE("a node that has nobody to ask waits to meet somebody for a moment")
 {
     Bench bench;
-    bench.hasHolder = false;
+    bench.hasCoordinator = false;
     bench.hasSuccessor = false;
-    bench.ask();
+    bench.query();
     bench.pass(milliseconds(60));
     CHECK_FALSE(bench.decision);
-    bench.hasHolder = true;
+    bench.hasCoordinator = true;
     bench.pass(milliseconds(20));
-    CHECK(bench.asked == std::vector{Counter::Holder});
-    bench.asker.take(bench.last, {});
+    CHECK(bench.queried == std::vector{Counter::Coordinator});
+    bench.client.handleAnswer(bench.last, {});
     CHECK(bench.decision->kind == QuotaDecision::Kind::Granted);
 
-    bench.hasHolder = false;
+    bench.hasCoordinator = false;
     bench.decision.reset();
-    bench.ask();
+    bench.query();
     bench.pass(milliseconds(120));
     REQUIRE(bench.decision);
     CHECK(bench.decision->kind == QuotaDecision::Kind::Unknown);
 }
 
-TEST_CASE("an answer that comes after the question was given up is nobody's")
+TEST_CASE("an answer that comes after the query was given up is nobody's")
 {
     Bench bench;
-    bench.ask();
-    bench.asker.cancel(bench.last);
-    bench.asker.take(bench.last, {});
+    bench.query();
+    bench.client.cancel(bench.last);
+    bench.client.handleAnswer(bench.last, {});
     CHECK_FALSE(bench.decision);
     bench.pass(milliseconds(200));
-    CHECK(bench.asked.size() == 1);
+    CHECK(bench.queried.size() == 1);
 }
--- a/Tests/LibWorkspace/TestQuotaReplay.cpp
+++ b/Tests/LibWorkspace/TestQuotaReplay.cpp
@@ -57,7 +57,7 @@
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 1);
-        fleet.setHolder(0);
+        fleet.setCoordinator(0);
         playEverywhere(fleet, 0, seconds(6));
         // As loads are: mostly below the limit, and above it for two seconds of five.
         for (int wave = 0; wave < 6; ++wave) {
@@ -73,11 +73,11 @@
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 2);
-        fleet.setHolder(0);
+        fleet.setCoordinator(0);
         playEverywhere(fleet, 0, seconds(6));
         play(fleet, {quota.perSecond * 8, 3, 4}, seconds(6));
         play(fleet, {quota.perSecond * 8, 30, 4}, seconds(6));
-        CHECK(static_cast<double>(fleet.mostInWindow()) <= bound(quota));
+        CHECK(static_cast<double>(fleet.maxInWindow()) <= bound(quota));
         CHECK(static_cast<double>(fleet.granted.size()) >= quota.perSecond * 12);
     }
 }
@@ -87,14 +87,14 @@
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 3);
-        fleet.setHolder(0);
+        fleet.setCoordinator(0);
         playEverywhere(fleet, 0, seconds(6));
         playEverywhere(fleet, quota.perSecond * 6, seconds(4));
         fleet.kill(0);
         playEverywhere(fleet, quota.perSecond * 6, milliseconds(400));
-        fleet.setHolder(1);
+        fleet.setCoordinator(1);
         playEverywhere(fleet, quota.perSecond * 6, seconds(6));
-        CHECK(static_cast<double>(fleet.mostInWindow()) <= bound(quota));
+        CHECK(static_cast<double>(fleet.maxInWindow()) <= bound(quota));
     }
 }
 
@@ -102,11 +102,11 @@
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 4);
-        fleet.setHolder(0);
+        fleet.setCoordinator(0);
         playEverywhere(fleet, quota.perSecond * 0.6, seconds(10));
         fleet.kill(0);
         playEverywhere(fleet, quota.perSecond * 0.6, milliseconds(400));
-        fleet.setHolder(1);
+        fleet.setCoordinator(1);
         playEverywhere(fleet, quota.perSecond * 0.6, seconds(10));
         const std::size_t refused = fleet.overLimit + fleet.unknown;
         CHECK_MESSAGE(refused * 200 <= fleet.requests, refused);
@@ -118,7 +118,7 @@
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 5);
-        fleet.setHolder(0);
+        fleet.setCoordinator(0);
         playEverywhere(fleet, 0, seconds(6));
         playEverywhere(fleet, quota.perSecond * 8, seconds(3));
         for (std::size_t node = 0; node < fleet.size(); ++node) {
@@ -128,13 +128,13 @@
         fleet.time.runFor(seconds(1));
         for (std::size_t node = 0; node < fleet.size(); ++node) {
             fleet.start(node);
-            // Until there is a claim, views differ: two hold themselves for the holder.
-            fleet.setHolder(node, node % 2 == 0 ? 4 : 9);
+            // Until there is a claim, views differ: two hold themselves for the coordinator.
+            fleet.setCoordinator(node, node % 2 == 0 ? 4 : 9);
         }
         playEverywhere(fleet, quota.perSecond * 8, milliseconds(500));
-        fleet.setHolder(4);
+        fleet.setCoordinator(4);
         playEverywhere(fleet, quota.perSecond * 8, seconds(6));
-        CHECK(static_cast<double>(fleet.mostInWindow()) <= bound(quota));
+        CHECK(static_cast<double>(fleet.maxInWindow()) <= bound(quota));
     }
 }
 
@@ -143,7 +143,7 @@
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 14);
-        fleet.setHolder(0);
+        fleet.setCoordinator(0);
         playEverywhere(fleet, 0, seconds(6));
         playEverywhere(fleet, quota.perSecond * 8, seconds(3));
         for (std::size_t node = 0; node < fleet.size(); ++node) {
@@ -153,12 +153,12 @@
         fleet.time.runFor(seconds(1));
         for (std::size_t node = 0; node < fleet.size(); ++node) {
             fleet.start(node);
-            fleet.setHolder(node, node);
+            fleet.setCoordinator(node, node);
         }
         playEverywhere(fleet, quota.perSecond * 8, milliseconds(500));
-        fleet.setHolder(4);
+        fleet.setCoordinator(4);
         playEverywhere(fleet, quota.perSecond * 8, seconds(6));
-        CHECK(static_cast<double>(fleet.mostInWindow()) <= bound(quota));
+        CHECK(static_cast<double>(fleet.maxInWindow()) <= bound(quota));
     }
 }
 
@@ -166,14 +166,14 @@
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(60, bounds, quota, 6);
-        fleet.setHolder(59);
+        fleet.setCoordinator(59);
         playEverywhere(fleet, quota.perSecond, seconds(6));
         for (std::size_t node = 0; node < 20; ++node) {
             fleet.cut(node, true);
         }
         const std::size_t before = fleet.granted.size();
         playEverywhere(fleet, quota.perSecond * 8, seconds(10));
-        CHECK(static_cast<double>(fleet.mostInWindow()) <= bound(quota));
+        CHECK(static_cast<double>(fleet.maxInWindow()) <= bound(quota));
         CHECK(static_cast<double>(fleet.granted.size() - before) >= quota.perSecond * 10 * 0.9);
     }
 }
@@ -184,7 +184,7 @@
     for (const RequestQuota &quota : {small, large}) {
         for (const bool isFrozen : {false, true}) {
             QuotaFleet fleet(59, bounds, quota, 12);
-            fleet.setHolder(20);
+            fleet.setCoordinator(20);
             playEverywhere(fleet, quota.perSecond * 0.3, seconds(8));
             fleet.cut(20, !isFrozen);
             if (isFrozen) {
@@ -192,7 +192,7 @@
             }
             playEverywhere(fleet, quota.perSecond * 8, milliseconds(350));
             for (std::size_t node = 0; node < fleet.size(); ++node) {
-                fleet.setHolder(node, node == 20 ? 20 : 21);
+                fleet.setCoordinator(node, node == 20 ? 20 : 21);
             }
             fleet.claim(21);
             // Half of the flood comes in where the old counter is.
@@ -206,9 +206,9 @@
             }
             fleet.claim(20);
             playEverywhere(fleet, quota.perSecond * 8, milliseconds(100));
-            fleet.setHolder(20, 21);
+            fleet.setCoordinator(20, 21);
             playEverywhere(fleet, quota.perSecond * 8, seconds(3));
-            CHECK_MESSAGE(static_cast<double>(fleet.mostInWindow()) <= bound(quota), fleet.mostInWindow());
+            CHECK_MESSAGE(static_cast<double>(fleet.maxInWindow()) <= bound(quota), fleet.maxInWindow());
         }
     }
 }
@@ -219,29 +219,29 @@
     for (const RequestQuota &quota : {small, large}) {
         for (const std::size_t first : {std::size_t(9), std::size_t(21), std::size_t(30)}) {
             // Its successor, the next one, is in the other part.
-            for (const std::size_t holder : {first - 1, std::size_t(58)}) {
+            for (const std::size_t coordinator : {first - 1, std::size_t(58)}) {
                 QuotaFleet fleet(59, bounds, quota, 13);
-                fleet.setHolder(holder);
+                fleet.setCoordinator(coordinator);
                 playEverywhere(fleet, 0, seconds(6));
                 playEverywhere(fleet, quota.perSecond * 4, seconds(2));
                 fleet.cutInTwo(first);
                 playEverywhere(fleet, quota.perSecond * 4, milliseconds(350));
                 // Those that are cut off from the counter have another one.
-                const std::size_t other = (holder + 1) % fleet.size();
+                const std::size_t other = (coordinator + 1) % fleet.size();
                 for (std::size_t node = 0; node < fleet.size(); ++node) {
-                    fleet.setHolder(node, (node < first) == (holder < first) ? holder : other);
+                    fleet.setCoordinator(node, (node < first) == (coordinator < first) ? coordinator : other);
                 }
                 fleet.claim(other);
                 const std::size_t before = fleet.granted.size();
                 playEverywhere(fleet, quota.perSecond * 8, seconds(12));
-                CHECK_MESSAGE(static_cast<double>(fleet.mostInWindow()) <= bound(quota), first, holder, fleet.mostInWindow());
+                CHECK_MESSAGE(static_cast<double>(fleet.maxInWindow()) <= bound(quota), first, coordinator, fleet.maxInWindow());
                 // Of two halves neither knows which one is the larger.
                 const double served = first == 30 ? 0.6 : 0.8;
                 CHECK(static_cast<double>(fleet.granted.size() - before) >= quota.perSecond * 12 * served);
                 fleet.cutInTwo(0);
-                fleet.setHolder(other);
+                fleet.setCoordinator(other);
                 playEverywhere(fleet, quota.perSecond * 8, seconds(8));
-                CHECK_MESSAGE(static_cast<double>(fleet.mostInWindow()) <= bound(quota), first, holder, fleet.mostInWindow());
+                CHECK_MESSAGE(static_cast<double>(fleet.maxInWindow()) <= bound(quota), first, coordinator, fleet.maxInWindow());
             }
         }
     }
@@ -252,14 +252,14 @@
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 9);
-        fleet.setHolder(0);
+        fleet.setCoordinator(0);
         playEverywhere(fleet, quota.perSecond, seconds(10));
         playEverywhere(fleet, quota.perSecond * 8, seconds(2));
         for (std::size_t node = 0; node < fleet.size(); ++node) {
             fleet.cut(node, true);
         }
         playEverywhere(fleet, quota.perSecond * 20, seconds(8));
-        CHECK(static_cast<double>(fleet.mostInWindow()) <= bound(quota));
+        CHECK(static_cast<double>(fleet.maxInWindow()) <= bound(quota));
     }
 }
 
@@ -268,12 +268,12 @@
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 10);
-        fleet.setHolder(0);
+        fleet.setCoordinator(0);
         playEverywhere(fleet, 0, seconds(6));
         playEverywhere(fleet, quota.perSecond * 8, seconds(2));
-        fleet.setHolder(1);
+        fleet.setCoordinator(1);
         playEverywhere(fleet, quota.perSecond * 8, seconds(6));
-        CHECK(static_cast<double>(fleet.mostInWindow()) <= bound(quota));
+        CHECK(static_cast<double>(fleet.maxInWindow()) <= bound(quota));
     }
 }
 
@@ -282,7 +282,7 @@
 {
     QuotaFleet fleet(59, bounds, large, 11);
     fleet.links = {0.1, 0.1};
-    fleet.setHolder(0);
+    fleet.setCoordinator(0);
     playEverywhere(fleet, 0, seconds(6));
     playEverywhere(fleet, large.perSecond * 0.9, seconds(20));
     CHECK(fleet.overLimit == 0);
@@ -292,7 +292,7 @@
 TEST_CASE("a counter that leaves as planned tells what is left, so that nobody is refused for it")
 {
     QuotaFleet fleet(59, bounds, large, 7);
-    fleet.setHolder(0);
+    fleet.setCoordinator(0);
     playEverywhere(fleet, 0, seconds(6));
     playEverywhere(fleet, large.perSecond * 0.6, seconds(3));
     fleet.handOver(0, 1);
@@ -300,19 +300,19 @@
     playEverywhere(fleet, large.perSecond * 1.8, seconds(1));
     CHECK(fleet.overLimit + fleet.unknown == 0);
     playEverywhere(fleet, large.perSecond * 8, seconds(6));
-    CHECK(static_cast<double>(fleet.mostInWindow()) <= bound(large));
+    CHECK(static_cast<double>(fleet.maxInWindow()) <= bound(large));
 }
 
 TEST_CASE("a limit that is lowered far below its use holds a window later, one that is raised at once")
 {
     QuotaFleet fleet(59, bounds, large, 8);
-    fleet.setHolder(0);
+    fleet.setCoordinator(0);
     playEverywhere(fleet, large.perSecond, seconds(8));
     fleet.setLimit(small);
     playEverywhere(fleet, large.perSecond, seconds(5));
     fleet.granted.clear();
     playEverywhere(fleet, large.perSecond, seconds(10));
-    CHECK(static_cast<double>(fleet.mostInWindow()) <= bound(small));
+    CHECK(static_cast<double>(fleet.maxInWindow()) <= bound(small));
     fleet.setLimit(large);
     fleet.granted.clear();
     playEverywhere(fleet, large.perSecond * 0.9, seconds(2));
@@ -327,47 +327,47 @@
         const auto nodes = static_cast<std::size_t>(*rc::gen::inRange(3, 40));
         QuotaFleet fleet(nodes, bounds, quota, *rc::gen::arbitrary<std::uint16_t>());
         fleet.links = {0.05, 0.05};
-        fleet.setHolder(0);
+        fleet.setCoordinator(0);
         playEverywhere(fleet, quota.perSecond * 0.5, seconds(5));
-        std::size_t holder = 0;
+        std::size_t coordinator = 0;
         // Losses of the counter: between two of them, a window passes. More often, each costs another part of the tolerance.
         for (int round = 0; round < 3; ++round) {
             const int flood = *rc::gen::inRange(1, 9);
             const auto fault = *rc::gen::inRange(0, 6);
-            const std::size_t next = (holder + 1) % nodes;
+            const std::size_t next = (coordinator + 1) % nodes;
             if (fault == 0) {
-                fleet.kill(holder);
+                fleet.kill(coordinator);
             } else if (fault == 1) {
-                fleet.setFrozen(holder, true);
+                fleet.setFrozen(coordinator, true);
             } else if (fault == 2) {
-                fleet.handOver(holder, next);
+                fleet.handOver(coordinator, next);
             } else if (fault == 3) {
-                fleet.cut(holder, true);
+                fleet.cut(coordinator, true);
             } else if (fault == 4) {
                 for (std::size_t node = 0; node < nodes / 3; ++node) {
-                    fleet.cut((holder + 1 + node) % nodes, true);
+                    fleet.cut((coordinator + 1 + node) % nodes, true);
                 }
             }
             playEverywhere(fleet, quota.perSecond * flood, milliseconds(*rc::gen::inRange(100, 500)));
             if (fault < 4) {
                 for (std::size_t node = 0; node < nodes; ++node) {
-                    fleet.setHolder(node, fault == 3 && node == holder ? holder : next);
+                    fleet.setCoordinator(node, fault == 3 && node == coordinator ? coordinator : next);
                 }
                 fleet.claim(next);
             }
             playEverywhere(fleet, quota.perSecond * flood, milliseconds(5200));
             if (fault < 2) {
-                fleet.kill(holder);
-                fleet.start(holder);
-                fleet.setHolder(holder, next);
+                fleet.kill(coordinator);
+                fleet.start(coordinator);
+                fleet.setCoordinator(coordinator, next);
             }
             for (std::size_t node = 0; node < nodes; ++node) {
                 fleet.cut(node, false);
             }
-            fleet.setHolder(holder, fault < 4 ? next : holder);
-            holder = fault < 4 ? next : holder;
+            fleet.setCoordinator(coordinator, fault < 4 ? next : coordinator);
+            coordinator = fault < 4 ? next : coordinator;
         }
-        RC_ASSERT(static_cast<double>(fleet.mostInWindow()) <= bound(quota));
+        RC_ASSERT(static_cast<double>(fleet.maxInWindow()) <= bound(quota));
     });
     CHECK(holds);
 }
@@ -380,13 +380,13 @@
         const auto nodes = static_cast<std::size_t>(*rc::gen::inRange(6, 64));
         QuotaFleet fleet(nodes, bounds, quota, *rc::gen::arbitrary<std::uint16_t>());
         fleet.links = {0.02, 0.02};
-        auto holder = static_cast<std::size_t>(*rc::gen::inRange<int>(0, static_cast<int>(nodes)));
-        fleet.setHolder(holder);
+        auto coordinator = static_cast<std::size_t>(*rc::gen::inRange<int>(0, static_cast<int>(nodes)));
+        fleet.setCoordinator(coordinator);
         playEverywhere(fleet, quota.perSecond * 0.5, seconds(5));
         for (int round = 0; round < 2; ++round) {
             const double flood = *rc::gen::inRange(1, 9);
             // Its successor is in the other part.
-            const std::size_t other = (holder + 1) % nodes;
+            const std::size_t other = (coordinator + 1) % nodes;
             const std::size_t first
                 = other > 0 ? other : static_cast<std::size_t>(*rc::gen::inRange<int>(1, static_cast<int>(nodes)));
             playEverywhere(fleet, quota.perSecond * flood * *rc::gen::inRange(0, 2), seconds(2));
@@ -394,17 +394,17 @@
             // Others miss the counter, and its silence is waited for.
             playEverywhere(fleet, quota.perSecond * flood, milliseconds(*rc::gen::inRange(310, 600)));
             for (std::size_t node = 0; node < nodes; ++node) {
-                fleet.setHolder(node, (node < first) == (holder < first) ? holder : other);
+                fleet.setCoordinator(node, (node < first) == (coordinator < first) ? coordinator : other);
             }
             fleet.claim(other);
             playEverywhere(fleet, quota.perSecond * flood, milliseconds(*rc::gen::inRange(200, 8000)));
             fleet.cutInTwo(0);
             playEverywhere(fleet, quota.perSecond * flood, milliseconds(*rc::gen::inRange(0, 300)));
-            fleet.setHolder(other);
-            holder = other;
+            fleet.setCoordinator(other);
+            coordinator = other;
             playEverywhere(fleet, quota.perSecond * flood, milliseconds(5200));
         }
-        RC_ASSERT(static_cast<double>(fleet.mostInWindow()) <= bound(quota));
+        RC_ASSERT(static_cast<double>(fleet.maxInWindow()) <= bound(quota));
     });
     CHECK(holds);
 }
