--- a/Libraries/LibWorkspace/Credentials.h
+++ b/Libraries/LibWorkspace/Credentials.h
@@ -8,24 +8,24 @@
 namespace Dogwoodkeel
 {
 
-/** What a request's Authorization header lines hold. */
+/** Content of the Authorization header lines of a request. */
 struct Credentials
 {
     enum class State {
         /** There is no such line. */
         Absent,
-        /** There are several lines, another scheme, or a key with characters that no key has. */
+        /** There are several lines, another scheme, or a key with invalid characters. */
         Malformed,
         Given,
     };
 
     State state = State::Absent;
-    /** Of the key, with Given. */
+    /** Digest of the key; set with Given. */
     KeyDigest key;
 };
 
 /**
- * Read bearer credentials (RFC 6750, section 2.1). Strict: of two lines a server behind might take the other one.
+ * Reads bearer credentials (RFC 6750, section 2.1). Several lines are rejected, because an upstream server might use another one.
  * @param lines the values of all Authorization lines of a request, in their order
  */
 Credentials readCredentials(const std::vector<std::string_view> &lines);
--- a/Libraries/LibWorkspace/KeyDigest.cpp
+++ b/Libraries/LibWorkspace/KeyDigest.cpp
@@ -19,7 +19,7 @@
 
 } // namespace Dogwoodkeel
 
-// Any part of a cryptographic digest is as evenly spread as a hash of all of it.
+// Any part of a cryptographic digest is uniformly distributed, so its first bytes serve as the hash.
 std::size_t std::hash<Dogwoodkeel::KeyDigest>::operator()(const Dogwoodkeel::KeyDigest &digest) const noexcept
 {
     std::size_t part = 0;
--- a/Libraries/LibWorkspace/KeyDigest.h
+++ b/Libraries/LibWorkspace/KeyDigest.h
@@ -19,7 +19,7 @@
 
     KeyDigest() = default;
 
-    /** @return the digest of a key as a caller sends it. */
+    /** @return the digest of a key in the form in which callers send it. */
     static KeyDigest of(std::string_view key);
 
     const std::array<unsigned char, size> &bytes() const;
--- a/Libraries/LibWorkspace/LocalQuota.h
+++ b/Libraries/LibWorkspace/LocalQuota.h
@@ -13,8 +13,9 @@
 {
 
 /**
- * What a node may grant that reaches no counter. All such nodes together may grant only a small part of a window, mostly fewer
- * requests than there are nodes; so total requests are dealt to nodes by the workspace's name, and most nodes get none.
+ * Decides requests on a node that reaches no counter. All such nodes together may grant only a small part of the quota of a
+ * window, mostly fewer requests than there are nodes. Therefore whole requests are assigned to nodes by a hash of the workspace
+ * name, and most nodes get none.
  */
 class LocalQuota
 {
@@ -22,13 +23,14 @@
     LocalQuota(const Clock &clock, const QuotaBounds &bounds);
 
     /**
-     * The nodes, as long as this one is in touch with them. One that is cut off sees the others vanish, and must not tryAcquire
-     * their parts.
-     * @param position of this node among them, in an order that is the same for all
+     * Sets the nodes that share the quota. To be called only while this node is connected to the others: a partitioned node
+     * sees the others leave, and must not grant their shares.
+     * @param position index of this node in an order that is the same on all nodes
+     * @param count number of nodes
      */
     void setNodes(std::size_t position, std::size_t count);
 
-    /** @return whether one more request of the workspace may run. */
+    /** Counts one request if it may run. @return whether it may */
     bool tryAcquire(const WorkspaceName &workspace, const RequestQuota &quota);
 
 private:
@@ -37,9 +39,9 @@
     const Clock &clock;
     QuotaBounds bounds;
     std::size_t position = 0;
-    /** 0: not known yet, so no part is this node's own. */
+    /** 0: not known yet, so this node grants nothing. */
     std::size_t count = 0;
-    /** When requests were granted within the last window. */
+    /** Times of the requests that were granted within the last window. */
     std::unordered_map<WorkspaceName, std::deque<SteadyTime>> granted;
 };
 
--- a/Libraries/LibWorkspace/QuotaBounds.h
+++ b/Libraries/LibWorkspace/QuotaBounds.h
@@ -7,13 +7,13 @@
 namespace Dogwoodkeel
 {
 
-/** How exactly quotas are kept: in each sliding window, at most (rate x window + burst) x (1 + overrun) + slack requests run. */
+/** Accuracy of the quotas: in each sliding window, at most (rate x window + burst) x (1 + overrun) + slack requests run. */
 struct QuotaBounds
 {
     std::chrono::milliseconds window{5000};
-    /** Part of what a quota allows in a window. */
+    /** Tolerated excess as a fraction of what a quota allows in a window. */
     double overrun = 0;
-    /** Requests. */
+    /** Tolerated excess in requests, in addition to overrun. */
     double slack = 0;
 
     /** @return requests that a quota allows in a window, without the tolerance. */
@@ -22,7 +22,7 @@
         return quota.perSecond * std::chrono::duration<double>(this->window).count() + quota.burst;
     }
 
-    /** @return requests by which a window may go beyond what the quota allows. */
+    /** @return number of requests by which a window may exceed the quota. */
     double tolerance(const RequestQuota &quota) const
     {
         return this->allowed(quota) * this->overrun + this->slack;
@@ -30,17 +30,17 @@
 };
 
 /**
- * What the tolerance is spent on. A counter that takes a quota over does not know what was granted before it, so it has to assume
- * that all was; without some of the tolerance it would refuse everybody for a moment. The parts sum up to less than the whole,
- * also with a second counter that has no claim.
+ * Splits the tolerance of a quota over its uses. A counter that takes over does not know what its predecessor granted and has to
+ * assume that the quota is used up; without a part of the tolerance it would refuse every request for a moment. The parts add up
+ * to less than the whole, even with a second counter that has no claim.
  */
 struct QuotaMargins
 {
-    /** Added to the burst, so that chance alone refuses nobody who keeps the limit on average. */
+    /** Added to the burst, so that random variation does not cause refusals for callers who keep the limit on average. */
     double burst = 0;
-    /** What a counter may grant that takes the duty over, before and beyond what its rate allows from then on. */
+    /** What a counter may grant right after it took over, in addition to what its rate allows from then on. */
     double takeover = 0;
-    /** What all nodes together may grant that reach no counter. */
+    /** What all nodes that reach no counter may grant together. */
     double local = 0;
 
     explicit QuotaMargins(double tolerance) : burst(tolerance / 4), takeover(tolerance / 4), local(tolerance / 8)
--- a/Libraries/LibWorkspace/QuotaBucket.cpp
+++ b/Libraries/LibWorkspace/QuotaBucket.cpp
@@ -68,7 +68,7 @@
     const auto secondsFor = [rate, maxSeconds](double missing) {
         return std::chrono::duration<double>(rate > 0 ? std::min(missing / rate, maxSeconds.count()) : maxSeconds.count());
     };
-    // Each who is refused is told a time of its own. Told the same one, all would come back at once, and all but one in vain.
+    // Each refused request gets its own retry time. With a common one, all would retry at once and all but one would be refused.
     const SteadyTime tokenAvailable = now + std::chrono::duration_cast<SteadyTime::duration>(secondsFor(1 - this->tokens));
     const SteadyTime behindOthers = this->retryTimesGivenUntil + std::chrono::duration_cast<SteadyTime::duration>(secondsFor(1));
     this->retryTimesGivenUntil = std::min(std::max(tokenAvailable, behindOthers), now + maxRetryAfter);
--- a/Libraries/LibWorkspace/QuotaBucket.h
+++ b/Libraries/LibWorkspace/QuotaBucket.h
@@ -10,32 +10,31 @@
 {
 
 /**
- * A token bucket. In any time t it grants at most capacity + rate x t, also in parts of a window: so a counter that follows it,
- * and starts from nothing, keeps the window's bound together with it.
+ * A token bucket. In any period t it grants at most capacity + rate x t requests, also in parts of a window. So a counter that
+ * takes over and starts with an empty bucket keeps the bound of the window together with its predecessor.
  */
 class QuotaBucket
 {
 public:
-    /** @param level what it may grant at once, up to its capacity */
+    /** @param level tokens at the start, limited to the capacity */
     QuotaBucket(SteadyTime now, const RequestQuota &quota, double margin, double level);
 
-    /** The quota was changed; what is above the new capacity is lost. */
+    /** Changes the quota; tokens above the new capacity are dropped. */
     void setQuota(SteadyTime now, const RequestQuota &quota, double margin);
 
-    /** @param share of the quota that is granted here from now on: of its rate, and of its burst */
+    /** @param share fraction of the rate and of the burst that is granted here from now on */
     void setShare(SteadyTime now, double share);
 
-    /** Add to what it may grant at once, up to its capacity. */
+    /** Adds tokens, up to the capacity. */
     void add(SteadyTime now, double tokens);
 
-    /** @return nothing if a request is granted, else how long until there is tokenAvailable, behind those who were told before.
-     */
+    /** @return nothing if a request is granted, else the time until a token is available, after those refused before. */
     std::optional<std::chrono::milliseconds> tryAcquire(SteadyTime now);
 
-    /** @return what it may grant at once. */
+    /** @return number of requests that it may grant at once. */
     double level(SteadyTime now) const;
 
-    /** @return whether it has been used so little that a new one would be the same. */
+    /** @return whether it holds its full capacity, so that a new bucket would be in the same state. */
     bool isFull(SteadyTime now) const;
 
     const RequestQuota &quota() const;
@@ -49,7 +48,7 @@
     double share = 1;
     double tokens;
     SteadyTime filled;
-    /** Up to when the tokenAvailable is told to those who were refused. */
+    /** Latest retry time that was given to a refused request. */
     SteadyTime retryTimesGivenUntil;
 };
 
--- a/Libraries/LibWorkspace/QuotaClient.cpp
+++ b/Libraries/LibWorkspace/QuotaClient.cpp
@@ -11,17 +11,18 @@
 namespace
 {
 
-/** A datagram that was lost is sent again after this: several round trips between failure domains. */
+/** Interval after which an unanswered datagram is sent again: several round trips between failure domains. */
 constexpr std::chrono::milliseconds resendInterval{20};
-/** A counter that has not answered by then is away. */
+/** Time after which a counter that has not answered is suspected. */
 constexpr std::chrono::milliseconds answerTimeout{60};
-/** How long a counter that did not answer is not waited for; then one request tries it again. */
+/** How long a suspected counter is skipped; after that one request tries it again. */
 constexpr std::chrono::milliseconds suspicionTime{400};
-/** A node that has just started meets others in some tens of milliseconds; until then there is nobody to ask. */
+/** A node that has just started discovers other nodes within some tens of milliseconds; until then it has no counter to query. */
 constexpr std::chrono::milliseconds discoveryTime{100};
-/** Told to who can't be counted: by then the duty has most likely been taken over, and other nodes may reach its holder now. */
+/** Retry time of requests that no counter could decide: until then a successor has most likely taken over the role, and other
+ * nodes may already reach the coordinator. */
 constexpr std::chrono::milliseconds unknownRetryAfter{200};
-/** A node whose counters have answered within this time sees the other nodes as they are. */
+/** A node whose counters have answered within this time is connected, so that its view of the other nodes is current. */
 constexpr std::chrono::milliseconds recentAnswerTime{500};
 
 } // namespace
@@ -70,7 +71,7 @@
     pending.counter = counter;
     pending.lastSent = now;
     pending.hasNoCounter = false;
-    // Asking may answer at once, which ends the ticket.
+    // The answer may arrive inside the call and remove the pending query, so the query is copied.
     const CounterQuery query = pending.query;
     if (!this->hooks.sendQuery(query, counter)) {
         this->tryNextCounter(ticket);
--- a/Libraries/LibWorkspace/QuotaClient.h
+++ b/Libraries/LibWorkspace/QuotaClient.h
@@ -15,26 +15,27 @@
 namespace Dogwoodkeel
 {
 
-/** The workspaces are spread over so many counters by their names, each of them a duty of its own. */
+/** Number of counters that the workspaces are distributed over by name. Each counter is a separate role with its own coordinator.
+ */
 inline constexpr std::size_t quotaParts = 4;
 
-/** @return which of the counters counts a workspace. */
+/** @return the index of the counter that is responsible for a workspace. */
 std::size_t quotaPartOf(const WorkspaceName &workspace);
 
-/** What a counter is pending. */
+/** Query to a counter: whether one more request of a workspace may run. */
 struct CounterQuery
 {
     std::uint64_t ticket = 0;
     WorkspaceName workspace;
     RequestQuota quota;
-    /** Of the configuration that the quota stands in. */
+    /** Version of the configuration that defines the quota. */
     std::uint64_t version = 0;
 };
 
 /**
- * Gets the requests of this node counted. It asks the counter of a workspace; without an answer the node that would take that
- * duty over; and if that does not answer either, it decides by its own part, see LocalQuota. A counter that is lost delays a
- * request by some tens of milliseconds, and only the first ones.
+ * Obtains quota decisions for the requests of this node. It queries the counter of the workspace; without an answer, the
+ * successor of that counter; and without an answer from the successor, it decides by the node's share of the quota, see
+ * LocalQuota. The loss of a counter delays only the first requests after it, by some tens of milliseconds.
  */
 class QuotaClient
 {
@@ -42,7 +43,7 @@
     using Ticket = std::uint64_t;
     using DecisionHandler = std::function<void(const QuotaDecision &)>;
 
-    /** Whom to ask. */
+    /** Node to query. */
     enum class Counter {
         Coordinator,
         Successor,
@@ -50,9 +51,10 @@
 
     struct Hooks
     {
-        /** Ask; the answer comes back by take(), maybe at once. @return whether there is such a node */
+        /** Sends a query; its answer is passed to handleAnswer(), possibly from inside this call. @return whether there is such a
+         * node */
         std::function<bool(const CounterQuery &, Counter)> sendQuery;
-        /** The holder of a part did not answer. */
+        /** Called when the coordinator of a part did not answer. */
         std::function<void(std::size_t part)> suspectCoordinator;
     };
 
@@ -62,28 +64,28 @@
     void setNodes(std::size_t position, std::size_t count);
 
     /**
-     * Ask whether a request may run.
-     * @param onDecision told once, maybe from inside this call
-     * @return names the query until then
+     * Requests a decision on whether a request may run.
+     * @param onDecision called once, possibly from inside this call
+     * @return identifies the query until the decision
      */
     Ticket query(const WorkspaceName &workspace, const RequestQuota &quota, std::uint64_t version, DecisionHandler onDecision);
 
-    /** The answer is not wanted any more. */
+    /** Drops a query; its decision handler is not called. */
     void cancel(Ticket ticket);
 
-    /** A counter has answered. */
+    /** Handles the answer of a counter. */
     void handleAnswer(Ticket ticket, const QuotaDecision &decision);
 
-    /** Another node has the duty of a counter now: what is suspected of the one before does not count. */
+    /** Clears the suspicions of a part after another node became its coordinator. */
     void handleCoordinatorChange(std::size_t part);
 
-    /** Look after what time brings. */
+    /** Sends unanswered queries again and handles expired timeouts. */
     void tick();
 
-    /** @return requests that were decided without a counter. */
+    /** @return number of requests that were decided without a counter. */
     std::uint64_t decidedLocally() const;
 
-    /** @return whether a counter of the part has answered lately. */
+    /** @return whether a counter of the part has answered recently. */
     bool hasRecentAnswer(std::size_t part) const;
 
 private:
@@ -93,17 +95,17 @@
         DecisionHandler onDecision;
         Counter counter = Counter::Coordinator;
         SteadyTime started{};
-        /** Whether there was nobody to ask. */
+        /** Whether no node was known that could be queried. */
         bool hasNoCounter = false;
-        /** When that counter was first pending, and last. */
+        /** When the current counter was first queried, and when last. */
         SteadyTime firstSent{};
         SteadyTime lastSent{};
     };
 
-    /** What is known of the counters of a part. */
+    /** State of the counters of a part. */
     struct Part
     {
-        /** Until then the holder, or its successor as well, is not waited for. */
+        /** Until when the coordinator, or its successor, is skipped because it did not answer. */
         SteadyTime coordinatorSuspectedUntil{};
         SteadyTime successorSuspectedUntil{};
         SteadyTime answered{};
--- a/Libraries/LibWorkspace/QuotaCounter.cpp
+++ b/Libraries/LibWorkspace/QuotaCounter.cpp
@@ -14,8 +14,8 @@
 constexpr double minShare = 0.45;
 constexpr double fullShare = 0.6;
 
-// The parts of two counters that share a fleet between them add up to one at most, and to less where the fleet is cut in the
-// middle: there each estimate moves its part most.
+// The fractions of two counters in a partitioned fleet add up to at most one, and to less if the two halves are of the same size:
+// there an error of the estimated share changes the fraction most.
 double fractionOf(double share)
 {
     return std::clamp((share - minShare) / (fullShare - minShare), 0.0, 1.0);
@@ -58,10 +58,10 @@
 double QuotaCounter::grantedFraction() const
 {
     if (!this->confirmed) {
-        // Beside one that goes on counting, what is granted here is not replaced before it has left the window.
+        // If another counter still counts, tokens granted here must not refill before they have left the window.
         return this->startReason == StartReason::NoClaim ? unclaimedShare : 0;
     }
-    // One that follows a silent counter may be the one that is cut off.
+    // A counter that replaces an unresponsive one may itself be on the partitioned side.
     const double assumed = this->startReason == StartReason::CoordinatorUnresponsive && !this->isHistoryKnown ? 0 : 1;
     return this->fraction.value_or(assumed);
 }
@@ -96,7 +96,7 @@
     for (const QuotaLevel &entry : left) {
         this->inherited.insert_or_assign(entry.workspace, entry.level);
     }
-    // Those that were asked for meanwhile began from less, or more, than there was.
+    // Buckets created before the handover started from the assumed level; corrects them by the difference.
     const SteadyTime now = this->clock.now();
     for (auto &[workspace, entry] : this->entries) {
         const RequestQuota &quota = entry.bucket.quota();
@@ -114,7 +114,7 @@
 {
     const QuotaMargins margins = this->marginsOf(quota);
     const bool isInherited = this->confirmed && this->isHistoryKnown;
-    // As it would be, had it been made when the duty was taken over.
+    // The level that the bucket would have now if it had been created at the takeover.
     const double level
         = (isInherited ? this->inheritedLevel(workspace, quota) : margins.takeover) + quota.perSecond * this->filledSeconds();
     QuotaBucket bucket(this->clock.now(), quota, margins.burst, level);
--- a/Libraries/LibWorkspace/QuotaCounter.h
+++ b/Libraries/LibWorkspace/QuotaCounter.h
@@ -14,7 +14,7 @@
 namespace Dogwoodkeel
 {
 
-/** What is left of a workspace's quota at a counter that gives its duty up. */
+/** Remaining quota of a workspace, handed over by a counter that gives up its role. */
 struct QuotaLevel
 {
     WorkspaceName workspace;
@@ -22,47 +22,49 @@
 };
 
 /**
- * Counts the requests of workspaces for all nodes. One at a time has the duty by a claim. Its memory is soft: one that takes the
- * duty over without being told what is left assumes that all was used.
+ * Counts the requests of workspaces for all nodes. At most one counter at a time has the role by a claim. Its state is kept in
+ * memory only: a counter that takes over without a handover assumes that the quotas are used up.
  */
 class QuotaCounter
 {
 public:
-    /** How a counter comes to count before it has a claim. */
+    /** Why a counter starts before it has a claim. */
     enum class StartReason {
-        /** Nobody has told of a claim: all nodes have most likely just started, and views of them differ for a moment. */
+        /** No claim is known: most likely all nodes have just started, and their views differ for a moment. */
         NoClaim,
-        /** The one with the claim does not answer; it may count on for others. */
+        /** The coordinator does not answer here; it may still count for other nodes. */
         CoordinatorUnresponsive,
     };
 
     QuotaCounter(const Clock &clock, const QuotaBounds &bounds, StartReason startReason);
 
-    /** This counter has the duty by a claim from now on. */
+    /** Records that this counter has the role by a claim from now on. */
     void confirm();
 
     /**
-     * @param share of the fleet with which its node is in contact. Another part of a fleet that is cut in two has a counter of
-     * its own, so each grants only its share of the quotas.
+     * Sets the fraction of the quotas that is granted here. In a partitioned fleet each part has a counter, so each one grants
+     * only its share.
+     * @param share fraction of the fleet that the node of this counter is in contact with
      */
     void setShare(double share);
 
-    /** The one that had the duty before tells what it left. Those that are not listed are whole. */
+    /** Applies the handover of the previous counter. Quotas that are not listed are unused. */
     void restoreLevels(const std::vector<QuotaLevel> &left);
 
     /**
-     * @param version of the configuration that the quota stands in; an older one than is known changes nothing
-     * @return whether one more request of the workspace may run
+     * Counts one request if it may run.
+     * @param version version of the configuration that defines the quota; a version older than the known one changes nothing
+     * @return whether the request may run
      */
     QuotaDecision tryAcquire(const WorkspaceName &workspace, const RequestQuota &quota, std::uint64_t version);
 
-    /** @return what is left of the quotas that are used. Those that are not listed are whole. */
+    /** @return remaining quotas of the workspaces in use, for a handover. Quotas that are not listed are unused. */
     std::vector<QuotaLevel> levels() const;
 
-    /** Drop what tells no more than a new counter would know. */
+    /** Removes entries whose state equals that of a new entry. */
     void removeUnused();
 
-    /** @return workspaces that are entries. */
+    /** @return number of workspaces with an entry. */
     std::size_t size() const;
 
 private:
@@ -83,16 +85,16 @@
     const Clock &clock;
     QuotaBounds bounds;
     StartReason startReason;
-    /** Since when it has the duty by a claim. */
+    /** Since when it has the role by a claim. */
     std::optional<SteadyTime> confirmed;
-    /** Of the quotas, by the share of the fleet in contact; nothing until it is known. */
+    /** Fraction of the quotas that is granted here, by the share of the fleet in contact; empty until that is known. */
     std::optional<double> fraction;
-    /** Seconds, weighed by that part, in which quotas have filled since it had the duty; up to when they are summed up. */
+    /** Seconds, weighted by that fraction, in which quotas have filled since the claim, summed up until filledUntil. */
     double filledBefore = 0;
     SteadyTime filledUntil{};
-    /** Whether what was granted before it had the duty is known, or too long ago to count. */
+    /** Whether the requests granted before the claim are known, or too old to count. */
     bool isHistoryKnown = false;
-    /** What the one before told. */
+    /** Levels from the handover of the previous counter. */
     std::unordered_map<WorkspaceName, double> inherited;
     std::unordered_map<WorkspaceName, Entry> entries;
 };
--- a/Libraries/LibWorkspace/QuotaDecision.h
+++ b/Libraries/LibWorkspace/QuotaDecision.h
@@ -5,19 +5,19 @@
 namespace Dogwoodkeel
 {
 
-/** Whether a request may run by the quota of its workspace. */
+/** Decision on whether a request may run under the quota of its workspace. */
 struct QuotaDecision
 {
     enum class Kind {
         Granted,
-        /** The workspace has used up what it may. */
+        /** The quota of the workspace is used up. */
         OverLimit,
-        /** No counter could be asked, and this node's own part is used up. */
+        /** No counter could be queried, and the share of this node is used up. */
         Unknown,
     };
 
     Kind kind = Kind::Granted;
-    /** Unless granted: after which the request may come again. */
+    /** Unless granted: time after which the caller may retry. */
     std::chrono::milliseconds retryAfter{0};
 };
 
--- a/Libraries/LibWorkspace/Workspace.h
+++ b/Libraries/LibWorkspace/Workspace.h
@@ -8,12 +8,12 @@
 namespace Dogwoodkeel
 {
 
-/** How many requests a workspace may run, at all nodes together. */
+/** Limit on the requests of a workspace, over all nodes together. */
 struct RequestQuota
 {
-    /** Requests a second in the long run; 0: no limit. */
+    /** Sustained requests per second; no limit if this and burst are 0. */
     double perSecond = 0;
-    /** Requests beyond those that may come at once. */
+    /** Additional requests that may arrive at once. */
     double burst = 0;
 
     /** @return whether there is a limit. */
@@ -25,11 +25,11 @@
     bool operator==(const RequestQuota &) const = default;
 };
 
-/** Whose requests share keys, a limit and a priority. */
+/** A tenant: its requests share API keys, a quota and a priority. */
 struct Workspace
 {
     WorkspaceName name;
-    /** The most urgent is 0; it goes before the priority of a route. */
+    /** 0 is the most urgent; takes precedence over the priority of a route. */
     std::uint32_t priority = 0;
     RequestQuota quota;
 
--- a/Libraries/LibWorkspace/WorkspaceDirectory.h
+++ b/Libraries/LibWorkspace/WorkspaceDirectory.h
@@ -16,18 +16,19 @@
 {
 public:
     /**
+     * Adds a workspace.
      * @param keys digests of its API keys
-     * @return how many of the keys belong to a workspace that was added before; they stay with it
+     * @return number of keys that belong to a workspace added earlier; these keys stay with that workspace
      */
     std::size_t add(const Workspace &workspace, const std::vector<KeyDigest> &keys);
 
-    /** @return whose key it is, or null if no workspace has it. */
+    /** @return the workspace that a key belongs to, or null. */
     const Workspace *findByKey(const KeyDigest &key) const;
 
     /** @return the workspace of that name, or null. */
     const Workspace *find(const WorkspaceName &name) const;
 
-    /** @return how many workspaces there are. */
+    /** @return number of workspaces. */
     std::size_t size() const;
 
     const std::vector<Workspace> &workspaces() const;
--- a/Tests/LibWorkspace/QuotaFleet.h
+++ b/Tests/LibWorkspace/QuotaFleet.h
@@ -19,7 +19,7 @@
 namespace Dogwoodkeel
 {
 
-/** Time that goes from event to event. */
+/** Virtual clock that advances from event to event. */
 class QuotaTime final : public Clock
 {
 public:
@@ -56,14 +56,14 @@
 };
 
 /**
- * Nodes that count one workspace's requests together, in virtual time. Who holds the duty is the test's to say; datagrams travel
- * for some milliseconds, and get lost or come twice.
+ * Simulates, in virtual time, nodes that count the requests of one workspace together. The test decides which node is the
+ * coordinator. Datagrams are delayed by some milliseconds, and may get lost or arrive twice.
  */
 class QuotaFleet
 {
 public:
     static constexpr std::chrono::milliseconds tickInterval{20};
-    /** A counter that hears of nobody for so long stops to be one, as does one that stood still. */
+    /** A counter that received nothing for this long, or was paused for this long, gives up its role. */
     static constexpr std::chrono::milliseconds contactLostAfter{400};
 
     struct Links
@@ -88,7 +88,7 @@
         return this->nodes.size();
     }
 
-    /** All nodes hold this one for the coordinator, and the next for its successor. */
+    /** Makes all nodes regard this node as the coordinator, and the next one as its successor. */
     void setCoordinator(std::size_t coordinator)
     {
         for (std::size_t node = 0; node < this->nodes.size(); ++node) {
@@ -105,14 +105,14 @@
         }
     }
 
-    /** A node has the duty by a claim. */
+    /** Gives a node the role by a claim. */
     void claim(std::size_t node)
     {
         this->isAnyClaimed = true;
         this->counterOf(node).confirm();
     }
 
-    /** A node gives its duty to another one, and tells it what is left. */
+    /** Hands the role of one node over to another, with the remaining quotas. */
     void handOver(std::size_t from, std::size_t to)
     {
         const std::vector<QuotaLevel> levels = this->counterOf(from).levels();
@@ -121,13 +121,13 @@
         this->counterOf(to).restoreLevels(levels);
     }
 
-    /** A node is cut off from all others; it still serves callers. */
+    /** Disconnects a node from all others, or reconnects it; it still serves callers. */
     void cut(std::size_t node, bool isCut)
     {
         this->nodes[node]->isCut = isCut;
     }
 
-    /** The fleet is cut in two: the first so many nodes, and the others. None: it is whole again. */
+    /** Partitions the fleet into the first nodes, by their number, and the others; 0 ends the partition. */
     void cutInTwo(std::size_t first)
     {
         for (std::size_t node = 0; node < this->nodes.size(); ++node) {
@@ -135,7 +135,7 @@
         }
     }
 
-    /** A node neither sends nor answers. */
+    /** Pauses a node, so that it neither sends nor answers, or resumes it. */
     void setFrozen(std::size_t node, bool isFrozen)
     {
         this->nodes[node]->isFrozen = isFrozen;
@@ -144,7 +144,7 @@
         }
     }
 
-    /** A node ends; what it knew is gone. */
+    /** Ends a node; its state in memory is lost. */
     void kill(std::size_t node)
     {
         ++this->nodes[node]->incarnation;
@@ -187,7 +187,7 @@
         ++this->version;
     }
 
-    /** A request of the workspace comes to a node. */
+    /** Simulates a request of the workspace that arrives at a node. */
     void request(std::size_t node)
     {
         Node &target = *this->nodes[node];
@@ -204,7 +204,7 @@
         });
     }
 
-    /** @return the max requests that were granted in any window so far. */
+    /** @return the max number of requests that were granted in any window so far. */
     std::size_t maxInWindow() const
     {
         std::size_t max = 0;
@@ -218,7 +218,7 @@
         return max;
     }
 
-    /** Whether nodes know of a claim. */
+    /** Whether a claim is known to the nodes. */
     bool isAnyClaimed = false;
     QuotaTime time;
     RequestQuota quota;
@@ -236,7 +236,7 @@
         bool isFrozen = false;
         int side = 0;
         std::uint64_t incarnation = 0;
-        /** When it was last not cut off. */
+        /** When it was last connected. */
         SteadyTime received{};
         /** When it last refused a request as a counter. */
         SteadyTime refused{};
@@ -311,7 +311,7 @@
         const std::size_t coordinator = this->nodes[node]->coordinator;
         const std::size_t target
             = counter == QuotaClient::Counter::Coordinator ? coordinator : (coordinator + 1) % this->nodes.size();
-        // Nobody counts before there is a claim.
+        // No node counts before there is a claim.
         if (target == node && (this->hasLostContact(*this->nodes[node]) || !this->isAnyClaimed)) {
             return false;
         }
--- a/Tests/LibWorkspace/TestCredentials.cpp
+++ b/Tests/LibWorkspace/TestCredentials.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("a key is read whatever the case of its scheme, and whatever spaces stand before it")
+TEST_CASE("a key is read with any case of the scheme and any spaces before it")
 {
     const KeyDigest key = KeyDigest::of("abc-._~+/9==");
     for (const char *const line : {"Bearer abc-._~+/9==", "bearer abc-._~+/9==", "BEARER   abc-._~+/9=="}) {
@@ -27,7 +27,7 @@
     }
 }
 
-TEST_CASE("no line is not the same as a line that holds no key")
+TEST_CASE("a missing line differs from a line without a key")
 {
     CHECK(readCredentials({}).state == State::Absent);
     CHECK(read("").state == State::Malformed);
@@ -35,8 +35,8 @@
     CHECK(read("Bearer ").state == State::Malformed);
 }
 
-// Guards against a key that this system and a server behind it would read differently.
-TEST_CASE("whatever is no single bearer key is malformed")
+// Guards against a key that this system and an upstream server would read differently.
+TEST_CASE("anything but a single bearer key is malformed")
 {
     for (const char *const line :
          {"Basic abc", "Bearer a b", "Bearer a,b", "Bearer =", "Bearer a=b", "Bearer\tabc", "abc", "Bearer \"abc\""}) {
@@ -46,7 +46,7 @@
     CHECK(read("Bearer " + std::string(8192, 'k')).state == State::Malformed);
 }
 
-TEST_CASE("keys that differ have digests that differ, and hash differently")
+TEST_CASE("different keys have different digests and hashes")
 {
     CHECK(KeyDigest::of("a") == KeyDigest::of("a"));
     CHECK(KeyDigest::of("a") != KeyDigest::of("A"));
--- a/Tests/LibWorkspace/TestQuotaBucket.cpp
+++ b/Tests/LibWorkspace/TestQuotaBucket.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("a bucket grants its burst and margin at once, and its rate from then on")
+TEST_CASE("a bucket grants its burst and margin at once, then its rate")
 {
     QuotaBucket bucket(begin, tenASecond, 2, 100);
     CHECK(takeAll(bucket, begin) == 7);
@@ -31,21 +31,21 @@
     CHECK(takeAll(bucket, begin + milliseconds(10500)) == 7);
 }
 
-TEST_CASE("each who is refused is told a time behind those before")
+TEST_CASE("each refused request gets a later retry time than those refused before")
 {
     QuotaBucket bucket(begin, tenASecond, 0, 0);
     CHECK(*bucket.tryAcquire(begin) == milliseconds(100));
     CHECK(*bucket.tryAcquire(begin) == milliseconds(200));
     CHECK(*bucket.tryAcquire(begin) == milliseconds(300));
     CHECK(*bucket.tryAcquire(begin + milliseconds(90)) == milliseconds(310));
-    // All of them had their time to come back.
+    // The retry times of all refused requests have passed.
     for (int request = 0; request < 5; ++request) {
         CHECK_FALSE(bucket.tryAcquire(begin + milliseconds(2000)));
     }
     CHECK(*bucket.tryAcquire(begin + milliseconds(2000)) == milliseconds(100));
 }
 
-TEST_CASE("a quota that is lowered takes what is above it, and one that is raised gives nothing at once")
+TEST_CASE("lowering a quota drops tokens above the new capacity, and raising it adds none at once")
 {
     QuotaBucket bucket(begin, tenASecond, 0, 5);
     bucket.setQuota(begin, {2, 1}, 0);
@@ -55,7 +55,7 @@
     CHECK(takeAll(bucket, begin + milliseconds(100)) == 10);
 }
 
-TEST_CASE("a quota of nothing refuses, and tells a time all the same")
+TEST_CASE("a zero quota refuses every request and still gives a retry time")
 {
     QuotaBucket bucket(begin, {0, 0}, 0, 0);
     CHECK(*bucket.tryAcquire(begin) == std::chrono::seconds(60));
--- a/Tests/LibWorkspace/TestQuotaClient.cpp
+++ b/Tests/LibWorkspace/TestQuotaClient.cpp
@@ -25,7 +25,7 @@
         });
     }
 
-    /** Let time pass as a node does, tick by tick. */
+    /** Advances the clock in the tick interval of a node. */
     void pass(milliseconds time)
     {
         for (milliseconds passed(0); passed < time; passed += milliseconds(20)) {
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE("a query is repeated, then goes to the successor, then is decided alone")
+TEST_CASE("a query is sent again, then goes to the successor, then is decided locally")
 {
     Bench bench;
     bench.query();
@@ -71,12 +71,12 @@
     CHECK_FALSE(bench.decision);
     bench.pass(milliseconds(80));
     REQUIRE(bench.decision);
-    // It has never been in touch with a counter, so no part is its own.
+    // The client never received an answer from a counter, so the node has no share of its own.
     CHECK(bench.decision->kind == QuotaDecision::Kind::Unknown);
     CHECK(bench.decision->retryAfter > milliseconds(0));
 }
 
-TEST_CASE("a coordinator that did not answer is passed by for a while, and one that answers again is queried again")
+TEST_CASE("a coordinator that did not answer is skipped for a while, and queried again afterwards")
 {
     Bench bench;
     bench.query();
@@ -92,8 +92,8 @@
     CHECK(bench.queried.back() == Counter::Coordinator);
 }
 
-// Guards against callers that a node refuses because it has not met anybody yet, though it will in a moment.
-TEST_CASE("a node that has nobody to ask waits to meet somebody for a moment")
+// Guards against refusing callers on a node that has just started and has not discovered the other nodes yet.
+TEST_CASE("a node without a counter to query waits a moment for other nodes")
 {
     Bench bench;
     bench.hasCoordinator = false;
@@ -115,7 +115,7 @@
     CHECK(bench.decision->kind == QuotaDecision::Kind::Unknown);
 }
 
-TEST_CASE("an answer that comes after the query was given up is nobody's")
+TEST_CASE("an answer to a cancelled query is ignored")
 {
     Bench bench;
     bench.query();
--- a/Tests/LibWorkspace/TestQuotaReplay.cpp
+++ b/Tests/LibWorkspace/TestQuotaReplay.cpp
@@ -22,7 +22,7 @@
     return bounds.allowed(quota) + bounds.tolerance(quota);
 }
 
-/** Requests that come evenly to the nodes of a range. */
+/** A load of requests that arrive evenly at a range of nodes. */
 struct Load
 {
     double perSecond = 0;
@@ -38,14 +38,14 @@
     for (milliseconds passed(0); passed < length; passed += step) {
         due += load.perSecond * std::chrono::duration<double>(step).count();
         for (; due >= 1; due -= 1) {
-            // Strides over the nodes, so that neighbours in time are not neighbours in place.
+            // Steps over the nodes, so that consecutive requests arrive at nodes that are not adjacent.
             fleet.request(load.firstNode + next++ * 7 % load.nodes);
         }
         fleet.time.runFor(step);
     }
 }
 
-/** @return the same load, but at least a request an interval for small rates. */
+/** Applies the load to all nodes; small rates get at least one request per interval. */
 void playEverywhere(QuotaFleet &fleet, double perSecond, milliseconds length)
 {
     play(fleet, {perSecond, 0, fleet.size()}, length);
@@ -53,13 +53,13 @@
 
 } // namespace
 
-TEST_CASE("who keeps the limit is never refused while nothing fails")
+TEST_CASE("callers within the limit are never refused while nothing fails")
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 1);
         fleet.setCoordinator(0);
         playEverywhere(fleet, 0, seconds(6));
-        // As loads are: mostly below the limit, and above it for two seconds of five.
+        // A bursty load: below the limit most of the time, and above it for about two of five seconds.
         for (int wave = 0; wave < 6; ++wave) {
             playEverywhere(fleet, quota.perSecond * 0.24, seconds(3));
             playEverywhere(fleet, quota.perSecond * 1.16, milliseconds(2200));
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("a flood gets its limit and no more, wherever it comes in")
+TEST_CASE("overload gets its limit and no more, whichever nodes it arrives at")
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 2);
@@ -82,8 +82,8 @@
     }
 }
 
-// Guards against a limit that is granted twice when its counter is lost: the one that follows does not know what was used.
-TEST_CASE("a counter that is killed in a flood does not let the flood through, and others take over at once")
+// Guards against granting the limit twice when its counter is lost: the successor does not know what was used.
+TEST_CASE("the limit holds when a counter is killed under overload, and others take over at once")
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 3);
@@ -98,7 +98,7 @@
     }
 }
 
-TEST_CASE("who keeps the limit hardly feels the loss of a counter")
+TEST_CASE("callers within the limit are hardly refused when a counter is lost")
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 4);
@@ -113,8 +113,8 @@
     }
 }
 
-// Guards against a limit that begins anew with a fleet: all nodes lose power in a flood and are back a second later.
-TEST_CASE("the limit holds over a loss of all nodes")
+// Guards against granting the limit again after a restart: all nodes lose power under overload and restart a second later.
+TEST_CASE("the limit holds when all nodes are lost and restart")
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 5);
@@ -128,7 +128,7 @@
         fleet.time.runFor(seconds(1));
         for (std::size_t node = 0; node < fleet.size(); ++node) {
             fleet.start(node);
-            // Until there is a claim, views differ: two hold themselves for the coordinator.
+            // Views differ until there is a claim: two nodes regard themselves as the coordinator.
             fleet.setCoordinator(node, node % 2 == 0 ? 4 : 9);
         }
         playEverywhere(fleet, quota.perSecond * 8, milliseconds(500));
@@ -138,8 +138,8 @@
     }
 }
 
-// Guards against a fleet of counters: nodes that have just started take callers before they have met the others.
-TEST_CASE("the limit holds over a loss of all nodes after which each holds itself for the counter at first")
+// Guards against many counters at once: restarted nodes serve callers before they have discovered the other nodes.
+TEST_CASE("the limit holds when all nodes restart and each one regards itself as the counter at first")
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 14);
@@ -162,7 +162,7 @@
     }
 }
 
-TEST_CASE("a third of the nodes, each cut off alone, serve on and keep the limit together with the others")
+TEST_CASE("a third of the nodes, each isolated, keep serving and keep the limit together with the others")
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(60, bounds, quota, 6);
@@ -178,8 +178,8 @@
     }
 }
 
-// Guards against two counters that each grant the whole limit: the others have another one, and it does not know.
-TEST_CASE("a counter that is cut off in a flood, or stood still, stops to be one")
+// Guards against two counters that each grant the whole limit: a disconnected counter does not know that it was replaced.
+TEST_CASE("a counter that is disconnected or paused under overload gives up its role")
 {
     for (const RequestQuota &quota : {small, large}) {
         for (const bool isFrozen : {false, true}) {
@@ -195,7 +195,7 @@
                 fleet.setCoordinator(node, node == 20 ? 20 : 21);
             }
             fleet.claim(21);
-            // Half of the flood comes in where the old counter is.
+            // Half of the load arrives at the node of the old counter.
             for (int step = 0; step < 40; ++step) {
                 play(fleet, {quota.perSecond * 8, 20, 1}, milliseconds(100));
                 playEverywhere(fleet, quota.perSecond * 8, milliseconds(100));
@@ -213,12 +213,12 @@
     }
 }
 
-// Guards against a whole limit in each part of a fleet that is cut in two, where each part has a counter.
-TEST_CASE("a fleet that is cut in two keeps the limit together, whichever part the counter is in, and serves on")
+// Guards against granting the whole limit in each part of a partitioned fleet, where each part has a counter.
+TEST_CASE("a partitioned fleet keeps the limit, whichever part the counter is in, and keeps serving")
 {
     for (const RequestQuota &quota : {small, large}) {
         for (const std::size_t first : {std::size_t(9), std::size_t(21), std::size_t(30)}) {
-            // Its successor, the next one, is in the other part.
+            // The successor, which is the next node, is in the other part.
             for (const std::size_t coordinator : {first - 1, std::size_t(58)}) {
                 QuotaFleet fleet(59, bounds, quota, 13);
                 fleet.setCoordinator(coordinator);
@@ -226,7 +226,7 @@
                 playEverywhere(fleet, quota.perSecond * 4, seconds(2));
                 fleet.cutInTwo(first);
                 playEverywhere(fleet, quota.perSecond * 4, milliseconds(350));
-                // Those that are cut off from the counter have another one.
+                // The nodes that are separated from the counter get another one.
                 const std::size_t other = (coordinator + 1) % fleet.size();
                 for (std::size_t node = 0; node < fleet.size(); ++node) {
                     fleet.setCoordinator(node, (node < first) == (coordinator < first) ? coordinator : other);
@@ -235,7 +235,7 @@
                 const std::size_t before = fleet.granted.size();
                 playEverywhere(fleet, quota.perSecond * 8, seconds(12));
                 CHECK_MESSAGE(static_cast<double>(fleet.maxInWindow()) <= bound(quota), first, coordinator, fleet.maxInWindow());
-                // Of two halves neither knows which one is the larger.
+                // With two equal halves neither knows that it is the larger part.
                 const double served = first == 30 ? 0.6 : 0.8;
                 CHECK(static_cast<double>(fleet.granted.size() - before) >= quota.perSecond * 12 * served);
                 fleet.cutInTwo(0);
@@ -247,8 +247,8 @@
     }
 }
 
-// Guards against each node taking what is left for its own: alone, none knows what the others grant.
-TEST_CASE("nodes that are all cut off from each other keep the limit together")
+// Guards against isolated nodes that each grant the whole remaining quota: none knows what the others grant.
+TEST_CASE("nodes that are all isolated from each other keep the limit together")
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 9);
@@ -263,8 +263,8 @@
     }
 }
 
-// Guards against a duty that moves, by a view that changes, with nobody silent and nothing handed over.
-TEST_CASE("a counter that takes over without a word assumes that all was used")
+// Guards against a role that moves because of a changed view, without an unresponsive node and without a handover.
+TEST_CASE("a counter that takes over without a handover assumes that the quota is used up")
 {
     for (const RequestQuota &quota : {small, large}) {
         QuotaFleet fleet(59, bounds, quota, 10);
@@ -277,8 +277,8 @@
     }
 }
 
-// Guards against questions that are repeated for a lost answer and use up the limit twice.
-TEST_CASE("who keeps the limit is hardly refused where every tenth datagram is lost")
+// Guards against counting a query twice that is sent again because its answer was lost.
+TEST_CASE("callers within the limit are hardly refused when every tenth datagram is lost")
 {
     QuotaFleet fleet(59, bounds, large, 11);
     fleet.links = {0.1, 0.1};
@@ -289,21 +289,21 @@
     CHECK(fleet.unknown * 200 <= fleet.requests);
 }
 
-TEST_CASE("a counter that leaves as planned tells what is left, so that nobody is refused for it")
+TEST_CASE("a planned handover passes on the remaining quotas, so that it causes no refusals")
 {
     QuotaFleet fleet(59, bounds, large, 7);
     fleet.setCoordinator(0);
     playEverywhere(fleet, 0, seconds(6));
     playEverywhere(fleet, large.perSecond * 0.6, seconds(3));
     fleet.handOver(0, 1);
-    // More than a counter could grant that has to assume the worst.
+    // More than a counter without a handover could grant.
     playEverywhere(fleet, large.perSecond * 1.8, seconds(1));
     CHECK(fleet.overLimit + fleet.unknown == 0);
     playEverywhere(fleet, large.perSecond * 8, seconds(6));
     CHECK(static_cast<double>(fleet.maxInWindow()) <= bound(large));
 }
 
-TEST_CASE("a limit that is lowered far below its use holds a window later, one that is raised at once")
+TEST_CASE("a limit lowered far below its use holds one window later, a raised one at once")
 {
     QuotaFleet fleet(59, bounds, large, 8);
     fleet.setCoordinator(0);
@@ -319,8 +319,8 @@
     CHECK(static_cast<double>(fleet.granted.size()) >= large.perSecond * 1.7);
 }
 
-// An exact sliding window is the judge; the failures are those of the list above, at random moments and in any order.
-TEST_CASE("the limit holds whatever fails")
+// Checks against an exact sliding window, with the failures of the tests above at random moments and in any order.
+TEST_CASE("the limit holds under random failures")
 {
     const bool holds = rc::check("no window goes beyond its bound", [] {
         const RequestQuota quota{static_cast<double>(*rc::gen::inRange(2, 80)), static_cast<double>(*rc::gen::inRange(0, 80))};
@@ -330,9 +330,9 @@
         fleet.setCoordinator(0);
         playEverywhere(fleet, quota.perSecond * 0.5, seconds(5));
         std::size_t coordinator = 0;
-        // Losses of the counter: between two of them, a window passes. More often, each costs another part of the tolerance.
+        // At least one window passes between losses of the counter; more frequent ones each use another part of the tolerance.
         for (int round = 0; round < 3; ++round) {
-            const int flood = *rc::gen::inRange(1, 9);
+            const int overload = *rc::gen::inRange(1, 9);
             const auto fault = *rc::gen::inRange(0, 6);
             const std::size_t next = (coordinator + 1) % nodes;
             if (fault == 0) {
@@ -348,14 +348,14 @@
                     fleet.cut((coordinator + 1 + node) % nodes, true);
                 }
             }
-            playEverywhere(fleet, quota.perSecond * flood, milliseconds(*rc::gen::inRange(100, 500)));
+            playEverywhere(fleet, quota.perSecond * overload, milliseconds(*rc::gen::inRange(100, 500)));
             if (fault < 4) {
                 for (std::size_t node = 0; node < nodes; ++node) {
                     fleet.setCoordinator(node, fault == 3 && node == coordinator ? coordinator : next);
                 }
                 fleet.claim(next);
             }
-            playEverywhere(fleet, quota.perSecond * flood, milliseconds(5200));
+            playEverywhere(fleet, quota.perSecond * overload, milliseconds(5200));
             if (fault < 2) {
                 fleet.kill(coordinator);
                 fleet.start(coordinator);
@@ -372,8 +372,8 @@
     CHECK(holds);
 }
 
-// Guards against two counters at the moments when a fleet is cut in two and when it is whole again.
-TEST_CASE("the limit holds wherever and whenever a fleet is cut in two")
+// Guards against two counters at the moments when a partition starts and when it ends.
+TEST_CASE("the limit holds wherever and whenever a fleet is partitioned")
 {
     const bool holds = rc::check("no window goes beyond its bound", [] {
         const RequestQuota quota{static_cast<double>(*rc::gen::inRange(2, 80)), static_cast<double>(*rc::gen::inRange(0, 80))};
@@ -384,25 +384,25 @@
         fleet.setCoordinator(coordinator);
         playEverywhere(fleet, quota.perSecond * 0.5, seconds(5));
         for (int round = 0; round < 2; ++round) {
-            const double flood = *rc::gen::inRange(1, 9);
-            // Its successor is in the other part.
+            const double overload = *rc::gen::inRange(1, 9);
+            // The successor is in the other part.
             const std::size_t other = (coordinator + 1) % nodes;
             const std::size_t first
                 = other > 0 ? other : static_cast<std::size_t>(*rc::gen::inRange<int>(1, static_cast<int>(nodes)));
-            playEverywhere(fleet, quota.perSecond * flood * *rc::gen::inRange(0, 2), seconds(2));
+            playEverywhere(fleet, quota.perSecond * overload * *rc::gen::inRange(0, 2), seconds(2));
             fleet.cutInTwo(first);
-            // Others miss the counter, and its silence is waited for.
-            playEverywhere(fleet, quota.perSecond * flood, milliseconds(*rc::gen::inRange(310, 600)));
+            // The other nodes have lost the counter, and the timeout for it passes.
+            playEverywhere(fleet, quota.perSecond * overload, milliseconds(*rc::gen::inRange(310, 600)));
             for (std::size_t node = 0; node < nodes; ++node) {
                 fleet.setCoordinator(node, (node < first) == (coordinator < first) ? coordinator : other);
             }
             fleet.claim(other);
-            playEverywhere(fleet, quota.perSecond * flood, milliseconds(*rc::gen::inRange(200, 8000)));
+            playEverywhere(fleet, quota.perSecond * overload, milliseconds(*rc::gen::inRange(200, 8000)));
             fleet.cutInTwo(0);
-            playEverywhere(fleet, quota.perSecond * flood, milliseconds(*rc::gen::inRange(0, 300)));
+            playEverywhere(fleet, quota.perSecond * overload, milliseconds(*rc::gen::inRange(0, 300)));
             fleet.setCoordinator(other);
             coordinator = other;
-            playEverywhere(fleet, quota.perSecond * flood, milliseconds(5200));
+            playEverywhere(fleet, quota.perSecond * overload, milliseconds(5200));
         }
         RC_ASSERT(static_cast<double>(fleet.maxInWindow()) <= bound(quota));
     });
--- a/Tests/LibWorkspace/TestWorkspaceDirectory.cpp
+++ b/Tests/LibWorkspace/TestWorkspaceDirectory.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("each key of a workspace leads to it, and no other key does")
+TEST_CASE("each key of a workspace finds it, and no other key does")
 {
     WorkspaceDirectory directory;
     CHECK(directory.add(workspace("a"), {KeyDigest::of("a1"), KeyDigest::of("a2")}) == 0);
@@ -25,7 +25,7 @@
     CHECK(directory.findByKey(KeyDigest::of("c1")) == nullptr);
 }
 
-TEST_CASE("a workspace without keys is known by its name")
+TEST_CASE("a workspace without keys is found by its name")
 {
     WorkspaceDirectory directory;
     directory.add(workspace("a"), {});
@@ -34,8 +34,8 @@
     CHECK(directory.size() == 1);
 }
 
-// Guards against a caller that is billed to whoever happens to come last in a faulty configuration.
-TEST_CASE("a key that two workspaces list stays with the first")
+// Guards against attributing a caller to the workspace that comes last in a faulty configuration.
+TEST_CASE("a key listed by two workspaces stays with the first")
 {
     WorkspaceDirectory directory;
     directory.add(workspace("a"), {KeyDigest::of("k")});
