--- a/Libraries/LibBatch/Job.h
+++ b/Libraries/LibBatch/Job.h
@@ -2,7 +2,7 @@
 
 #include <LibBase/Clock.h>
 #include <LibBatch/ItemBits.h>
-#include <LibBatch/LeaseBook.h>
+#include <LibBatch/LeaseTable.h>
 #include <LibWire/Generated/Messages.h>
 
 #include <cstdint>
--- a/Libraries/LibBatch/LeaseBook.cpp
+++ b/Libraries/LibBatch/LeaseTable.cpp
@@ -1,4 +1,4 @@
-#include <LibBatch/LeaseBook.h>
+#include <LibBatch/LeaseTable.h>
 
 #include <algorithm>
 #include <iterator>
