--- a/Benchmarks/Measure/DecisionsBatch.cpp
+++ b/Benchmarks/Measure/DecisionsBatch.cpp
@@ -65,7 +65,7 @@
         table.submit(job);
         table.apply(job);
     }
-    for (const JobDemand &demand : table.takeChanged()) {
+    for (const JobDemand &demand : table.drainChanged()) {
         schedule.update(demand);
     }
     const double each = nanosecondsEach(decisions, [&](int) {
@@ -91,14 +91,14 @@
 {
     constexpr std::uint32_t owners = 390;
     ManualClock clock;
-    OwnerChoice choice(clock);
+    OwnerSelector choice(clock);
     std::vector<SessionNumber> candidates;
     for (std::uint32_t i = 1; i <= owners; ++i) {
         candidates.emplace_back(i);
     }
     const double each = nanosecondsEach(5000, [&](int i) {
-        const auto owner = choice.choose(model, candidates);
-        choice.learn(model, *owner, 100, WallTime(std::chrono::seconds(i * 7919 % 86400)));
+        const auto owner = choice.select(model, candidates);
+        choice.recordAnswer(model, *owner, 100, WallTime(std::chrono::seconds(i * 7919 % 86400)));
         clock.advance(std::chrono::milliseconds(10));
     });
     printFigure("decisionsbatch.choose_of_390_owners", each, "ns");
@@ -113,7 +113,7 @@
     const double each = nanosecondsEach(200000, [&](int i) {
         const auto number = static_cast<std::uint32_t>(i);
         lane.observeOnline(SessionNumber(1 + number % 390), number + 1, number % 3);
-        places += lane.freePlaces() + lane.excess();
+        places += lane.freeSlots() + lane.excess();
     });
     printFigure("decisionsbatch.lane_notice", each, "ns");
     // Read, so that the decisions are not left out by the compiler.
@@ -158,7 +158,7 @@
             table.commit(result);
             table.apply(result);
         }
-        while (const auto draft = table.takeDraft(1U << 24U)) {
+        while (const auto draft = table.nextDraft(1U << 24U)) {
             table.apply(table.recordOf(*draft, "results/" + job.jobId.value() + '/' + std::to_string(draft->page)));
         }
         most = std::max(most, heapBytes() - before);
--- a/Libraries/LibBatch/HeadroomEstimate.cpp
+++ b/Libraries/LibBatch/HeadroomEstimate.cpp
@@ -9,7 +9,7 @@
 {
 
 /** What is left of an arrival's weight at each later one: the last thousand or so count. */
-constexpr double decay = 0.999;
+constexpr double weightDecay = 0.999;
 
 } // namespace
 
@@ -30,27 +30,27 @@
         this->recent.pop_front();
     }
     for (std::uint32_t arrived = this->last + 1; arrived <= online; ++arrived) {
-        std::uint32_t least = this->last;
+        std::uint32_t min = this->last;
         for (const Sample &sample : this->recent) {
-            least = std::min(least, sample.online);
+            min = std::min(min, sample.online);
         }
-        const std::size_t rise = std::min<std::size_t>(arrived - least, mostRise);
+        const std::size_t rise = std::min<std::size_t>(arrived - min, maxRise);
         for (double &weight : this->weights) {
-            weight *= decay;
+            weight *= weightDecay;
         }
         this->weights[rise] += 1;
-        this->sum = this->sum * decay + 1;
+        this->sum = this->sum * weightDecay + 1;
     }
     this->recent.push_back({now, online});
     this->last = online;
 }
 
-std::uint32_t HeadroomEstimate::value(double shortShare) const
+std::uint32_t HeadroomEstimate::value(double noSlotShare) const
 {
     double above = 0;
-    for (std::size_t rise = mostRise; rise > 0; --rise) {
+    for (std::size_t rise = maxRise; rise > 0; --rise) {
         above += this->weights[rise];
-        if (above > this->sum * shortShare) {
+        if (above > this->sum * noSlotShare) {
             return static_cast<std::uint32_t>(rise);
         }
     }
--- a/Libraries/LibBatch/HeadroomEstimate.h
+++ b/Libraries/LibBatch/HeadroomEstimate.h
@@ -32,7 +32,7 @@
      * @param shortShare share of arrivals that may find less than they need
      * @return places to keep free
      */
-    std::uint32_t value(double shortShare) const;
+    std::uint32_t value(double noSlotShare) const;
 
 private:
     struct Sample
@@ -41,7 +41,7 @@
         std::uint32_t online = 0;
     };
 
-    static constexpr std::size_t mostRise = 64;
+    static constexpr std::size_t maxRise = 64;
 
     const Clock &clock;
     std::chrono::nanoseconds reaction;
@@ -49,7 +49,7 @@
     std::deque<Sample> recent;
     std::uint32_t last = 0;
     /** Arrivals by their rise. */
-    std::array<double, mostRise + 1> weights{};
+    std::array<double, maxRise + 1> weights{};
     double sum = 0;
 };
 
--- a/Libraries/LibBatch/Job.cpp
+++ b/Libraries/LibBatch/Job.cpp
@@ -7,7 +7,7 @@
 {
 
 Job::Job(JobRecord record)
-    : job(std::move(record)), taken(this->job.itemCount), done(this->job.itemCount), failures(this->job.itemCount)
+    : job(std::move(record)), assigned(this->job.itemCount), done(this->job.itemCount), failures(this->job.itemCount)
 {
     this->job.itemsPerObject = std::max(this->job.itemsPerObject, 1U);
     this->pages.resize((this->job.itemCount + this->job.itemsPerObject - 1) / this->job.itemsPerObject);
@@ -43,7 +43,7 @@
 
 std::uint32_t Job::waiting() const
 {
-    return this->isDurable && this->state() == JobState::Running ? this->job.itemCount - this->takenCount : 0;
+    return this->isDurable && this->state() == JobState::Running ? this->job.itemCount - this->assignedCount : 0;
 }
 
 std::optional<ItemSpan> Job::lease(std::uint32_t limit, SessionNumber runner, SteadyTime end)
@@ -51,48 +51,48 @@
     if (this->waiting() == 0 || limit == 0) {
         return std::nullopt;
     }
-    const std::uint32_t first = this->taken.firstClear(this->firstWaiting);
+    const std::uint32_t first = this->assigned.firstClear(this->firstWaiting);
     const std::uint32_t page = this->pageOf(first);
     const std::uint32_t pageEnd = this->firstOf(page) + this->sizeOf(page);
     std::uint32_t next = first;
-    while (next < pageEnd && next - first < limit && !this->taken.test(next)) {
-        this->taken.set(next++);
+    while (next < pageEnd && next - first < limit && !this->assigned.test(next)) {
+        this->assigned.set(next++);
     }
     const ItemSpan span{first, next - first};
-    this->takenCount += span.count;
+    this->assignedCount += span.count;
     this->firstWaiting = next;
-    this->leaseBook.add(span, runner, end);
+    this->leaseTable.add(span, runner, end);
     return span;
 }
 
-void Job::giveBack(std::uint32_t index, SessionNumber runner)
+void Job::returnItem(std::uint32_t index, SessionNumber runner)
 {
-    if (index < this->job.itemCount && this->leaseBook.isHeldBy(index, runner)) {
-        this->leaseBook.remove(index);
+    if (index < this->job.itemCount && this->leaseTable.isHeldBy(index, runner)) {
+        this->leaseTable.remove(index);
         this->returnItems({{index, 1}});
     }
 }
 
-bool Job::keep(std::uint32_t index, SessionNumber runner, SteadyTime end)
+bool Job::confirmLease(std::uint32_t index, SessionNumber runner, SteadyTime end)
 {
     if (this->state() != JobState::Running || index >= this->job.itemCount || this->done.test(index)) {
         return false;
     }
-    if (this->leaseBook.isHeldBy(index, runner)) {
+    if (this->leaseTable.isHeldBy(index, runner)) {
         return true;
     }
-    if (this->taken.test(index)) {
+    if (this->assigned.test(index)) {
         return false;
     }
-    this->taken.set(index);
-    ++this->takenCount;
-    this->leaseBook.add({index, 1}, runner, end);
+    this->assigned.set(index);
+    ++this->assignedCount;
+    this->leaseTable.add({index, 1}, runner, end);
     return true;
 }
 
 void Job::renew(const ItemSpan &span, SessionNumber runner, SteadyTime end)
 {
-    this->leaseBook.renew(span, runner, end);
+    this->leaseTable.renew(span, runner, end);
 }
 
 bool Job::returnItems(const std::vector<ItemSpan> &spans)
@@ -103,8 +103,8 @@
             if (this->done.test(index) || this->pending.contains(index)) {
                 continue;
             }
-            this->taken.clear(index);
-            --this->takenCount;
+            this->assigned.clear(index);
+            --this->assignedCount;
             this->firstWaiting = std::min(this->firstWaiting, index);
             isAny = true;
         }
@@ -114,17 +114,17 @@
 
 bool Job::returnExpired(SteadyTime now)
 {
-    return this->returnItems(this->leaseBook.removeExpired(now));
+    return this->returnItems(this->leaseTable.removeExpired(now));
 }
 
 bool Job::returnRunner(SessionNumber runner)
 {
-    return this->returnItems(this->leaseBook.removeRunner(runner));
+    return this->returnItems(this->leaseTable.removeRunner(runner));
 }
 
-const LeaseBook &Job::leases() const
+const LeaseTable &Job::leases() const
 {
-    return this->leaseBook;
+    return this->leaseTable;
 }
 
 ItemVerdict Job::commit(const ItemRecord &result)
@@ -136,9 +136,9 @@
         return ItemVerdict::Superseded;
     }
     this->pending.emplace(result.index, true);
-    if (!this->taken.test(result.index)) {
-        this->taken.set(result.index);
-        ++this->takenCount;
+    if (!this->assigned.test(result.index)) {
+        this->assigned.set(result.index);
+        ++this->assignedCount;
     }
     return ItemVerdict::Journal;
 }
@@ -150,15 +150,15 @@
     }
     this->done.set(index);
     ++this->doneCount;
-    if (!this->taken.test(index)) {
-        this->taken.set(index);
-        ++this->takenCount;
+    if (!this->assigned.test(index)) {
+        this->assigned.set(index);
+        ++this->assignedCount;
     }
     if (status == ItemStatus::Failed) {
         this->failures.set(index);
         ++this->failedCount;
     }
-    this->leaseBook.remove(index);
+    this->leaseTable.remove(index);
     this->pending.erase(index);
     ++this->pages[this->pageOf(index)].done;
     return true;
@@ -202,7 +202,7 @@
 void Job::cancel()
 {
     this->cancelled = true;
-    this->leaseBook.clear();
+    this->leaseTable.clear();
 }
 
 std::uint32_t Job::pageOf(std::uint32_t index) const
@@ -245,7 +245,7 @@
     return draft;
 }
 
-void Job::undraft(std::uint32_t page)
+void Job::discardDraft(std::uint32_t page)
 {
     this->pages[page].isMoving = false;
 }
--- a/Libraries/LibBatch/Job.h
+++ b/Libraries/LibBatch/Job.h
@@ -68,21 +68,21 @@
     /** No items are handed out before: runners of an earlier owner first tell what they hold. */
     SteadyTime holdUntil{};
     /** Warned of once as being late. */
-    bool isWarnedOf = false;
+    bool isWarned = false;
     /** What the table's sum of waiting items has of this job. */
-    std::uint32_t countedWaiting = 0;
+    std::uint32_t waitingInTotal = 0;
 
     /** Lease a run of waiting items that stand in one object. */
     std::optional<ItemSpan> lease(std::uint32_t limit, SessionNumber runner, SteadyTime end);
 
     /** An item that is leased to the runner waits again. */
-    void giveBack(std::uint32_t index, SessionNumber runner);
+    void returnItem(std::uint32_t index, SessionNumber runner);
 
     /**
      * A runner tells that it has an item, leased perhaps by an earlier owner.
      * @return whether it may go on with it
      */
-    bool keep(std::uint32_t index, SessionNumber runner, SteadyTime end);
+    bool confirmLease(std::uint32_t index, SessionNumber runner, SteadyTime end);
 
     /** Extend a runner's leases on items that it told of. */
     void renew(const ItemSpan &span, SessionNumber runner, SteadyTime end);
@@ -91,7 +91,7 @@
     bool returnExpired(SteadyTime now);
     bool returnRunner(SessionNumber runner);
 
-    const LeaseBook &leases() const;
+    const LeaseTable &leases() const;
 
     ItemVerdict commit(const ItemRecord &result);
 
@@ -107,7 +107,7 @@
     std::optional<PageDraft> draft(std::uint32_t page);
 
     /** The draft could not be written. */
-    void undraft(std::uint32_t page);
+    void discardDraft(std::uint32_t page);
 
     /** @return where the results of the first page that has some, from an item on, are. */
     PageOfResults resultsFrom(std::uint32_t from) const;
@@ -147,15 +147,15 @@
     JobRecord job;
     bool cancelled = false;
     /** Items that are leased, whose result is being journalled, or that are done. */
-    ItemBits taken;
+    ItemBits assigned;
     ItemBits done;
     ItemBits failures;
-    std::uint32_t takenCount = 0;
+    std::uint32_t assignedCount = 0;
     std::uint32_t doneCount = 0;
     std::uint32_t failedCount = 0;
     /** No item before it waits. */
     std::uint32_t firstWaiting = 0;
-    LeaseBook leaseBook;
+    LeaseTable leaseTable;
     /** Items whose result is on its way to the journal. */
     std::map<std::uint32_t, bool> pending;
     std::map<std::uint32_t, Result> results;
--- a/Libraries/LibBatch/JobSchedule.cpp
+++ b/Libraries/LibBatch/JobSchedule.cpp
@@ -98,7 +98,7 @@
         entry->model = queue.get();
     }
     const bool wasWaiting = entry->tenant != nullptr;
-    this->take(*entry);
+    this->dequeue(*entry);
     entry->demand = demand;
     this->insert(*entry, wasWaiting);
 }
@@ -107,7 +107,7 @@
 {
     const auto found = this->entries.find(job);
     if (found != this->entries.end()) {
-        this->take(*found->second);
+        this->dequeue(*found->second);
         this->entries.erase(found);
     }
 }
@@ -130,8 +130,8 @@
     } else if (!wasWaiting) {
         // One that comes back has no claim to what it did not use meanwhile, else it could shut the others out for as
         // long as it was away; one that had more than its share is not let off by a short absence.
-        const std::uint64_t least = model.byServed.empty() ? tenant.served : model.byServed.begin()->first.first;
-        tenant.served = std::max(tenant.served, least);
+        const std::uint64_t minServed = model.byServed.empty() ? tenant.served : model.byServed.begin()->first.first;
+        tenant.served = std::max(tenant.served, minServed);
     }
     entry.key = {latestStartOf(entry), entry.number};
     entry.tenant = &tenant;
@@ -140,7 +140,7 @@
     model.waiting += entry.demand.waiting;
 }
 
-void JobSchedule::take(Entry &entry)
+void JobSchedule::dequeue(Entry &entry)
 {
     TenantQueue *const tenant = std::exchange(entry.tenant, nullptr);
     if (tenant == nullptr) {
@@ -197,7 +197,7 @@
     for (const auto &[id, entry] : this->entries) {
         if (entry->model == found->second.get() && entry->tenant != nullptr) {
             queued.push_back(entry.get());
-            this->take(*entry);
+            this->dequeue(*entry);
         }
     }
     found->second->timePerItem = time;
--- a/Libraries/LibBatch/JobSchedule.h
+++ b/Libraries/LibBatch/JobSchedule.h
@@ -72,7 +72,7 @@
     using Key = std::pair<WallTime, std::uint64_t>;
 
     void insert(Entry &entry, bool wasWaiting);
-    void take(Entry &entry);
+    void dequeue(Entry &entry);
     static WallTime latestStartOf(const Entry &entry);
 
     Options options;
--- a/Libraries/LibBatch/JobTable.cpp
+++ b/Libraries/LibBatch/JobTable.cpp
@@ -37,7 +37,7 @@
         job.holdUntil = this->clock.now() + this->takeoverHold;
         this->timed.insert(record.jobId);
     }
-    this->changed(job);
+    this->markChanged(job);
 }
 
 void JobTable::apply(const ItemRecord &item)
@@ -53,7 +53,7 @@
     }
     this->bytesOfResults += job.resultBytes() - before;
     this->withResults.insert(item.jobId);
-    this->changed(job);
+    this->markChanged(job);
 }
 
 void JobTable::apply(const PageRecord &page)
@@ -69,7 +69,7 @@
     if (job.resultBytes() == 0) {
         this->withResults.erase(page.jobId);
     }
-    this->changed(job);
+    this->markChanged(job);
 }
 
 void JobTable::apply(const CancelRecord &cancel)
@@ -77,7 +77,7 @@
     const auto found = this->jobs.find(cancel.jobId);
     if (found != this->jobs.end()) {
         found->second.cancel();
-        this->changed(found->second);
+        this->markChanged(found->second);
     }
 }
 
@@ -93,16 +93,16 @@
         return std::nullopt;
     }
     this->timed.insert(id);
-    this->changed(found->second);
+    this->markChanged(found->second);
     return LeasedItems{id, *span};
 }
 
-void JobTable::giveBack(const JobId &id, std::uint32_t index, SessionNumber runner)
+void JobTable::returnItem(const JobId &id, std::uint32_t index, SessionNumber runner)
 {
     const auto found = this->jobs.find(id);
     if (found != this->jobs.end()) {
-        found->second.giveBack(index, runner);
-        this->changed(found->second);
+        found->second.returnItem(index, runner);
+        this->markChanged(found->second);
     }
 }
 
@@ -113,7 +113,7 @@
         return ItemVerdict::Unknown;
     }
     const ItemVerdict verdict = found->second.commit(result);
-    this->changed(found->second);
+    this->markChanged(found->second);
     return verdict;
 }
 
@@ -128,23 +128,23 @@
     for (const ItemSpan &span : held.spans) {
         const std::uint32_t last = std::min(span.first + span.count, job.record().itemCount);
         for (std::uint32_t index = span.first; index < last; ++index) {
-            if (!job.keep(index, runner, end)) {
+            if (!job.confirmLease(index, runner, end)) {
                 lost.push_back({index, 1});
             }
         }
         job.renew(span, runner, end);
     }
     this->timed.insert(held.jobId);
-    this->changed(job);
+    this->markChanged(job);
     return true;
 }
 
-void JobTable::forgetRunner(SessionNumber runner)
+void JobTable::removeRunner(SessionNumber runner)
 {
     for (const JobId &id : this->timed) {
         Job &job = this->jobs.at(id);
         if (job.returnRunner(runner)) {
-            this->changed(job);
+            this->markChanged(job);
         }
     }
 }
@@ -159,17 +159,17 @@
             job.holdUntil = SteadyTime();
         }
         if (job.returnExpired(now) || (wasHeld && job.holdUntil == SteadyTime())) {
-            this->changed(job);
+            this->markChanged(job);
         }
         return job.holdUntil == SteadyTime() && job.leases().isEmpty();
     });
 }
 
-void JobTable::changed(Job &job)
+void JobTable::markChanged(Job &job)
 {
     const JobId &id = job.record().jobId;
-    this->waitingItems -= std::exchange(job.countedWaiting, job.waiting());
-    this->waitingItems += job.countedWaiting;
+    this->waitingItems -= std::exchange(job.waitingInTotal, job.waiting());
+    this->waitingItems += job.waitingInTotal;
     this->dirty.insert(id);
 }
 
@@ -181,7 +181,7 @@
     return {record.jobId, record.model, record.tenant, record.due, job.remaining(), isHeld ? 0 : job.waiting()};
 }
 
-std::vector<JobDemand> JobTable::takeChanged()
+std::vector<JobDemand> JobTable::drainChanged()
 {
     std::vector<JobDemand> demands;
     demands.reserve(this->dirty.size());
@@ -191,7 +191,7 @@
     return demands;
 }
 
-std::optional<PageDraft> JobTable::takeDraft(std::size_t memoryBound)
+std::optional<PageDraft> JobTable::nextDraft(std::size_t memoryBound)
 {
     while (!this->completePages.empty()) {
         const auto [id, page] = this->completePages.front();
@@ -200,10 +200,10 @@
             return draft;
         }
     }
-    return this->bytesOfResults > memoryBound ? this->draftUnfinished() : std::nullopt;
+    return this->bytesOfResults > memoryBound ? this->draftIncompletePage() : std::nullopt;
 }
 
-std::optional<PageDraft> JobTable::draftUnfinished()
+std::optional<PageDraft> JobTable::draftIncompletePage()
 {
     for (const JobId &id : this->withResults) {
         Job &job = this->jobs.at(id);
@@ -215,9 +215,9 @@
     return std::nullopt;
 }
 
-void JobTable::undraft(const PageDraft &draft)
+void JobTable::discardDraft(const PageDraft &draft)
 {
-    this->jobs.at(draft.jobId).undraft(draft.page);
+    this->jobs.at(draft.jobId).discardDraft(draft.page);
     this->completePages.emplace_back(draft.jobId, draft.page);
 }
 
@@ -274,10 +274,10 @@
     return listed;
 }
 
-bool JobTable::warnOnce(const JobId &id)
+bool JobTable::markWarned(const JobId &id)
 {
     const auto found = this->jobs.find(id);
-    return found != this->jobs.end() && !std::exchange(found->second.isWarnedOf, true);
+    return found != this->jobs.end() && !std::exchange(found->second.isWarned, true);
 }
 
 std::size_t JobTable::waiting() const
--- a/Libraries/LibBatch/JobTable.h
+++ b/Libraries/LibBatch/JobTable.h
@@ -75,7 +75,7 @@
     std::optional<LeasedItems> lease(const JobId &id, std::uint32_t limit, SessionNumber runner);
 
     /** An item waits again: it could not be read, or its runner gave it back. */
-    void giveBack(const JobId &id, std::uint32_t index, SessionNumber runner);
+    void returnItem(const JobId &id, std::uint32_t index, SessionNumber runner);
 
     ItemVerdict commit(const ItemRecord &result);
 
@@ -87,19 +87,19 @@
     bool renew(const HeldItems &held, SessionNumber runner, std::vector<ItemSpan> &lost);
 
     /** A runner is gone for good: what it held waits again. */
-    void forgetRunner(SessionNumber runner);
+    void removeRunner(SessionNumber runner);
 
     /** Take back leases that have ended, and let go of jobs that were held after a takeover. */
     void expire();
 
     /** @return jobs whose demand may have changed since the last call. */
-    std::vector<JobDemand> takeChanged();
+    std::vector<JobDemand> drainChanged();
 
     /** @return results to move to an object now: a whole page, or a part of one if memory is short. */
-    std::optional<PageDraft> takeDraft(std::size_t memoryBound);
+    std::optional<PageDraft> nextDraft(std::size_t memoryBound);
 
     /** A draft could not be written; it is drafted again later. */
-    void undraft(const PageDraft &draft);
+    void discardDraft(const PageDraft &draft);
 
     /** @return a draft's record: to be journalled when the object is written. */
     PageRecord recordOf(const PageDraft &draft, std::string objectKey) const;
@@ -114,7 +114,7 @@
     std::vector<ListedJob> list(const WorkspaceName &tenant, std::size_t limit) const;
 
     /** Mark a job as warned of. @return whether it was not yet */
-    bool warnOnce(const JobId &id);
+    bool markWarned(const JobId &id);
 
     /** @return items that wait to be leased, over all jobs. */
     std::size_t waiting() const;
@@ -128,8 +128,8 @@
     std::vector<std::pair<RecordKind, std::string>> checkpointRecords() const;
 
 private:
-    void changed(Job &job);
-    std::optional<PageDraft> draftUnfinished();
+    void markChanged(Job &job);
+    std::optional<PageDraft> draftIncompletePage();
 
     const Clock &clock;
     std::chrono::milliseconds itemLease;
--- a/Libraries/LibBatch/Lane.cpp
+++ b/Libraries/LibBatch/Lane.cpp
@@ -12,16 +12,16 @@
 /** Share of online requests that may start a step late because no place was free. */
 constexpr double lateShare = 0.01;
 /** Share of them that may find no place at all. */
-constexpr double mostShort = 0.5;
+constexpr double maxNoSlotShare = 0.5;
 /** Their logarithms are as 19 to 1, so that a twentieth of the reactions is slower than what is followed. */
 constexpr double reactionUp = 1.1;
 constexpr double reactionDown = 0.995;
 /** Items whose prompts an engine may have before it while online requests come. */
-constexpr std::uint32_t startsAtOnce = 1;
+constexpr std::uint32_t maxStartingItems = 1;
 /** How long after its last online request a replica is held to get more. */
-constexpr std::chrono::milliseconds onlineRemembered{10000};
+constexpr std::chrono::milliseconds recentOnlineTime{10000};
 /** Entries repeat a notice ten times a second while they have requests there. */
-constexpr std::chrono::milliseconds noticeLife{1000};
+constexpr std::chrono::milliseconds noticeTimeout{1000};
 /** Reports in a row without strange streams after which a lane is settled. They lag, so one is not enough. */
 constexpr std::uint32_t reportsToSettle = 3;
 /** Reports after which an unsettled lane may start items in the places that nothing shows as taken. */
@@ -34,7 +34,11 @@
 } // namespace
 
 Lane::Lane(const Clock &clock, const Options &options)
-    : clock(clock), options(options), rises(clock, options.reaction), reaction(options.reaction), reportsMissing(reportsToSettle)
+    : clock(clock)
+    , options(options)
+    , headroomEstimate(clock, options.reaction)
+    , reaction(options.reaction)
+    , reportsUntilSettled(reportsToSettle)
 {
 }
 
@@ -52,7 +56,7 @@
     this->onlineSum += inFlight - notice.inFlight;
     this->lastOnline = inFlight > 0 ? this->clock.now() : this->lastOnline;
     notice = {sequence, inFlight, this->clock.now()};
-    this->rises.observe(this->onlineSum);
+    this->headroomEstimate.observe(this->onlineSum);
 }
 
 void Lane::forget(SessionNumber entry)
@@ -61,14 +65,14 @@
     if (found != this->notices.end()) {
         this->onlineSum -= found->second.inFlight;
         this->notices.erase(found);
-        this->rises.observe(this->onlineSum);
+        this->headroomEstimate.observe(this->onlineSum);
     }
 }
 
 void Lane::expireNotices()
 {
     // The notice that says zero may be lost, and is not repeated: without this the places would stay kept for nobody.
-    const SteadyTime oldest = this->clock.now() - noticeLife;
+    const SteadyTime oldest = this->clock.now() - noticeTimeout;
     for (auto &[entry, notice] : this->notices) {
         if (notice.at < oldest && notice.inFlight > 0) {
             this->onlineSum -= notice.inFlight;
@@ -81,22 +85,22 @@
 {
     const std::uint32_t known = this->items + this->onlineSum;
     const std::uint32_t reported = report.running + report.queued;
-    const std::uint32_t strange = reported > known + toleratedStreams ? reported - known : 0;
-    this->reportsStrange = strange > 0 ? this->reportsStrange + 1 : 0;
+    const std::uint32_t excessStreams = reported > known + toleratedStreams ? reported - known : 0;
+    this->reportsWithUnknownStreams = excessStreams > 0 ? this->reportsWithUnknownStreams + 1 : 0;
     if (this->isSettled()) {
-        if (this->reportsStrange < reportsToUnsettle) {
+        if (this->reportsWithUnknownStreams < reportsToUnsettle) {
             return;
         }
         this->unsettle();
     }
     ++this->reportsSeen;
-    this->foreign = strange;
-    this->reportsMissing = strange > 0 ? reportsToSettle : this->reportsMissing - 1;
+    this->unknownStreams = excessStreams;
+    this->reportsUntilSettled = excessStreams > 0 ? reportsToSettle : this->reportsUntilSettled - 1;
 }
 
-void Lane::observeGap(std::chrono::nanoseconds gap)
+void Lane::observeTokenGap(std::chrono::nanoseconds gap)
 {
-    this->steps.observe(gap, this->items + this->onlineSum);
+    this->stepModel.observe(gap, this->items + this->onlineSum);
 }
 
 void Lane::observeCancel(std::chrono::nanoseconds passed)
@@ -104,7 +108,7 @@
     if (!std::exchange(this->isReactionMeasured, true)) {
         this->reaction = passed;
     }
-    this->followReaction(passed);
+    this->updateReaction(passed);
 }
 
 void Lane::observeAnswer(std::chrono::nanoseconds passed)
@@ -115,41 +119,41 @@
     if (!std::exchange(this->isAnswerMeasured, true)) {
         this->reaction = passed;
     }
-    this->followReaction(passed);
+    this->updateReaction(passed);
 }
 
-void Lane::followReaction(std::chrono::nanoseconds passed)
+void Lane::updateReaction(std::chrono::nanoseconds passed)
 {
     // The notice of the request takes about as long as the engine's answer does on its way back, so that the measured time
     // stands for the whole. Followed up in large steps and down in small ones, it stays near the slowest twentieth.
     const double step = passed > this->reaction ? reactionUp : reactionDown;
     this->reaction = std::chrono::duration_cast<std::chrono::nanoseconds>(this->reaction * step);
-    this->rises.setReaction(this->reaction);
+    this->headroomEstimate.setReaction(this->reaction);
 }
 
-double Lane::shortShare() const
+double Lane::noSlotShare() const
 {
     // A place that becomes free before the engine's next step costs the request nothing, since it can start no sooner. So
     // of the requests that find no place only the share is late in whose time to the next step the reaction does not fit.
-    const auto step = this->steps.meanStep();
+    const auto step = this->stepModel.meanStep();
     const double late = step.count() > 0 ? static_cast<double>(this->reaction.count()) / static_cast<double>(step.count()) : 1;
-    return std::clamp(lateShare / std::max(late, lateShare), lateShare, mostShort);
+    return std::clamp(lateShare / std::max(late, lateShare), lateShare, maxNoSlotShare);
 }
 
 void Lane::unsettle()
 {
-    this->reportsMissing = reportsToSettle;
+    this->reportsUntilSettled = reportsToSettle;
     this->reportsSeen = 0;
 }
 
 void Lane::settle()
 {
-    this->reportsMissing = 0;
+    this->reportsUntilSettled = 0;
 }
 
 bool Lane::isSettled() const
 {
-    return this->reportsMissing == 0;
+    return this->reportsUntilSettled == 0;
 }
 
 void Lane::itemStarted()
@@ -158,7 +162,7 @@
     ++this->starting;
 }
 
-void Lane::itemProceeds()
+void Lane::itemGotFirstToken()
 {
     --this->starting;
 }
@@ -169,9 +173,9 @@
     this->starting -= proceeded ? 0 : 1;
 }
 
-bool Lane::isShared() const
+bool Lane::hasRecentOnline() const
 {
-    return this->onlineSum > 0 || (this->lastOnline > SteadyTime() && this->clock.now() - this->lastOnline < onlineRemembered);
+    return this->onlineSum > 0 || (this->lastOnline > SteadyTime() && this->clock.now() - this->lastOnline < recentOnlineTime);
 }
 
 std::uint32_t Lane::streamLimit() const
@@ -179,21 +183,21 @@
     if (this->onlineSum == 0) {
         return this->options.capacity;
     }
-    const auto most = this->steps.mostStreams(this->onlineSum, this->options.slowdown);
-    return std::min(this->options.capacity, most.value_or(this->options.capacity));
+    const auto max = this->stepModel.maxStreams(this->onlineSum, this->options.slowdown);
+    return std::min(this->options.capacity, max.value_or(this->options.capacity));
 }
 
-std::uint32_t Lane::freePlaces() const
+std::uint32_t Lane::freeSlots() const
 {
     if (!this->isSettled() && this->reportsSeen < reportsToStart) {
         return 0;
     }
     std::uint32_t limit = this->options.capacity;
-    std::uint32_t taken = this->items + (this->isSettled() ? 0 : this->foreign);
+    std::uint32_t occupied = this->items + (this->isSettled() ? 0 : this->unknownStreams);
     switch (this->options.policy) {
     case LanePolicy::Yield:
         limit = this->streamLimit();
-        taken += this->onlineSum + this->headroom();
+        occupied += this->onlineSum + this->headroom();
         break;
     case LanePolicy::FixedLimit:
         limit = std::min(limit, this->options.fixedLimit);
@@ -201,13 +205,13 @@
     case LanePolicy::Unlimited:
         break;
     }
-    const std::uint32_t free = taken < limit ? limit - taken : 0;
-    if (this->options.policy != LanePolicy::Yield || !this->isShared()) {
+    const std::uint32_t free = occupied < limit ? limit - occupied : 0;
+    if (this->options.policy != LanePolicy::Yield || !this->hasRecentOnline()) {
         return free;
     }
     // An engine reads prompts in the order they came. Were all free places filled at once, the next online request would
     // wait for the prompts of all these items: its first token was up to half as late again. One at a time, it waits for one.
-    const std::uint32_t mayStart = this->starting < startsAtOnce ? startsAtOnce - this->starting : 0;
+    const std::uint32_t mayStart = this->starting < maxStartingItems ? maxStartingItems - this->starting : 0;
     return std::min(free, mayStart);
 }
 
@@ -218,12 +222,12 @@
     }
     const std::uint32_t limit = this->streamLimit();
     const std::uint32_t headroom = this->headroom();
-    const std::uint32_t taken = this->onlineSum + this->items + (this->isSettled() ? 0 : this->foreign);
+    const std::uint32_t occupied = this->onlineSum + this->items + (this->isSettled() ? 0 : this->unknownStreams);
     // Half the headroom may be used up before items stop to give it back, else each single request would stop one.
-    if (taken + headroom / 2 <= limit) {
+    if (occupied + headroom / 2 <= limit) {
         return 0;
     }
-    return std::min(this->items, taken + headroom - limit);
+    return std::min(this->items, occupied + headroom - limit);
 }
 
 std::uint32_t Lane::running() const
@@ -244,7 +248,8 @@
 std::uint32_t Lane::headroom() const
 {
     // A replica that is kept wholly free for bursts would run no batch items at all.
-    return std::min(std::max(this->options.headroom, this->rises.value(this->shortShare())), this->options.capacity / 2);
+    return std::min(std::max(this->options.headroom, this->headroomEstimate.value(this->noSlotShare())),
+                    this->options.capacity / 2);
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibBatch/Lane.h
+++ b/Libraries/LibBatch/Lane.h
@@ -73,7 +73,7 @@
     void observeReport(const EngineLoad &report);
 
     /** A batch item got a token. @param gap since the one before */
-    void observeGap(std::chrono::nanoseconds gap);
+    void observeTokenGap(std::chrono::nanoseconds gap);
 
     /** The engine has confirmed that an item is cancelled. @param passed since it was told */
     void observeCancel(std::chrono::nanoseconds passed);
@@ -93,12 +93,12 @@
 
     void itemStarted();
     /** An item has its first token, so that the engine is done with its prompt. */
-    void itemProceeds();
+    void itemGotFirstToken();
     /** @param proceeded whether it had its first token */
     void itemStopped(bool proceeded);
 
     /** @return items that may be started now. */
-    std::uint32_t freePlaces() const;
+    std::uint32_t freeSlots() const;
 
     /** @return running items that must stop now, to give their places to online requests. */
     std::uint32_t excess() const;
@@ -121,9 +121,9 @@
         SteadyTime at{};
     };
 
-    double shortShare() const;
-    bool isShared() const;
-    void followReaction(std::chrono::nanoseconds passed);
+    double noSlotShare() const;
+    bool hasRecentOnline() const;
+    void updateReaction(std::chrono::nanoseconds passed);
 
     const Clock &clock;
     Options options;
@@ -133,16 +133,16 @@
     SteadyTime lastOnline{};
     std::uint32_t onlineSum = 0;
     std::map<SessionNumber, Notice> notices;
-    HeadroomEstimate rises;
+    HeadroomEstimate headroomEstimate;
     std::chrono::nanoseconds reaction;
     bool isReactionMeasured = false;
     bool isAnswerMeasured = false;
-    StepModel steps;
+    StepModel stepModel;
     /** Streams that the engine reports and nobody here knows of. */
-    std::uint32_t foreign = 0;
-    std::uint32_t reportsMissing = 0;
+    std::uint32_t unknownStreams = 0;
+    std::uint32_t reportsUntilSettled = 0;
     std::uint32_t reportsSeen = 0;
-    std::uint32_t reportsStrange = 0;
+    std::uint32_t reportsWithUnknownStreams = 0;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibBatch/LeaseTable.cpp
+++ b/Libraries/LibBatch/LeaseTable.cpp
@@ -7,7 +7,7 @@
 namespace Dogwoodkeel
 {
 
-void LeaseBook::add(const ItemSpan &span, SessionNumber runner, SteadyTime end)
+void LeaseTable::add(const ItemSpan &span, SessionNumber runner, SteadyTime end)
 {
     this->firstEnd = std::min(this->firstEnd, end);
     // NOTE: Ranges are never joined. A range is renewed as a whole when its runner tells of a part of it, which is right
@@ -15,7 +15,7 @@
     this->ranges.emplace(span.first, Range{span.count, runner, end});
 }
 
-void LeaseBook::renew(const ItemSpan &span, SessionNumber runner, SteadyTime end)
+void LeaseTable::renew(const ItemSpan &span, SessionNumber runner, SteadyTime end)
 {
     auto range = this->ranges.upper_bound(span.first);
     if (range != this->ranges.begin()) {
@@ -29,7 +29,7 @@
     }
 }
 
-std::map<std::uint32_t, LeaseBook::Range>::const_iterator LeaseBook::find(std::uint32_t index) const
+std::map<std::uint32_t, LeaseTable::Range>::const_iterator LeaseTable::find(std::uint32_t index) const
 {
     auto after = this->ranges.upper_bound(index);
     if (after == this->ranges.begin()) {
@@ -39,7 +39,7 @@
     return index < after->first + after->second.count ? after : this->ranges.end();
 }
 
-void LeaseBook::remove(std::uint32_t index)
+void LeaseTable::remove(std::uint32_t index)
 {
     const auto found = this->find(index);
     if (found == this->ranges.end()) {
@@ -57,13 +57,13 @@
     }
 }
 
-bool LeaseBook::isHeldBy(std::uint32_t index, SessionNumber runner) const
+bool LeaseTable::isHeldBy(std::uint32_t index, SessionNumber runner) const
 {
     const auto found = this->find(index);
     return found != this->ranges.end() && found->second.runner == runner;
 }
 
-std::vector<ItemSpan> LeaseBook::removeExpired(SteadyTime now)
+std::vector<ItemSpan> LeaseTable::removeExpired(SteadyTime now)
 {
     std::vector<ItemSpan> spans;
     if (now < this->firstEnd) {
@@ -81,7 +81,7 @@
     return spans;
 }
 
-std::vector<ItemSpan> LeaseBook::removeRunner(SessionNumber runner)
+std::vector<ItemSpan> LeaseTable::removeRunner(SessionNumber runner)
 {
     std::vector<ItemSpan> spans;
     std::erase_if(this->ranges, [&spans, runner](const auto &entry) {
@@ -94,7 +94,7 @@
     return spans;
 }
 
-std::vector<SessionNumber> LeaseBook::runners() const
+std::vector<SessionNumber> LeaseTable::runners() const
 {
     std::set<SessionNumber> sessions;
     for (const auto &[first, range] : this->ranges) {
@@ -103,12 +103,12 @@
     return {sessions.begin(), sessions.end()};
 }
 
-bool LeaseBook::isEmpty() const
+bool LeaseTable::isEmpty() const
 {
     return this->ranges.empty();
 }
 
-void LeaseBook::clear()
+void LeaseTable::clear()
 {
     this->ranges.clear();
 }
--- a/Libraries/LibBatch/LeaseTable.h
+++ b/Libraries/LibBatch/LeaseTable.h
@@ -11,7 +11,7 @@
 {
 
 /** Which runner holds which items of one job, and until when. Kept by range: lanes take items in runs. */
-class LeaseBook
+class LeaseTable
 {
 public:
     /** Lease items that nobody holds. */
--- a/Libraries/LibBatch/OwnerSelector.cpp
+++ b/Libraries/LibBatch/OwnerSelector.cpp
@@ -9,55 +9,55 @@
 /** Every such choice is the owner not asked for longest. */
 constexpr std::uint64_t exploreEvery = 4;
 /** How long an owner that had nothing is left alone: its advertisement lingers, and items may come back to it. */
-constexpr std::chrono::milliseconds emptyPause{300};
+constexpr std::chrono::milliseconds emptyOwnerPause{300};
 
 } // namespace
 
-OwnerChoice::OwnerChoice(const Clock &clock) : clock(clock)
+OwnerSelector::OwnerSelector(const Clock &clock) : clock(clock)
 {
 }
 
-std::optional<SessionNumber> OwnerChoice::choose(const std::string &model, const std::vector<SessionNumber> &candidates)
+std::optional<SessionNumber> OwnerSelector::select(const std::string &model, const std::vector<SessionNumber> &candidates)
 {
     const SteadyTime now = this->clock.now();
     std::optional<SessionNumber> urgent;
     std::optional<SessionNumber> oldest;
-    const Known *urgentKnown = nullptr;
-    const Known *oldestKnown = nullptr;
+    const OwnerState *urgentState = nullptr;
+    const OwnerState *oldestState = nullptr;
     for (const SessionNumber candidate : candidates) {
-        const Known &each = this->known[{model, candidate}];
-        if (!each.hasItems && now - each.asked < emptyPause) {
+        const OwnerState &each = this->owners[{model, candidate}];
+        if (!each.hasItems && now - each.queried < emptyOwnerPause) {
             continue;
         }
-        if (oldestKnown == nullptr || each.asked < oldestKnown->asked) {
+        if (oldestState == nullptr || each.queried < oldestState->queried) {
             oldest = candidate;
-            oldestKnown = &each;
+            oldestState = &each;
         }
-        const bool isKnown = each.asked != SteadyTime() && each.hasItems;
-        if (isKnown && (urgentKnown == nullptr || each.latestStart < urgentKnown->latestStart)) {
+        const bool isKnown = each.queried != SteadyTime() && each.hasItems;
+        if (isKnown && (urgentState == nullptr || each.latestStart < urgentState->latestStart)) {
             urgent = candidate;
-            urgentKnown = &each;
+            urgentState = &each;
         }
     }
-    const bool isNew = oldestKnown != nullptr && oldestKnown->asked == SteadyTime();
-    const bool explores = ++this->choices % exploreEvery == 0;
-    const auto chosen = isNew || explores || !urgent ? oldest : urgent;
-    if (chosen) {
-        this->known[{model, *chosen}].asked = now;
+    const bool isNew = oldestState != nullptr && oldestState->queried == SteadyTime();
+    const bool isExploring = ++this->selections % exploreEvery == 0;
+    const auto selected = isNew || isExploring || !urgent ? oldest : urgent;
+    if (selected) {
+        this->owners[{model, *selected}].queried = now;
     }
-    return chosen;
+    return selected;
 }
 
-void OwnerChoice::learn(const std::string &model, SessionNumber owner, std::uint32_t waiting, WallTime latestStart)
+void OwnerSelector::recordAnswer(const std::string &model, SessionNumber owner, std::uint32_t waiting, WallTime latestStart)
 {
-    Known &each = this->known[{model, owner}];
+    OwnerState &each = this->owners[{model, owner}];
     each.hasItems = waiting > 0;
     each.latestStart = latestStart;
 }
 
-void OwnerChoice::forget(SessionNumber owner)
+void OwnerSelector::remove(SessionNumber owner)
 {
-    std::erase_if(this->known, [owner](const auto &entry) {
+    std::erase_if(this->owners, [owner](const auto &entry) {
         return entry.first.second == owner;
     });
 }
--- a/Libraries/LibBatch/OwnerSelector.h
+++ b/Libraries/LibBatch/OwnerSelector.h
@@ -18,31 +18,31 @@
  * learned from the owners' answers, so that it costs nothing more however many owners there are. Mostly the owner with the
  * most urgent items known is asked; every few times the one not asked for longest, so that none is forgotten.
  */
-class OwnerChoice
+class OwnerSelector
 {
 public:
-    explicit OwnerChoice(const Clock &clock);
+    explicit OwnerSelector(const Clock &clock);
 
     /** @param candidates owners that advertise items of the model. @return whom to ask now, if anyone */
-    std::optional<SessionNumber> choose(const std::string &model, const std::vector<SessionNumber> &candidates);
+    std::optional<SessionNumber> select(const std::string &model, const std::vector<SessionNumber> &candidates);
 
     /** An owner answered. */
-    void learn(const std::string &model, SessionNumber owner, std::uint32_t waiting, WallTime latestStart);
+    void recordAnswer(const std::string &model, SessionNumber owner, std::uint32_t waiting, WallTime latestStart);
 
     /** An owner is gone. */
-    void forget(SessionNumber owner);
+    void remove(SessionNumber owner);
 
 private:
-    struct Known
+    struct OwnerState
     {
-        SteadyTime asked{};
+        SteadyTime queried{};
         bool hasItems = true;
         WallTime latestStart{};
     };
 
     const Clock &clock;
-    std::map<std::pair<std::string, SessionNumber>, Known> known;
-    std::uint64_t choices = 0;
+    std::map<std::pair<std::string, SessionNumber>, OwnerState> owners;
+    std::uint64_t selections = 0;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibBatch/RateMeter.cpp
+++ b/Libraries/LibBatch/RateMeter.cpp
@@ -7,7 +7,7 @@
 {
 
 /** Weight of the newest window. */
-constexpr double newest = 0.3;
+constexpr double newestWeight = 0.3;
 
 } // namespace
 
@@ -32,7 +32,7 @@
         return;
     }
     const double rate = static_cast<double>(this->counted) / passed.count();
-    this->itemsPerSecond = this->itemsPerSecond == 0 ? rate : newest * rate + (1 - newest) * this->itemsPerSecond;
+    this->itemsPerSecond = this->itemsPerSecond == 0 ? rate : newestWeight * rate + (1 - newestWeight) * this->itemsPerSecond;
     this->counted = 0;
     this->begin = this->clock.now();
 }
--- a/Libraries/LibBatch/StepModel.cpp
+++ b/Libraries/LibBatch/StepModel.cpp
@@ -10,12 +10,12 @@
 {
 
 /** Weight of the newest token once enough are known. */
-constexpr double newest = 0.002;
-constexpr double enough = 200;
+constexpr double newestWeight = 0.002;
+constexpr double minSamples = 200;
 /** Without some spread in the number of streams the line could have any slope. */
-constexpr double leastVariance = 0.25;
+constexpr double minVariance = 0.25;
 /** A gap longer than this many times the mean is the machine's or a prefill's doing, and counts as that. */
-constexpr double longestGap = 3;
+constexpr double maxGapFactor = 3;
 /** How far below the estimate the slope is taken. */
 constexpr double standardErrors = 2;
 
@@ -23,11 +23,11 @@
 
 void StepModel::observe(std::chrono::nanoseconds gap, std::uint32_t streams)
 {
-    this->weight = std::min(this->weight + 1, 1 / newest);
+    this->weight = std::min(this->weight + 1, 1 / newestWeight);
     const double share = 1 / this->weight;
     double seconds = std::chrono::duration<double>(gap).count();
-    if (this->weight > enough) {
-        seconds = std::min(seconds, this->meanGap * longestGap);
+    if (this->weight > minSamples) {
+        seconds = std::min(seconds, this->meanGap * maxGapFactor);
     }
     const double fromStreams = streams - this->meanStreams;
     const double fromGap = seconds - this->meanGap;
@@ -43,7 +43,7 @@
     return std::chrono::duration_cast<std::chrono::nanoseconds>(std::chrono::duration<double>(this->meanGap));
 }
 
-double StepModel::surePerStream() const
+double StepModel::minTimePerStream() const
 {
     const double slope = this->covariance / this->varianceStreams;
     const double unexplained = std::max(this->varianceGap - slope * this->covariance, 0.0);
@@ -52,13 +52,13 @@
     return slope - standardErrors * std::sqrt(unexplained / (this->varianceStreams * steps));
 }
 
-std::optional<std::uint32_t> StepModel::mostStreams(std::uint32_t online, double slowdown) const
+std::optional<std::uint32_t> StepModel::maxStreams(std::uint32_t online, double slowdown) const
 {
-    if (this->weight < enough || this->varianceStreams < leastVariance) {
+    if (this->weight < minSamples || this->varianceStreams < minVariance) {
         return std::nullopt;
     }
     // The least slope that the tokens seen leave likely: a noisy machine must not keep items out for no reason.
-    const double perStream = this->surePerStream();
+    const double perStream = this->minTimePerStream();
     if (perStream <= 0) {
         return std::nullopt;
     }
--- a/Libraries/LibBatch/StepModel.h
+++ b/Libraries/LibBatch/StepModel.h
@@ -22,13 +22,13 @@
      * @param slowdown how much longer their time per token may get, 0.1 for a tenth
      * @return streams that may run in all, or nothing while too little is known
      */
-    std::optional<std::uint32_t> mostStreams(std::uint32_t online, double slowdown) const;
+    std::optional<std::uint32_t> maxStreams(std::uint32_t online, double slowdown) const;
 
     /** @return the mean time per token; zero while nothing is known. */
     std::chrono::nanoseconds meanStep() const;
 
 private:
-    double surePerStream() const;
+    double minTimePerStream() const;
 
     double weight = 0;
     double meanStreams = 0;
--- a/Services/Lane/ItemSource.cpp
+++ b/Services/Lane/ItemSource.cpp
@@ -74,7 +74,7 @@
             candidates.push_back(member.session);
         }
     }
-    const std::optional<SessionNumber> chosen = this->choice.choose(model, candidates);
+    const std::optional<SessionNumber> chosen = this->choice.select(model, candidates);
     if (!chosen) {
         return;
     }
@@ -98,7 +98,7 @@
         // What may have been leased to this node is not renewed, and so is handed out again.
         return;
     }
-    this->choice.learn(model, owner, result.response->waiting, result.response->latestStart);
+    this->choice.recordAnswer(model, owner, result.response->waiting, result.response->latestStart);
     std::erase_if(this->stopped, [this](const auto &entry) {
         return this->clock.now() - entry.second > rememberStopped;
     });
@@ -136,7 +136,7 @@
 
 void ItemSource::forgetOwner(SessionNumber owner)
 {
-    this->choice.forget(owner);
+    this->choice.remove(owner);
 }
 
 ItemsByJob ItemSource::close()
--- a/Services/Lane/ItemSource.h
+++ b/Services/Lane/ItemSource.h
@@ -76,7 +76,7 @@
     PeerClient &peers;
     const JobOwners &owners;
     std::function<void(const std::string &model)> arrived;
-    OwnerChoice choice;
+    OwnerSelector choice;
     std::map<std::string, std::deque<HeldItem>> queues;
     std::map<std::string, bool> pulling;
     /** Jobs that were stopped lately: items of them may still be on their way. */
--- a/Services/Lane/LaneService.cpp
+++ b/Services/Lane/LaneService.cpp
@@ -421,7 +421,7 @@
     if (replica == nullptr || !held.isOurs || held.isLeaving || replica->isLeaving || isResting || this->draining) {
         return;
     }
-    std::uint32_t free = held.lane.freePlaces();
+    std::uint32_t free = held.lane.freeSlots();
     const auto allowed = [this, &held](const HeldItem &item) {
         return this->mayRun(held, item);
     };
@@ -447,7 +447,7 @@
     std::size_t wanted = 0;
     for (const auto &[name, held] : this->lanes) {
         if (held.serves == model && held.isOurs) {
-            wanted += held.lane.freePlaces() + (held.lane.running() + 1) / 2;
+            wanted += held.lane.freeSlots() + (held.lane.running() + 1) / 2;
         }
     }
     return std::min(wanted, static_cast<std::size_t>(this->settings->batch.prefetch));
@@ -480,12 +480,12 @@
     return {.firstToken =
                 [this, name] {
                     HeldLane &held = this->lanes.at(name);
-                    held.lane.itemProceeds();
+                    held.lane.itemGotFirstToken();
                     this->fill(name, held);
                 },
             .gap =
                 [this, name](std::chrono::nanoseconds passed) {
-                    this->lanes.at(name).lane.observeGap(passed);
+                    this->lanes.at(name).lane.observeTokenGap(passed);
                 },
             .ended =
                 [this, name, run, alive = this->alive](RunEnd end, const std::string &detail) {
--- a/Services/Owner/BatchOwner.cpp
+++ b/Services/Owner/BatchOwner.cpp
@@ -131,7 +131,7 @@
         }
         // Held dead. Should it live all the same, its results still count if they come first.
         for (const auto &[shard, state] : this->keeper.owned()) {
-            state->jobs.forgetRunner(member.session);
+            state->jobs.removeRunner(member.session);
         }
     }
     this->view = std::move(view);
@@ -169,7 +169,7 @@
         state->jobs.expire();
         Scheduled &known = this->scheduled[shard];
         known.epoch = state->row.epoch;
-        for (const JobDemand &demand : state->jobs.takeChanged()) {
+        for (const JobDemand &demand : state->jobs.drainChanged()) {
             this->schedule.update(demand);
             if (demand.remaining > 0) {
                 known.jobs.insert(demand.jobId);
@@ -187,7 +187,7 @@
 {
     for (const JobId &id : this->schedule.startingBefore(this->clock.wallNow(), warningsAtOnce)) {
         ShardState *const state = this->stateOf(id);
-        if (state == nullptr || !state->jobs.warnOnce(id)) {
+        if (state == nullptr || !state->jobs.markWarned(id)) {
             continue;
         }
         const JobDemand demand = state->jobs.demand(id);
@@ -442,7 +442,7 @@
                                  item.body = (*lines)[line + i];
                                  pull->read[order].push_back(std::move(item));
                              } else if (ShardState *const state = this->stateOf(leased.jobId)) {
-                                 state->jobs.giveBack(leased.jobId, item.index, pull->request.runner);
+                                 state->jobs.returnItem(leased.jobId, item.index, pull->request.runner);
                              }
                          }
                          if (--pull->pending == 0) {
@@ -494,7 +494,7 @@
 {
     for (const auto &[shard, state] : this->keeper.owned()) {
         while (this->moving < movesAtOnce) {
-            const auto draft = state->jobs.takeDraft(resultBytesInMemory);
+            const auto draft = state->jobs.nextDraft(resultBytesInMemory);
             if (!draft) {
                 break;
             }
@@ -521,7 +521,7 @@
             return;
         }
         if (outcome != WriteOutcome::Done && outcome != WriteOutcome::Refused) {
-            state->jobs.undraft(draft);
+            state->jobs.discardDraft(draft);
             return;
         }
         const PageRecord record = state->jobs.recordOf(draft, key);
@@ -568,7 +568,7 @@
             const Job *const job = state->jobs.find(held.jobId);
             const std::uint32_t end = job != nullptr ? std::min(span.first + span.count, job->record().itemCount) : 0;
             for (std::uint32_t index = span.first; index < end; ++index) {
-                state->jobs.giveBack(held.jobId, index, request.runner);
+                state->jobs.returnItem(held.jobId, index, request.runner);
             }
         }
     }
--- a/Tests/LibBatch/TestJobTable.cpp
+++ b/Tests/LibBatch/TestJobTable.cpp
@@ -75,7 +75,7 @@
     submit(table, job);
     table.lease(job.jobId, 4, laneA);
     CHECK(finish(table, resultOf(job.jobId, 1)));
-    table.forgetRunner(laneA);
+    table.removeRunner(laneA);
     CHECK(table.lease(job.jobId, 4, laneB)->span == ItemSpan{0, 1});
     CHECK(table.lease(job.jobId, 4, laneB)->span == ItemSpan{2, 2});
     CHECK(finish(table, resultOf(job.jobId, 0)));
@@ -170,7 +170,7 @@
             const std::uint32_t index = number % job.itemCount;
             const ItemStatus status = index % 5 == 0 ? ItemStatus::Failed : ItemStatus::Succeeded;
             RC_ASSERT(finish(table, resultOf(job.jobId, index, status)) == done.insert(index).second);
-            if (const auto draft = table.takeDraft(number % 3 == 0 ? 0 : unbounded)) {
+            if (const auto draft = table.nextDraft(number % 3 == 0 ? 0 : unbounded)) {
                 table.apply(table.recordOf(*draft, "object " + std::to_string(number)));
                 for (const ItemRecord &result : draft->results) {
                     RC_ASSERT(moved.insert(result.index).second);
--- a/Tests/LibBatch/TestLane.cpp
+++ b/Tests/LibBatch/TestLane.cpp
@@ -27,7 +27,7 @@
 {
     for (int i = 0; i < items; ++i) {
         lane.itemStarted();
-        lane.itemProceeds();
+        lane.itemGotFirstToken();
     }
 }
 
@@ -38,7 +38,7 @@
     ManualClock clock;
     Lane lane(clock, options(16, 1));
     lane.settle();
-    CHECK(lane.freePlaces() == 15);
+    CHECK(lane.freeSlots() == 15);
     start(lane, 15);
     lane.observeOnline(entryA, 2, 4);
     // Four came at once, so that four more places are to be kept free: 15 items, 4 requests and 4 places where 16 run.
@@ -89,11 +89,11 @@
 {
     ManualClock clock;
     Lane lane(clock, options(8, 0));
-    CHECK(lane.freePlaces() == 0);
+    CHECK(lane.freeSlots() == 0);
     lane.observeReport({6, 0});
-    CHECK(lane.freePlaces() == 0);
+    CHECK(lane.freeSlots() == 0);
     lane.observeReport({6, 0});
-    CHECK(lane.freePlaces() == 2);
+    CHECK(lane.freeSlots() == 2);
     start(lane, 2);
     lane.observeOnline(entryA, 1, 2);
     CHECK(lane.excess() == 2);
@@ -102,7 +102,7 @@
     }
     CHECK(lane.isSettled());
     // Two requests came at once, so places for two more are kept free. The two that are left are filled one by one.
-    CHECK(lane.freePlaces() == 1);
+    CHECK(lane.freeSlots() == 1);
 }
 
 // Two nodes each hold themselves to be the holder, because their views differ for longer than usual.
@@ -114,10 +114,10 @@
     start(lane, 2);
     lane.observeReport({8, 0});
     lane.observeReport({8, 0});
-    CHECK(lane.freePlaces() == 6);
+    CHECK(lane.freeSlots() == 6);
     lane.observeReport({8, 0});
     CHECK_FALSE(lane.isSettled());
-    CHECK(lane.freePlaces() == 0);
+    CHECK(lane.freeSlots() == 0);
 }
 
 // The online requests of a burst have ended, and several places are free at once. Were they all filled, the next request
@@ -127,19 +127,19 @@
     ManualClock clock;
     Lane lane(clock, options(8, 1));
     lane.settle();
-    CHECK(lane.freePlaces() == 7);
+    CHECK(lane.freeSlots() == 7);
     lane.observeOnline(entryA, 1, 1);
     lane.observeOnline(entryA, 2, 0);
-    CHECK(lane.freePlaces() == 1);
+    CHECK(lane.freeSlots() == 1);
     lane.itemStarted();
-    CHECK(lane.freePlaces() == 0);
-    lane.itemProceeds();
-    CHECK(lane.freePlaces() == 1);
+    CHECK(lane.freeSlots() == 0);
+    lane.itemGotFirstToken();
+    CHECK(lane.freeSlots() == 1);
     lane.itemStarted();
     lane.itemStopped(false);
-    CHECK(lane.freePlaces() == 1);
+    CHECK(lane.freeSlots() == 1);
     clock.advance(11s);
-    CHECK(lane.freePlaces() == 6);
+    CHECK(lane.freeSlots() == 6);
 }
 
 TEST_CASE("headroom follows how fast online requests have come")
@@ -197,12 +197,12 @@
 TEST_CASE("streams beside online ones are held to the slowdown that was set")
 {
     StepModel steps;
-    CHECK_FALSE(steps.mostStreams(1, 0.1));
+    CHECK_FALSE(steps.maxStreams(1, 0.1));
     for (int i = 0; i < 2000; ++i) {
         const int streams = 1 + i % 8;
         steps.observe(2000us + 100us * streams, static_cast<std::uint32_t>(streams));
     }
     // 2.1 ms alone, 2.31 ms allowed: three streams make 2.3 ms.
-    CHECK(*steps.mostStreams(1, 0.1) == 3);
-    CHECK(*steps.mostStreams(4, 0.1) == 6);
+    CHECK(*steps.maxStreams(1, 0.1) == 3);
+    CHECK(*steps.maxStreams(4, 0.1) == 6);
 }
