--- a/Libraries/LibBatch/BacklogModels.h
+++ b/Libraries/LibBatch/BacklogModels.h
@@ -9,7 +9,8 @@
 {
 
 /**
- * The bit of a model in Member::backlogModels. Two models may share one: a lane then asks an owner in vain now and then.
+ * Returns the bit of a model in Member::backlogModels. Models may share a bit; a lane then sometimes queries an owner that has no
+ * items of its model.
  */
 inline std::uint64_t backlogBit(const std::string &model)
 {
--- a/Libraries/LibBatch/HeadroomEstimate.cpp
+++ b/Libraries/LibBatch/HeadroomEstimate.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** What is left of an arrival's weight at each later one: the last thousand or so count. */
+/** Factor on the weight of an arrival with each later one: about the last thousand arrivals count. */
 constexpr double weightDecay = 0.999;
 
 } // namespace
@@ -30,11 +30,11 @@
         this->recent.pop_front();
     }
     for (std::uint32_t arrived = this->last + 1; arrived <= online; ++arrived) {
-        std::uint32_t min = this->last;
+        std::uint32_t minOnline = this->last;
         for (const Sample &sample : this->recent) {
-            min = std::min(min, sample.online);
+            minOnline = std::min(minOnline, sample.online);
         }
-        const std::size_t rise = std::min<std::size_t>(arrived - min, maxRise);
+        const std::size_t rise = std::min<std::size_t>(arrived - minOnline, maxRise);
         for (double &weight : this->weights) {
             weight *= weightDecay;
         }
--- a/Libraries/LibBatch/HeadroomEstimate.h
+++ b/Libraries/LibBatch/HeadroomEstimate.h
@@ -11,26 +11,26 @@
 {
 
 /**
- * How many places to keep free for online requests that are not known of yet. While batch items are told to stop, for one
- * reaction time, further requests arrive; how many that is, is learned from how fast their number has risen before.
+ * Estimates how many slots to keep free for online requests that are not known yet. While batch items are being stopped, which
+ * takes one reaction time, further requests arrive. Their number is estimated from past rises of the number of online requests.
  *
- * Each arrival is counted by the rise within one reaction time that it belongs to. The headroom is the least that all but
- * a small share of the arrivals would have found sufficient. Old arrivals weigh less and less.
+ * Each arrival is recorded with the rise within one reaction time that it belongs to. The headroom is the smallest number of
+ * slots that would have been sufficient for all but a small share of the arrivals. The weight of old arrivals decays.
  */
 class HeadroomEstimate
 {
 public:
-    /** @param reaction see setReaction; until one has been measured */
+    /** @param reaction initial value until a reaction time has been measured, see setReaction() */
     HeadroomEstimate(const Clock &clock, std::chrono::nanoseconds reaction);
 
-    /** @param reaction from an online request's dispatch until the places of cancelled items are free */
+    /** @param reaction time from the dispatch of an online request until the slots of cancelled items are free */
     void setReaction(std::chrono::nanoseconds reaction);
 
     void observe(std::uint32_t online);
 
     /**
-     * @param shortShare share of arrivals that may find less than they need
-     * @return places to keep free
+     * @param noSlotShare share of the arrivals that may find too few free slots
+     * @return number of slots to keep free
      */
     std::uint32_t value(double noSlotShare) const;
 
@@ -45,10 +45,10 @@
 
     const Clock &clock;
     std::chrono::nanoseconds reaction;
-    /** The numbers within the last reaction time, and the one before. */
+    /** Samples within the last reaction time, and the last one before it. */
     std::deque<Sample> recent;
     std::uint32_t last = 0;
-    /** Arrivals by their rise. */
+    /** Weights of the arrivals by their rise. */
     std::array<double, maxRise + 1> weights{};
     double sum = 0;
 };
--- a/Libraries/LibBatch/ItemBits.h
+++ b/Libraries/LibBatch/ItemBits.h
@@ -8,7 +8,7 @@
 namespace Dogwoodkeel
 {
 
-/** One bit for each item of a job. */
+/** A bit set with one bit for each item of a job. */
 class ItemBits
 {
 public:
@@ -19,13 +19,13 @@
     void set(std::uint32_t index);
     void clear(std::uint32_t index);
 
-    /** @return the first clear bit from an index on, or size(). */
+    /** @return index of the first clear bit at or after an index, or size(). */
     std::uint32_t firstClear(std::uint32_t from) const;
 
-    /** @return a run of bits as bytes, eight to each, the lowest first. */
+    /** @return a range of bits packed into bytes, lowest bit first. */
     std::string slice(std::uint32_t first, std::uint32_t count) const;
 
-    /** @return whether a bit is set in what slice() made; bits past its end are clear. */
+    /** @return whether a bit is set in a result of slice(); bits past its end are clear. */
     static bool testSlice(std::string_view slice, std::uint32_t index);
 
     static void clearInSlice(std::string &slice, std::uint32_t index);
--- a/Libraries/LibBatch/Job.cpp
+++ b/Libraries/LibBatch/Job.cpp
@@ -308,7 +308,8 @@
         if (moved.objects.empty()) {
             continue;
         }
-        // With several objects, the bits are told with each of them: what is done is done, whichever object it is in.
+        // With several objects, each record has the bits of all of them: which object holds a result does not matter for its
+        // state.
         std::string bits = this->done.slice(this->firstOf(page), this->sizeOf(page));
         const std::uint32_t end = this->firstOf(page) + this->sizeOf(page);
         for (auto result = this->results.lower_bound(this->firstOf(page)); result != this->results.end() && result->first < end;
--- a/Libraries/LibBatch/Job.h
+++ b/Libraries/LibBatch/Job.h
@@ -14,17 +14,17 @@
 namespace Dogwoodkeel
 {
 
-/** What the owner does with an item's result. */
+/** Decision on the result of an item. */
 enum class ItemVerdict {
-    /** The first result: journal it. */
+    /** The first result; the owner writes it to the journal. */
     Journal,
-    /** There is one already, or one is being journalled. */
+    /** The item already has a result, or one is being journalled. */
     Superseded,
-    /** No such job or item. */
+    /** The job or item does not exist. */
     Unknown,
 };
 
-/** Results that are to be moved out of memory into an object. */
+/** Results of one page that are to be moved from memory to an object. */
 struct PageDraft
 {
     JobId jobId;
@@ -32,22 +32,22 @@
     std::vector<ItemRecord> results;
 };
 
-/** Where the results of a part of a job are: to be merged in the order of their index. */
+/** Locations of the results of one page; the reader merges them by item index. */
 struct PageOfResults
 {
     JobState state = JobState::Absent;
     std::vector<ItemRecord> inMemory;
     std::vector<std::string> objects;
-    /** First item behind this part. */
+    /** Index of the first item after the page. */
     std::uint32_t end = 0;
 };
 
 /**
- * One batch job: which items wait, are leased or done. Three bits an item; only the results that are not yet moved to
- * objects and the leases take more.
+ * Tracks which items of one batch job are waiting, leased or done. It uses three bits per item; only leases, and results that
+ * have not been moved to objects yet, take more memory.
  *
- * Items are kept in pages of as many as one object holds, and so are results: when a page is complete its results move to
- * an object together.
+ * A page consists of the items of one input object. When all items of a page are done, their results are moved to an object
+ * together.
  */
 class Job
 {
@@ -60,42 +60,43 @@
     std::uint32_t failed() const;
     std::uint32_t remaining() const;
 
-    /** @return items that may be leased, not regarding holdUntil. */
+    /** @return number of items that may be leased, regardless of holdUntil. */
     std::uint32_t waiting() const;
 
-    /** The job is journalled. */
+    /** Whether the job is in the journal. */
     bool isDurable = false;
-    /** No items are handed out before: runners of an earlier owner first tell what they hold. */
+    /** Until when no items are leased out, so that runners can first report the leases they got from an earlier owner. */
     SteadyTime holdUntil{};
-    /** Warned of once as being late. */
+    /** Whether a warning that the job will be late was logged. */
     bool isWarned = false;
-    /** What the table's sum of waiting items has of this job. */
+    /** Waiting items of this job that are included in the total of the table. */
     std::uint32_t waitingInTotal = 0;
 
-    /** Lease a run of waiting items that stand in one object. */
+    /** Leases consecutive waiting items of one page. */
     std::optional<ItemSpan> lease(std::uint32_t limit, SessionNumber runner, SteadyTime end);
 
-    /** An item that is leased to the runner waits again. */
+    /** Ends the lease of a runner on an item; the item waits again. */
     void returnItem(std::uint32_t index, SessionNumber runner);
 
     /**
-     * A runner tells that it has an item, leased perhaps by an earlier owner.
-     * @return whether it may go on with it
+     * Confirms the lease of a runner that reports an item, possibly leased out by an earlier owner.
+     * @return whether the runner may continue with the item
      */
     bool confirmLease(std::uint32_t index, SessionNumber runner, SteadyTime end);
 
-    /** Extend a runner's leases on items that it told of. */
+    /** Extends the leases of a runner on items that it reported. */
     void renew(const ItemSpan &span, SessionNumber runner, SteadyTime end);
 
-    /** @return whether any items wait again. */
+    /** Ends expired leases. @return whether any items wait again */
     bool returnExpired(SteadyTime now);
+    /** Ends all leases of a runner. @return whether any items wait again */
     bool returnRunner(SessionNumber runner);
 
     const LeaseTable &leases() const;
 
     ItemVerdict commit(const ItemRecord &result);
 
-    /** @return whether its page is complete now and can be moved. */
+    /** Applies a durable result. @return whether its page is now complete and can be moved */
     bool apply(const ItemRecord &item);
     void apply(const PageRecord &page);
     void cancel();
@@ -103,22 +104,22 @@
     std::uint32_t pageOf(std::uint32_t index) const;
     std::uint32_t pageCount() const;
 
-    /** @return the page's results that are in memory, marked as being moved; nothing if there are none. */
+    /** @return the results of a page that are in memory, and marks the page as being moved; nothing if there are none. */
     std::optional<PageDraft> draft(std::uint32_t page);
 
-    /** The draft could not be written. */
+    /** Reverts draft() after the draft could not be written. */
     void discardDraft(std::uint32_t page);
 
-    /** @return where the results of the first page that has some, from an item on, are. */
+    /** @return locations of the results of the first page with results, starting at an item. */
     PageOfResults resultsFrom(std::uint32_t from) const;
 
-    /** @return bytes of results in memory. */
+    /** @return size of the results in memory, in bytes. */
     std::size_t resultBytes() const;
 
     /** @return pages with results in memory that are not being moved. */
     std::vector<std::uint32_t> movablePages() const;
 
-    /** @return records that restore this job, for a checkpoint. */
+    /** @return records that restore the results of this job, for a checkpoint. */
     std::vector<ItemRecord> resultsInMemory() const;
     std::vector<PageRecord> movedPages() const;
     bool isCancelled() const;
@@ -132,7 +133,7 @@
 
     struct Page
     {
-        /** Objects that results were moved to; more than one only if some were moved before the page was complete. */
+        /** Objects that results were moved to; more than one only if results were moved before the page was complete. */
         std::vector<std::string> objects;
         std::uint32_t done = 0;
         bool isMoving = false;
@@ -146,17 +147,17 @@
 
     JobRecord job;
     bool cancelled = false;
-    /** Items that are leased, whose result is being journalled, or that are done. */
+    /** Items that are not waiting: leased, done, or with a result that is being journalled. */
     ItemBits assigned;
     ItemBits done;
     ItemBits failures;
     std::uint32_t assignedCount = 0;
     std::uint32_t doneCount = 0;
     std::uint32_t failedCount = 0;
-    /** No item before it waits. */
+    /** No item before this index is waiting. */
     std::uint32_t firstWaiting = 0;
     LeaseTable leaseTable;
-    /** Items whose result is on its way to the journal. */
+    /** Items whose result is being journalled. */
     std::map<std::uint32_t, bool> pending;
     std::map<std::uint32_t, Result> results;
     std::size_t bytesOfResults = 0;
--- a/Libraries/LibBatch/JobSchedule.cpp
+++ b/Libraries/LibBatch/JobSchedule.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Items that tenants without waiting jobs had are remembered for this many of them. */
+/** Max number of tenants without waiting jobs whose served items are kept. */
 constexpr std::size_t idleTenantsKept = 1024;
 
 } // namespace
@@ -20,7 +20,7 @@
     JobDemand demand;
     std::uint64_t number = 0;
     ModelQueue *model = nullptr;
-    /** Set while it is in the queues. */
+    /** Set while the job is in the queues. */
     TenantQueue *tenant = nullptr;
     Key key;
 };
@@ -29,10 +29,10 @@
 {
     WorkspaceName name;
     std::uint64_t number = 0;
-    /** Items it has had, from where it joined. */
+    /** Items served to the tenant; starts at the count of the least served tenant. */
     std::uint64_t served = 0;
     std::map<Key, Entry *> jobs;
-    /** Its place in ModelQueue::byUrgency. */
+    /** Key in ModelQueue::byUrgency. */
     Key head;
 };
 
@@ -41,7 +41,7 @@
     std::chrono::nanoseconds timePerItem{0};
     std::uint64_t waiting = 0;
     std::map<WorkspaceName, TenantQueue> tenants;
-    /** Tenants with waiting jobs, by what they had and by their most urgent job. */
+    /** Tenants with waiting jobs, by their served items and by their most urgent job. */
     std::map<std::pair<std::uint64_t, std::uint64_t>, TenantQueue *> byServed;
     std::map<Key, TenantQueue *> byUrgency;
 
@@ -128,8 +128,8 @@
     if (!tenant.jobs.empty()) {
         model.unlink(tenant);
     } else if (!wasWaiting) {
-        // One that comes back has no claim to what it did not use meanwhile, else it could shut the others out for as
-        // long as it was away; one that had more than its share is not let off by a short absence.
+        // A returning tenant gets no credit for the time without jobs, else it could starve the others for as long. A tenant
+        // with a lead keeps it, so that a short absence does not reset it.
         const std::uint64_t minServed = model.byServed.empty() ? tenant.served : model.byServed.begin()->first.first;
         tenant.served = std::max(tenant.served, minServed);
     }
--- a/Libraries/LibBatch/JobSchedule.h
+++ b/Libraries/LibBatch/JobSchedule.h
@@ -14,19 +14,19 @@
 {
 
 /**
- * Which job's items go next, over all jobs of one owner. Least slack first: slack is what is left until a job is due,
- * less the work it still needs at the rate measured. Since time passes for all jobs alike, they are kept in the order of
- * the latest time they can start at, which changes only with their own progress: O(log n) a decision.
+ * Selects the job whose items are leased out next, over all jobs of one owner. The job with the least slack goes first: slack is
+ * the time until the job is due, minus its remaining work at the measured rate. Time passes equally for all jobs, so they are
+ * ordered by their latest start, which changes only with their own progress. A decision takes O(log n).
  *
- * Tenants share: one that has had more items than the one that had least is passed over once its lead reaches
- * tenantLead, however late its jobs are. So a tenant that submits everything as urgent cannot shut the others out.
+ * Tenants are served fairly: a tenant is skipped once it has been served tenantLead items more than the least served tenant,
+ * however late its jobs are. So a tenant that submits everything as urgent cannot starve the others.
  */
 class JobSchedule
 {
 public:
     struct Options
     {
-        /** Items that a tenant's urgent jobs may run ahead of the other tenants' share. */
+        /** Max number of items that a tenant may be served more than the least served tenant. */
         std::uint32_t tenantLead = 2000;
     };
 
@@ -35,34 +35,34 @@
     JobSchedule(const JobSchedule &) = delete;
     JobSchedule &operator=(const JobSchedule &) = delete;
 
-    /** Take over where a job stands; one without waiting items is left out until it has some. */
+    /** Updates the state of a job; a job without waiting items is not selected until it has some. */
     void update(const JobDemand &demand);
     void remove(const JobId &job);
 
-    /** @return the job to lease items of next, or nothing if none waits. */
+    /** @return the job to lease items of next, or nothing if no items wait. */
     std::optional<JobId> next(const std::string &model) const;
 
-    /** Items of a job were leased. */
+    /** Records that items of a job were leased. */
     void leased(const JobId &job, std::uint32_t items);
 
     /**
-     * The time that one more item of a model takes at the rate all items finish now. A change of less than a quarter is
-     * left, because each change puts all jobs of the model into a new order.
+     * Sets the mean time between two finished items of a model at the current rate. Changes of less than a quarter are ignored,
+     * because each change reorders all jobs of the model.
      */
     void setTimePerItem(const std::string &model, std::chrono::nanoseconds time);
 
     std::chrono::nanoseconds timePerItem(const std::string &model) const;
 
-    /** @return waiting items of a model. */
+    /** @return number of waiting items of a model. */
     std::uint64_t waiting(const std::string &model) const;
 
     /** @return models with waiting items. */
     std::vector<std::string> models() const;
 
-    /** @return the earliest of the latest starts over a model's jobs, or nothing if none waits. */
+    /** @return the earliest latest start of the jobs of a model, or nothing if no items wait. */
     std::optional<WallTime> latestStart(const std::string &model) const;
 
-    /** @return jobs in the order of slack whose latest start is before a time: they will be late. */
+    /** @return jobs whose latest start is before a time, ordered by slack: they will be late. */
     std::vector<JobId> startingBefore(WallTime time, std::size_t limit) const;
 
 private:
--- a/Libraries/LibBatch/JobTable.cpp
+++ b/Libraries/LibBatch/JobTable.cpp
@@ -23,7 +23,7 @@
     if (!isSame) {
         return {SubmitDecision::Mismatch, false};
     }
-    // A resend while the first submission is still being journalled is not accepted before that is done.
+    // While the first submission is still being journalled, a repeated one is not accepted.
     return {entry.isDurable ? SubmitDecision::Accepted : SubmitDecision::Unavailable, false};
 }
 
@@ -33,7 +33,7 @@
     Job &job = found->second;
     job.isDurable = true;
     if (isReplayed) {
-        // Runners go on with what an earlier owner leased to them. Handing it out at once would run it twice.
+        // Runners continue the items that an earlier owner leased to them; leasing these out at once would run them twice.
         job.holdUntil = this->clock.now() + this->takeoverHold;
         this->timed.insert(record.jobId);
     }
--- a/Libraries/LibBatch/JobTable.h
+++ b/Libraries/LibBatch/JobTable.h
@@ -17,7 +17,7 @@
 namespace Dogwoodkeel
 {
 
-/** What the schedule needs to know of a job. */
+/** State of a job that the schedule depends on. */
 struct JobDemand
 {
     JobId jobId;
@@ -30,7 +30,7 @@
     std::uint32_t waiting = 0;
 };
 
-/** Items that were leased together. They stand in one object. */
+/** Items that were leased together; all are in one object. */
 struct LeasedItems
 {
     JobId jobId;
@@ -38,22 +38,23 @@
 };
 
 /**
- * The batch jobs of one shard. Decides; the owner task journals, answers, reads the items' objects and moves results.
+ * Holds the batch jobs of one shard and decides on their items. The owner task does the I/O: it journals, answers, reads the
+ * objects of the items and moves results.
  */
 class JobTable
 {
 public:
-    /** How long a job found in a journal hands out nothing, so that its items' runners can tell what they hold. */
+    /** How long a job restored from a journal leases out nothing, so that runners can report the items they hold. */
     static constexpr std::chrono::milliseconds defaultHold{2000};
 
     /**
-     * @param clock measures the items' leases
+     * @param clock measures the leases of items
      * @param itemLease how long a lane may keep an item without renewing
      * @param takeoverHold see defaultHold
      */
     JobTable(const Clock &clock, std::chrono::milliseconds itemLease, std::chrono::milliseconds takeoverHold = defaultHold);
 
-    /** What to do with a submission: Accepted with isNew means that it is to be journalled. */
+    /** Decision on a submission. Accepted with isNew: the owner journals the job. */
     struct Submission
     {
         SubmitDecision decision = SubmitDecision::Unavailable;
@@ -61,50 +62,50 @@
     };
     Submission submit(const JobRecord &job);
 
-    /** A job, an item's result, a moved page or a cancellation is durable, or was found in a journal. */
+    /** Applies a job, a result, a moved page or a cancellation that is durable or was read from a journal. */
     void apply(const JobRecord &job);
     void apply(const ItemRecord &item);
     void apply(const PageRecord &page);
     void apply(const CancelRecord &cancel);
 
     /**
-     * Lease items of one job to a lane.
-     * @param limit how many at most
-     * @param runner the lane's holder
+     * Leases items of one job to a lane.
+     * @param limit max number of items
+     * @param runner node that holds the lane
      */
     std::optional<LeasedItems> lease(const JobId &id, std::uint32_t limit, SessionNumber runner);
 
-    /** An item waits again: it could not be read, or its runner gave it back. */
+    /** Makes an item wait again because it could not be read or its runner returned it. */
     void returnItem(const JobId &id, std::uint32_t index, SessionNumber runner);
 
     ItemVerdict commit(const ItemRecord &result);
 
     /**
-     * Keep a runner's leases on a job.
-     * @param lost gets the items that it is not to run on
-     * @return whether its other items may go on
+     * Extends the leases of a runner on items of a job.
+     * @param lost receives the items that the runner must stop
+     * @return whether its other items may continue
      */
     bool renew(const HeldItems &held, SessionNumber runner, std::vector<ItemSpan> &lost);
 
-    /** A runner is gone for good: what it held waits again. */
+    /** Removes a runner that has departed; its leased items wait again. */
     void removeRunner(SessionNumber runner);
 
-    /** Take back leases that have ended, and let go of jobs that were held after a takeover. */
+    /** Ends expired leases, and the hold of jobs after a takeover. */
     void expire();
 
-    /** @return jobs whose demand may have changed since the last call. */
+    /** @return demands of the jobs that may have changed since the last call. */
     std::vector<JobDemand> drainChanged();
 
-    /** @return results to move to an object now: a whole page, or a part of one if memory is short. */
+    /** @return results to move to an object now: a complete page, or an incomplete one if the results exceed memoryBound. */
     std::optional<PageDraft> nextDraft(std::size_t memoryBound);
 
-    /** A draft could not be written; it is drafted again later. */
+    /** Reverts a draft that could not be written; its page is drafted again later. */
     void discardDraft(const PageDraft &draft);
 
-    /** @return a draft's record: to be journalled when the object is written. */
+    /** @return the record of a draft, to be journalled once its object is written. */
     PageRecord recordOf(const PageDraft &draft, std::string objectKey) const;
 
-    /** @return where a job stands now. */
+    /** @return the current demand of a job. */
     JobDemand demand(const JobId &id) const;
 
     const Job *find(const JobId &id) const;
@@ -113,18 +114,18 @@
     /** @return up to limit jobs of a tenant, the newest first. */
     std::vector<ListedJob> list(const WorkspaceName &tenant, std::size_t limit) const;
 
-    /** Mark a job as warned of. @return whether it was not yet */
+    /** Marks a job as warned about. @return whether it was not marked before */
     bool markWarned(const JobId &id);
 
-    /** @return items that wait to be leased, over all jobs. */
+    /** @return number of items that wait to be leased, over all jobs. */
     std::size_t waiting() const;
 
     std::size_t size() const;
 
-    /** @return bytes of results in memory. */
+    /** @return size of the results in memory, in bytes. */
     std::size_t resultBytes() const;
 
-    /** @return the records that bring back this state, for a checkpoint: kind and encoded record. */
+    /** @return the records that restore this state, for a checkpoint, as kind and encoded record. */
     std::vector<std::pair<RecordKind, std::string>> checkpointRecords() const;
 
 private:
@@ -135,7 +136,7 @@
     std::chrono::milliseconds itemLease;
     std::chrono::milliseconds takeoverHold;
     std::unordered_map<JobId, Job> jobs;
-    /** Jobs with leases out, or held after a takeover: the only ones that time changes. */
+    /** Jobs with leases, or on hold after a takeover; only these change with time. */
     std::set<JobId> timed;
     std::set<JobId> dirty;
     std::size_t waitingItems = 0;
--- a/Libraries/LibBatch/Lane.cpp
+++ b/Libraries/LibBatch/Lane.cpp
@@ -9,26 +9,26 @@
 namespace
 {
 
-/** Share of online requests that may start a step late because no place was free. */
+/** Share of online requests that may start a step late because no slot was free. */
 constexpr double lateShare = 0.01;
-/** Share of them that may find no place at all. */
+/** Max share of online requests that may find no free slot. */
 constexpr double maxNoSlotShare = 0.5;
-/** Their logarithms are as 19 to 1, so that a twentieth of the reactions is slower than what is followed. */
+/** The ratio of their logarithms is about 19 to 1, so that the estimate settles where one in 20 reactions is slower. */
 constexpr double reactionUp = 1.1;
 constexpr double reactionDown = 0.995;
-/** Items whose prompts an engine may have before it while online requests come. */
+/** Max number of items without a first token while the replica gets online requests. */
 constexpr std::uint32_t maxStartingItems = 1;
-/** How long after its last online request a replica is held to get more. */
+/** How long after its last online request a replica is expected to get more. */
 constexpr std::chrono::milliseconds recentOnlineTime{10000};
-/** Entries repeat a notice ten times a second while they have requests there. */
+/** Entries repeat a notice ten times a second while they have requests on the replica. */
 constexpr std::chrono::milliseconds noticeTimeout{1000};
-/** Reports in a row without strange streams after which a lane is settled. They lag, so one is not enough. */
+/** Consecutive reports without unknown streams that settle a lane. Reports are delayed, so one is not enough. */
 constexpr std::uint32_t reportsToSettle = 3;
-/** Reports after which an unsettled lane may start items in the places that nothing shows as taken. */
+/** Reports after which an unsettled lane may start items in slots that no report shows as occupied. */
 constexpr std::uint32_t reportsToStart = 2;
-/** Reports in a row with strange streams after which a settled lane no longer is: one shows what has just ended. */
+/** Consecutive reports with unknown streams that unsettle a lane. A single one may show streams that have just ended. */
 constexpr std::uint32_t reportsToUnsettle = 3;
-/** Streams beyond the known ones that are no sign of another holder: requests start and end while a report is made. */
+/** Excess streams that do not indicate another holder: requests start and end while a report is made. */
 constexpr std::uint32_t toleratedStreams = 1;
 
 } // namespace
@@ -71,7 +71,7 @@
 
 void Lane::expireNotices()
 {
-    // The notice that says zero may be lost, and is not repeated: without this the places would stay kept for nobody.
+    // A notice of zero requests is not repeated and may be lost; without the timeout its slots would stay reserved.
     const SteadyTime oldest = this->clock.now() - noticeTimeout;
     for (auto &[entry, notice] : this->notices) {
         if (notice.at < oldest && notice.inFlight > 0) {
@@ -124,8 +124,8 @@
 
 void Lane::updateReaction(std::chrono::nanoseconds passed)
 {
-    // The notice of the request takes about as long as the engine's answer does on its way back, so that the measured time
-    // stands for the whole. Followed up in large steps and down in small ones, it stays near the slowest twentieth.
+    // The notice of a request takes about as long as the answer of the engine on its way back, so the measured time covers the
+    // whole reaction. With large steps up and small steps down the estimate stays near the 95th percentile.
     const double step = passed > this->reaction ? reactionUp : reactionDown;
     this->reaction = std::chrono::duration_cast<std::chrono::nanoseconds>(this->reaction * step);
     this->headroomEstimate.setReaction(this->reaction);
@@ -133,8 +133,8 @@
 
 double Lane::noSlotShare() const
 {
-    // A place that becomes free before the engine's next step costs the request nothing, since it can start no sooner. So
-    // of the requests that find no place only the share is late in whose time to the next step the reaction does not fit.
+    // A slot that is freed before the next step of the engine does not delay the request, which cannot start earlier anyway. So
+    // of the requests without a free slot only those are late whose next step comes sooner than the reaction time.
     const auto step = this->stepModel.meanStep();
     const double late = step.count() > 0 ? static_cast<double>(this->reaction.count()) / static_cast<double>(step.count()) : 1;
     return std::clamp(lateShare / std::max(late, lateShare), lateShare, maxNoSlotShare);
@@ -209,8 +209,8 @@
     if (this->options.policy != LanePolicy::Yield || !this->hasRecentOnline()) {
         return free;
     }
-    // An engine reads prompts in the order they came. Were all free places filled at once, the next online request would
-    // wait for the prompts of all these items: its first token was up to half as late again. One at a time, it waits for one.
+    // An engine processes prompts in order of arrival. If all free slots were filled at once, the next online request would wait
+    // for the prompts of all these items, which delayed its first token by up to half. Started one at a time, it waits for one.
     const std::uint32_t mayStart = this->starting < maxStartingItems ? maxStartingItems - this->starting : 0;
     return std::min(free, mayStart);
 }
@@ -223,7 +223,7 @@
     const std::uint32_t limit = this->streamLimit();
     const std::uint32_t headroom = this->headroom();
     const std::uint32_t occupied = this->onlineSum + this->items + (this->isSettled() ? 0 : this->unknownStreams);
-    // Half the headroom may be used up before items stop to give it back, else each single request would stop one.
+    // Items stop only once more than half of the headroom is used; otherwise every single request would stop an item.
     if (occupied + headroom / 2 <= limit) {
         return 0;
     }
@@ -247,7 +247,7 @@
 
 std::uint32_t Lane::headroom() const
 {
-    // A replica that is kept wholly free for bursts would run no batch items at all.
+    // Limited to half of the capacity: a replica kept entirely free for bursts would run no batch items.
     return std::min(std::max(this->options.headroom, this->headroomEstimate.value(this->noSlotShare())),
                     this->options.capacity / 2);
 }
--- a/Libraries/LibBatch/Lane.h
+++ b/Libraries/LibBatch/Lane.h
@@ -12,17 +12,17 @@
 namespace Dogwoodkeel
 {
 
-/** How a lane makes room for online requests. */
+/** How a lane shares a replica with online requests. */
 enum class LanePolicy {
-    /** Batch items fill what online requests leave, and stop for them. */
+    /** Batch items use the slots that online requests leave free, and are stopped for online requests. */
     Yield,
-    /** A fixed number of batch items, whatever runs beside them. */
+    /** Runs a fixed max number of batch items, regardless of online requests. */
     FixedLimit,
-    /** Batch items take every place, and stop for nothing. */
+    /** Batch items may use every slot and are never stopped. */
     Unlimited,
 };
 
-/** What an engine reports of itself, late. */
+/** Load that an engine reports, with a delay. */
 struct EngineLoad
 {
     std::uint32_t running = 0;
@@ -30,11 +30,11 @@
 };
 
 /**
- * How many batch items may run on one replica. Its holder alone starts batch work there, and so can stop it at once
- * when online requests come.
+ * Decides how many batch items may run on one replica. Only the node that holds the lane starts batch items on the replica, so it
+ * can stop them at once when online requests arrive.
  *
- * A lane that was just taken, or whose holder was paused, is not settled: items of another holder may run there. Until
- * the engine's reports have shown for a while that none do, what they show beyond what is known counts as taken.
+ * A lane is not settled after it was acquired or after its holder was paused: items of another holder may still run. Until
+ * several reports of the engine in a row show no such items, streams beyond the known ones count as occupied slots.
  */
 class Lane
 {
@@ -42,15 +42,15 @@
     struct Options
     {
         LanePolicy policy = LanePolicy::Yield;
-        /** Requests the replica runs side by side. */
+        /** Max number of requests that the replica runs concurrently. */
         std::uint32_t capacity = 0;
-        /** Places kept free for online requests that are not yet known of, at least. */
+        /** Min number of slots kept free for online requests that are not known yet. */
         std::uint32_t headroom = 0;
-        /** With FixedLimit. */
+        /** Max number of items with FixedLimit. */
         std::uint32_t fixedLimit = 0;
-        /** How much longer online requests' time per token may get because of batch items, 0.1 for a tenth. */
+        /** Tolerated relative increase of the time per token of online requests due to batch items; 0.1 is 10 percent. */
         double slowdown = 0;
-        /** From an online request's dispatch until the places of cancelled items are free; until it has been measured. */
+        /** Time from the dispatch of an online request until the slots of cancelled items are free; used until it is measured. */
         std::chrono::milliseconds reaction{50};
     };
 
@@ -59,58 +59,58 @@
     void configure(const Options &options);
 
     /**
-     * An entry told how many online requests it has there. The number is absolute, so a lost notice heals with the
-     * next, and an older one that arrives late is dropped.
+     * Handles the notice of an entry about its online requests on the replica. The number is absolute, so the next notice makes
+     * up for a lost one. An older notice that arrives late is dropped.
      */
     void observeOnline(SessionNumber entry, std::uint64_t sequence, std::uint32_t inFlight);
 
-    /** An entry is gone, and its requests with it. */
+    /** Removes an entry that has departed, and its requests. */
     void forget(SessionNumber entry);
 
-    /** Drop the notices that their entries should have repeated since. */
+    /** Drops notices that their entries did not repeat in time. */
     void expireNotices();
 
     void observeReport(const EngineLoad &report);
 
-    /** A batch item got a token. @param gap since the one before */
+    /** Records that a batch item received a token. @param gap time since its previous token */
     void observeTokenGap(std::chrono::nanoseconds gap);
 
-    /** The engine has confirmed that an item is cancelled. @param passed since it was told */
+    /** Records that the engine confirmed a cancellation. @param passed time since the cancellation was sent */
     void observeCancel(std::chrono::nanoseconds passed);
 
     /**
-     * The engine has answered a call. Stands in for a cancellation's time until one was seen: with a headroom for a slow
-     * reaction no item would ever have to stop, and the reaction would never be learned.
+     * Records the response time of the engine to a call. It is used as the reaction time until a cancellation was measured: with
+     * the headroom for a slow assumed reaction no item would ever have to stop, and the reaction would never be measured.
      */
     void observeAnswer(std::chrono::nanoseconds passed);
 
-    /** Another holder may run items there: trust the engine's reports only. */
+    /** Relies on the reports of the engine from now on, because another holder may run items on the replica. */
     void unsettle();
     bool isSettled() const;
 
-    /** No report can be had, and every lease of another holder has ended by now. */
+    /** Settles the lane without reports, once every lease of another holder has expired. */
     void settle();
 
     void itemStarted();
-    /** An item has its first token, so that the engine is done with its prompt. */
+    /** Records that an item received its first token: the engine has processed its prompt. */
     void itemGotFirstToken();
-    /** @param proceeded whether it had its first token */
+    /** @param proceeded whether the item had received its first token */
     void itemStopped(bool proceeded);
 
-    /** @return items that may be started now. */
+    /** @return number of items that may be started now. */
     std::uint32_t freeSlots() const;
 
-    /** @return running items that must stop now, to give their places to online requests. */
+    /** @return number of running items that must stop now to free their slots for online requests. */
     std::uint32_t excess() const;
 
     std::uint32_t running() const;
     std::uint32_t online() const;
     std::uint32_t headroom() const;
 
-    /** @return streams, online and batch, that may run beside each other now. */
+    /** @return max number of concurrent streams, online and batch. */
     std::uint32_t streamLimit() const;
 
-    /** @return how long it takes to free a place, as measured. */
+    /** @return measured time that it takes to free a slot. */
     std::chrono::nanoseconds reactionTime() const;
 
 private:
@@ -128,7 +128,7 @@
     const Clock &clock;
     Options options;
     std::uint32_t items = 0;
-    /** Those without their first token. */
+    /** Items that have not received their first token. */
     std::uint32_t starting = 0;
     SteadyTime lastOnline{};
     std::uint32_t onlineSum = 0;
@@ -138,7 +138,7 @@
     bool isReactionMeasured = false;
     bool isAnswerMeasured = false;
     StepModel stepModel;
-    /** Streams that the engine reports and nobody here knows of. */
+    /** Streams that the engine reports beyond the known ones. */
     std::uint32_t unknownStreams = 0;
     std::uint32_t reportsUntilSettled = 0;
     std::uint32_t reportsSeen = 0;
--- a/Libraries/LibBatch/LeaseTable.cpp
+++ b/Libraries/LibBatch/LeaseTable.cpp
@@ -10,8 +10,8 @@
 void LeaseTable::add(const ItemSpan &span, SessionNumber runner, SteadyTime end)
 {
     this->firstEnd = std::min(this->firstEnd, end);
-    // NOTE: Ranges are never joined. A range is renewed as a whole when its runner tells of a part of it, which is right
-    // only while it is what was handed out in one answer.
+    // NOTE: Ranges are never merged. A range is renewed as a whole when its runner reports a part of it, which is correct only
+    // while the range was leased in a single answer.
     this->ranges.emplace(span.first, Range{span.count, runner, end});
 }
 
--- a/Libraries/LibBatch/LeaseTable.h
+++ b/Libraries/LibBatch/LeaseTable.h
@@ -10,29 +10,29 @@
 namespace Dogwoodkeel
 {
 
-/** Which runner holds which items of one job, and until when. Kept by range: lanes take items in runs. */
+/** Records which runner holds which items of one job, and until when. Stored as ranges, since items are leased in ranges. */
 class LeaseTable
 {
 public:
-    /** Lease items that nobody holds. */
+    /** Adds a lease on items that no runner holds. */
     void add(const ItemSpan &span, SessionNumber runner, SteadyTime end);
 
     /**
-     * Extend what a runner has told that it holds. Nothing else of its leases: items whose handing out was lost on the way
-     * would stay leased to a runner that does not know of them.
+     * Extends the leases on items that a runner reported. Its other leases are not extended: if the answer with the leased items
+     * was lost, they would stay leased to a runner that does not know of them.
      */
     void renew(const ItemSpan &span, SessionNumber runner, SteadyTime end);
 
-    /** An item is finished or given back. */
+    /** Removes the lease on an item that is finished or was returned. */
     void remove(std::uint32_t index);
 
     /** @return whether a runner holds an item. */
     bool isHeldBy(std::uint32_t index, SessionNumber runner) const;
 
-    /** Take everything back from runners whose lease has ended. @return what they held */
+    /** Removes expired leases. @return their items */
     std::vector<ItemSpan> removeExpired(SteadyTime now);
 
-    /** Take everything back from a runner. @return what it held */
+    /** Removes all leases of a runner. @return their items */
     std::vector<ItemSpan> removeRunner(SessionNumber runner);
 
     std::vector<SessionNumber> runners() const;
@@ -49,9 +49,9 @@
 
     std::map<std::uint32_t, Range>::const_iterator find(std::uint32_t index) const;
 
-    /** By the first item. */
+    /** Leased ranges by their first item. */
     std::map<std::uint32_t, Range> ranges;
-    /** No lease ends before. */
+    /** No lease ends before this time. */
     SteadyTime firstEnd = SteadyTime::max();
 };
 
--- a/Libraries/LibBatch/OwnerSelector.cpp
+++ b/Libraries/LibBatch/OwnerSelector.cpp
@@ -6,9 +6,9 @@
 namespace
 {
 
-/** Every such choice is the owner not asked for longest. */
+/** One selection in this many is the least recently queried owner. */
 constexpr std::uint64_t exploreEvery = 4;
-/** How long an owner that had nothing is left alone: its advertisement lingers, and items may come back to it. */
+/** How long an owner without items is not queried: its advertisement lags behind, and items may be returned to it. */
 constexpr std::chrono::milliseconds emptyOwnerPause{300};
 
 } // namespace
--- a/Libraries/LibBatch/OwnerSelector.h
+++ b/Libraries/LibBatch/OwnerSelector.h
@@ -14,22 +14,22 @@
 {
 
 /**
- * Which owner a lane asks for items next. Gossip tells only for which models an owner has some; how urgent they are is
- * learned from the owners' answers, so that it costs nothing more however many owners there are. Mostly the owner with the
- * most urgent items known is asked; every few times the one not asked for longest, so that none is forgotten.
+ * Selects the owner that a lane queries for items next. Gossip contains only for which models an owner has items. Their urgency
+ * is taken from the answers of the owners, so that it needs no messages of its own however many owners there are. Mostly the
+ * owner with the most urgent known items is selected; at regular intervals the least recently queried one, so that none starves.
  */
 class OwnerSelector
 {
 public:
     explicit OwnerSelector(const Clock &clock);
 
-    /** @param candidates owners that advertise items of the model. @return whom to ask now, if anyone */
+    /** @param candidates owners that advertise items of the model. @return the owner to query now, if any */
     std::optional<SessionNumber> select(const std::string &model, const std::vector<SessionNumber> &candidates);
 
-    /** An owner answered. */
+    /** Records the answer of an owner. */
     void recordAnswer(const std::string &model, SessionNumber owner, std::uint32_t waiting, WallTime latestStart);
 
-    /** An owner is gone. */
+    /** Removes an owner that has departed. */
     void remove(SessionNumber owner);
 
 private:
--- a/Libraries/LibBatch/RateMeter.cpp
+++ b/Libraries/LibBatch/RateMeter.cpp
@@ -17,7 +17,7 @@
 
 void RateMeter::finished(std::uint32_t items)
 {
-    // An owner that had no work for a while has no lower rate for it.
+    // Time without work does not lower the rate.
     if (this->counted == 0 && this->clock.now() - this->begin > this->window) {
         this->begin = this->clock.now();
     }
--- a/Libraries/LibBatch/RateMeter.h
+++ b/Libraries/LibBatch/RateMeter.h
@@ -8,16 +8,16 @@
 namespace Dogwoodkeel
 {
 
-/** How long one item takes, over all that finish side by side: the mean of windows, the newest weighing most. */
+/** Measures the mean time between finished items, as a moving average over windows that favours the newest. */
 class RateMeter
 {
 public:
-    /** @param window how long items are counted before they become a rate */
+    /** @param window time over which items are counted for one rate sample */
     RateMeter(const Clock &clock, std::chrono::milliseconds window);
 
     void finished(std::uint32_t items);
 
-    /** @return time per item; zero while nothing is known. */
+    /** @return time per item; zero until it is known. */
     std::chrono::nanoseconds timePerItem();
 
 private:
--- a/Libraries/LibBatch/StepModel.cpp
+++ b/Libraries/LibBatch/StepModel.cpp
@@ -9,14 +9,14 @@
 namespace
 {
 
-/** Weight of the newest token once enough are known. */
+/** Weight of the newest sample once there are enough samples. */
 constexpr double newestWeight = 0.002;
 constexpr double minSamples = 200;
-/** Without some spread in the number of streams the line could have any slope. */
+/** Min variance of the number of streams; below it the slope of the regression is undetermined. */
 constexpr double minVariance = 0.25;
-/** A gap longer than this many times the mean is the machine's or a prefill's doing, and counts as that. */
+/** Gaps are limited to this multiple of the mean: longer ones come from the machine or a prefill. */
 constexpr double maxGapFactor = 3;
-/** How far below the estimate the slope is taken. */
+/** Number of standard errors by which the slope is lowered. */
 constexpr double standardErrors = 2;
 
 } // namespace
@@ -47,7 +47,7 @@
 {
     const double slope = this->covariance / this->varianceStreams;
     const double unexplained = std::max(this->varianceGap - slope * this->covariance, 0.0);
-    // Streams that run beside each other get their tokens in the same steps, which makes them one sample.
+    // Concurrent streams receive their tokens in the same steps, so they count as one sample.
     const double steps = std::max(this->weight / std::max(this->meanStreams, 1.0), 1.0);
     return slope - standardErrors * std::sqrt(unexplained / (this->varianceStreams * steps));
 }
@@ -57,7 +57,7 @@
     if (this->weight < minSamples || this->varianceStreams < minVariance) {
         return std::nullopt;
     }
-    // The least slope that the tokens seen leave likely: a noisy machine must not keep items out for no reason.
+    // Uses the lower confidence bound of the slope, so that noise does not keep items out without need.
     const double perStream = this->minTimePerStream();
     if (perStream <= 0) {
         return std::nullopt;
--- a/Libraries/LibBatch/StepModel.h
+++ b/Libraries/LibBatch/StepModel.h
@@ -8,23 +8,23 @@
 {
 
 /**
- * How an engine's time per token grows with the streams beside it: a line through what batch streams see there, the newest
- * weighing most. A batch stream is a probe for what online streams on the same engine feel.
+ * Models how the time per token of an engine grows with its number of concurrent streams: a linear regression over the token gaps
+ * of batch streams, weighted towards the newest. Batch streams serve as probes for the online streams on the same engine.
  */
 class StepModel
 {
 public:
-    /** A stream got a token. @param streams that ran beside it, itself included */
+    /** Records that a stream received a token. @param streams number of concurrent streams, including this one */
     void observe(std::chrono::nanoseconds gap, std::uint32_t streams);
 
     /**
-     * @param online online streams there
-     * @param slowdown how much longer their time per token may get, 0.1 for a tenth
-     * @return streams that may run in all, or nothing while too little is known
+     * @param online number of online streams on the engine
+     * @param slowdown tolerated relative increase of their time per token; 0.1 is 10 percent
+     * @return max number of streams in total, or nothing until there are enough samples
      */
     std::optional<std::uint32_t> maxStreams(std::uint32_t online, double slowdown) const;
 
-    /** @return the mean time per token; zero while nothing is known. */
+    /** @return mean time per token; zero until it is known. */
     std::chrono::nanoseconds meanStep() const;
 
 private:
--- a/Tests/LibBatch/TestJobSchedule.cpp
+++ b/Tests/LibBatch/TestJobSchedule.cpp
@@ -19,7 +19,7 @@
     return {JobId(id), model, WorkspaceName(tenant), WallTime(due), remaining, remaining};
 }
 
-/** Hands out items one by one. @return how many each job got */
+/** Leases items one by one. @return number of items leased per job */
 std::map<JobId, int> handOut(JobSchedule &schedule, std::map<JobId, JobDemand> &jobs, int items)
 {
     std::map<JobId, int> given;
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("the job with the least slack goes first: due later, but with more work left")
+TEST_CASE("the job with the least slack goes first, even if it is due later but has more remaining work")
 {
     JobSchedule schedule({});
     schedule.update(demand("small", "shop", 5000s, 10));
@@ -46,7 +46,7 @@
     CHECK(schedule.startingBefore(WallTime(3000s), 10) == std::vector<JobId>{JobId("large")});
 }
 
-TEST_CASE("a job without waiting items is passed over, and comes back with them")
+TEST_CASE("a job without waiting items is skipped until it has some")
 {
     JobSchedule schedule({});
     JobDemand first = demand("first", "shop", 10s, 5);
@@ -65,7 +65,7 @@
     CHECK(schedule.models().empty());
 }
 
-TEST_CASE("urgent jobs of one tenant lead only so far")
+TEST_CASE("the lead of a tenant with urgent jobs is limited")
 {
     JobSchedule schedule({.tenantLead = 100});
     std::map<JobId, JobDemand> jobs;
@@ -81,7 +81,7 @@
     CHECK(given[JobId("patient")] == 500);
 }
 
-TEST_CASE("a tenant that was away has no claim to what it did not use")
+TEST_CASE("a returning tenant gets no credit for the time without jobs")
 {
     JobSchedule schedule({.tenantLead = 1});
     std::map<JobId, JobDemand> jobs;
@@ -94,7 +94,7 @@
     CHECK(given[JobId("old")] == 500);
 }
 
-TEST_CASE("the rate is of the time with work")
+TEST_CASE("time without work does not count for the rate")
 {
     ManualClock clock;
     RateMeter meter(clock, 10s);
--- a/Tests/LibBatch/TestJobTable.cpp
+++ b/Tests/LibBatch/TestJobTable.cpp
@@ -40,7 +40,7 @@
     return {job, index, status, "answer " + std::to_string(index)};
 }
 
-/** Commits and journals an item. @return whether it counted */
+/** Commits and journals a result. @return whether it was the first one of its item */
 bool finish(JobTable &table, const ItemRecord &result)
 {
     if (table.commit(result) != ItemVerdict::Journal) {
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE("items are leased in runs that end with their object")
+TEST_CASE("leased ranges end at the end of their object")
 {
     ManualClock clock;
     JobTable table(clock, itemLease);
@@ -64,10 +64,9 @@
     CHECK(table.waiting() == 2);
 }
 
-// A lane is lost with its items, and one of them had been handed in before. The caller sees every item done once: the
-// lost ones run again on another lane, the finished one does not, and a result of the lost lane that arrives late is
-// dropped.
-TEST_CASE("items of a lost lane wait again, each result counts once")
+// Guards against lost or repeated items when a lane is lost after it committed one of its items: the other items run again on
+// another lane, the finished one does not, and a late result of the lost lane is dropped.
+TEST_CASE("items of a lost lane wait again, and each item gets one result")
 {
     ManualClock clock;
     JobTable table(clock, itemLease);
@@ -86,9 +85,9 @@
     CHECK(table.progress(job.jobId).failed == 1);
 }
 
-// The answer to a pull is lost on the way. The lane goes on renewing what it knows of; were that to keep the lost items
-// leased too, they would never run and the job would hang a few items short of its end.
-TEST_CASE("a lease that its runner never heard of runs out while its other leases are renewed")
+// Guards against a job that never ends because the answer to a pull was lost: if renewing the known leases of the lane also
+// extended those in the lost answer, their items would never run.
+TEST_CASE("a lease that never reached its runner expires while its other leases are renewed")
 {
     ManualClock clock;
     JobTable table(clock, itemLease);
@@ -106,8 +105,8 @@
     CHECK(table.lease(job.jobId, 8, laneB)->span == ItemSpan{2, 6});
 }
 
-// A node takes a shard over. The lanes go on running what the owner before had leased to them. The new owner must not hand
-// those items out before the lanes have told it, else they run twice; what nobody tells of is handed out.
+// Guards against items that run twice after the takeover of a shard: lanes continue the items that the previous owner leased to
+// them, so the new owner waits for their reports before it leases out the items that no lane reported.
 TEST_CASE("after a takeover runners keep their items")
 {
     ManualClock clock;
@@ -126,7 +125,7 @@
     CHECK(lost == std::vector<ItemSpan>{{0, 1}});
 }
 
-TEST_CASE("a cancelled job hands out nothing and tells its runners to stop")
+TEST_CASE("a cancelled job leases out nothing, and its runners must stop")
 {
     ManualClock clock;
     JobTable table(clock, itemLease);
@@ -141,7 +140,7 @@
     CHECK(table.waiting() == 0);
 }
 
-TEST_CASE("a resubmission finds its job, and another body under the same key is refused")
+TEST_CASE("a repeated submission finds its job, and another body under the same key is refused")
 {
     ManualClock clock;
     JobTable table(clock, itemLease);
@@ -154,9 +153,9 @@
     CHECK((table.submit(job).decision == SubmitDecision::Mismatch));
 }
 
-// The owner is replaced at any point: before or after results were moved to an object, with the record of the move lost
-// or there. What a checkpoint or a replay brings back must be the same job, each result in memory or in an object.
-TEST_CASE("results move to objects in pages and a checkpoint brings the same state back")
+// Guards against lost results when the owner is replaced before or after results were moved to an object, with or without the
+// record of the move: a checkpoint or replay restores the same job, with each result in memory or in an object.
+TEST_CASE("results move to objects in pages, and a checkpoint restores the same state")
 {
     rc::check([](const std::vector<std::uint32_t> &order) {
         ManualClock clock;
--- a/Tests/LibBatch/TestLane.cpp
+++ b/Tests/LibBatch/TestLane.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("online requests take the places of batch items, whatever order their notices arrive in")
+TEST_CASE("online requests take the slots of batch items, in whatever order their notices arrive")
 {
     ManualClock clock;
     Lane lane(clock, options(16, 1));
@@ -41,7 +41,8 @@
     CHECK(lane.freeSlots() == 15);
     start(lane, 15);
     lane.observeOnline(entryA, 2, 4);
-    // Four came at once, so that four more places are to be kept free: 15 items, 4 requests and 4 places where 16 run.
+    // Four arrived at once, so four more slots are kept free: 15 items, 4 requests and 4 free slots exceed the capacity of 16
+    // by 7.
     CHECK(lane.excess() == 7);
     lane.observeOnline(entryA, 1, 0);
     CHECK(lane.online() == 4);
@@ -50,7 +51,7 @@
     CHECK(lane.excess() == 0);
 }
 
-TEST_CASE("online requests that come one by one take no more places than the configured headroom asks")
+TEST_CASE("online requests that arrive one by one need no more free slots than the configured headroom")
 {
     ManualClock clock;
     Lane lane(clock, options(16, 1));
@@ -60,16 +61,16 @@
         clock.advance(100ms);
         lane.observeOnline(entryA, online, online);
     }
-    // 15 items, 4 requests and the one place where 16 run.
+    // 15 items, 4 requests and one free slot exceed the capacity of 16 by 4.
     CHECK(lane.excess() == 4);
     lane.observeOnline(entryA, 3, 0);
     CHECK(lane.online() == 4);
     CHECK(lane.excess() == 4);
 }
 
-// The notice that an entry has no request left is lost, and a zero is not repeated. The places must not stay kept for
-// nobody, else the replica runs fewer and fewer batch items until its holder changes.
-TEST_CASE("places are not kept for an entry that has stopped telling")
+// Guards against slots that stay reserved because the notice of zero requests was lost, which is not repeated: the replica would
+// run fewer and fewer batch items until its holder changes.
+TEST_CASE("slots are not reserved for an entry that stopped sending notices")
 {
     ManualClock clock;
     Lane lane(clock, options(8, 1));
@@ -82,10 +83,10 @@
     CHECK(lane.online() == 2);
 }
 
-// A node takes a lane over while the items of the holder before still run: it died without its connections being closed,
-// or it is paused. Started beside them, a full set of items would put the replica at twice its capacity for as long as
-// they run, and every online request there behind them.
-TEST_CASE("a new holder starts only what fits beside the items it does not know")
+// Guards against overloading a replica when a lane is taken over while items of the previous holder still run, because it is
+// paused or died without its connections being closed. A full set of new items would put the replica at twice its capacity, and
+// online requests would queue behind them.
+TEST_CASE("a new holder starts only as many items as fit beside the unknown ones")
 {
     ManualClock clock;
     Lane lane(clock, options(8, 0));
@@ -101,12 +102,12 @@
         lane.observeReport({4, 0});
     }
     CHECK(lane.isSettled());
-    // Two requests came at once, so places for two more are kept free. The two that are left are filled one by one.
+    // Two requests arrived at once, so slots for two more are kept free. The remaining two are filled one by one.
     CHECK(lane.freeSlots() == 1);
 }
 
-// Two nodes each hold themselves to be the holder, because their views differ for longer than usual.
-TEST_CASE("a settled holder that keeps seeing strange streams trusts the engine again")
+// Guards against two nodes that both regard themselves as the holder, because their views differ for longer than usual.
+TEST_CASE("a settled holder that keeps seeing unknown streams relies on the reports of the engine again")
 {
     ManualClock clock;
     Lane lane(clock, options(8, 0));
@@ -120,9 +121,9 @@
     CHECK(lane.freeSlots() == 0);
 }
 
-// The online requests of a burst have ended, and several places are free at once. Were they all filled, the next request
-// would wait for as many prompts to be read before its own.
-TEST_CASE("where online requests come items start one at a time")
+// Guards against a delayed first token after a burst of online requests: if all slots that became free were filled at once, the
+// next request would wait for the prompts of all these items.
+TEST_CASE("items start one at a time on a replica with online requests")
 {
     ManualClock clock;
     Lane lane(clock, options(8, 1));
@@ -142,7 +143,7 @@
     CHECK(lane.freeSlots() == 6);
 }
 
-TEST_CASE("headroom follows how fast online requests have come")
+TEST_CASE("headroom follows the arrival rate of online requests")
 {
     ManualClock clock;
     HeadroomEstimate estimate(clock, 50ms);
@@ -167,7 +168,7 @@
     CHECK(estimate.value(0.01) == 1);
 }
 
-TEST_CASE("an engine that frees places at once needs less headroom")
+TEST_CASE("an engine that frees slots immediately needs less headroom")
 {
     ManualClock clock;
     Lane lane(clock, options(16, 0));
@@ -194,7 +195,7 @@
     CHECK(lane.headroom() == 1);
 }
 
-TEST_CASE("streams beside online ones are held to the slowdown that was set")
+TEST_CASE("streams beside online ones are limited by the configured slowdown")
 {
     StepModel steps;
     CHECK_FALSE(steps.maxStreams(1, 0.1));
@@ -202,7 +203,7 @@
         const int streams = 1 + i % 8;
         steps.observe(2000us + 100us * streams, static_cast<std::uint32_t>(streams));
     }
-    // 2.1 ms alone, 2.31 ms allowed: three streams make 2.3 ms.
+    // 2.1 ms with one stream, 2.31 ms allowed: three streams take 2.3 ms.
     CHECK(*steps.maxStreams(1, 0.1) == 3);
     CHECK(*steps.maxStreams(4, 0.1) == 6);
 }
