--- a/Libraries/LibBatch/JobSchedule.cpp
+++ b/Libraries/LibBatch/JobSchedule.cpp
@@ -58,13 +58,13 @@
         this->byServed.erase(std::pair(tenant.served, tenant.number));
     }
 
-    void forgetIdle(const TenantQueue &but)
+    void removeIdle(const TenantQueue &except)
     {
         if (this->tenants.size() - this->byServed.size() <= idleTenantsKept) {
             return;
         }
-        std::erase_if(this->tenants, [&but](const auto &entry) {
-            return entry.second.jobs.empty() && &entry.second != &but;
+        std::erase_if(this->tenants, [&except](const auto &entry) {
+            return entry.second.jobs.empty() && &entry.second != &except;
         });
     }
 };
@@ -121,7 +121,7 @@
     const auto [found, isNew] = model.tenants.try_emplace(entry.demand.tenant);
     TenantQueue &tenant = found->second;
     if (isNew) {
-        model.forgetIdle(tenant);
+        model.removeIdle(tenant);
         tenant.name = entry.demand.tenant;
         tenant.number = ++this->lastNumber;
     }
@@ -163,10 +163,10 @@
     }
     const ModelQueue &queue = *found->second;
     const TenantQueue *const urgent = queue.byUrgency.begin()->second;
-    const TenantQueue *const behind = queue.byServed.begin()->second;
-    const bool mayLead = urgent->served < behind->served + this->options.tenantLead;
-    const TenantQueue *const chosen = mayLead ? urgent : behind;
-    return chosen->jobs.begin()->second->demand.jobId;
+    const TenantQueue *const leastServed = queue.byServed.begin()->second;
+    const bool mayLead = urgent->served < leastServed->served + this->options.tenantLead;
+    const TenantQueue *const selected = mayLead ? urgent : leastServed;
+    return selected->jobs.begin()->second->demand.jobId;
 }
 
 void JobSchedule::leased(const JobId &job, std::uint32_t items)
--- a/Libraries/LibWorkspace/Credentials.cpp
+++ b/Libraries/LibWorkspace/Credentials.cpp
@@ -10,8 +10,8 @@
 {
 
 constexpr std::string_view scheme = "bearer";
-/** Longer than any key in use; bounds what is hashed for a request that has none. */
-constexpr std::size_t longestKey = 1024;
+/** Longer than any key in use; limits the input that is hashed for a request with an invalid key. */
+constexpr std::size_t maxKeySize = 1024;
 
 bool isScheme(std::string_view word)
 {
@@ -48,7 +48,7 @@
     }
     const std::size_t begin = line.find_first_not_of(' ', space);
     const std::string_view key = begin == std::string_view::npos ? std::string_view() : line.substr(begin);
-    if (key.size() > longestKey || !isToken68(key)) {
+    if (key.size() > maxKeySize || !isToken68(key)) {
         return malformed;
     }
     return {Credentials::State::Given, KeyDigest::of(key)};
--- a/Libraries/LibWorkspace/QuotaBucket.cpp
+++ b/Libraries/LibWorkspace/QuotaBucket.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Told to a workspace whose quota is next to nothing. */
+/** Retry time for workspaces with a quota of almost zero. */
 constexpr std::chrono::seconds maxRetryAfter{60};
 
 } // namespace
--- a/Libraries/LibWorkspace/QuotaClient.h
+++ b/Libraries/LibWorkspace/QuotaClient.h
@@ -15,8 +15,7 @@
 namespace Dogwoodkeel
 {
 
-/** Number of counters that the workspaces are distributed over by name. Each counter is a separate role with its own coordinator.
- */
+/** Number of counters that the workspaces are distributed over by name. Each counter is a role with its own coordinator. */
 inline constexpr std::size_t quotaParts = 4;
 
 /** @return the index of the counter that is responsible for a workspace. */
@@ -51,8 +50,10 @@
 
     struct Hooks
     {
-        /** Sends a query; its answer is passed to handleAnswer(), possibly from inside this call. @return whether there is such a
-         * node */
+        /**
+         * Sends a query; its answer is passed to handleAnswer(), possibly from inside this call.
+         * @return whether there is a node to query
+         */
         std::function<bool(const CounterQuery &, Counter)> sendQuery;
         /** Called when the coordinator of a part did not answer. */
         std::function<void(std::size_t part)> suspectCoordinator;
--- a/Libraries/LibWorkspace/QuotaCounter.cpp
+++ b/Libraries/LibWorkspace/QuotaCounter.cpp
@@ -8,9 +8,10 @@
 namespace
 {
 
-/** While nobody has a claim, two may count for a moment. */
+/** Fraction granted while there is no claim, because two counters may then count at the same time for a moment. */
 constexpr double unclaimedShare = 0.5;
-/** With more of the fleet a counter grants the whole quotas, with less nothing; between, its part grows evenly. */
+/** A counter in contact with at most minShare of the fleet grants nothing, with at least fullShare the whole quotas; the fraction
+ * grows linearly in between. */
 constexpr double minShare = 0.45;
 constexpr double fullShare = 0.6;
 
--- a/Libraries/LibWorkspace/WorkspaceDirectory.cpp
+++ b/Libraries/LibWorkspace/WorkspaceDirectory.cpp
@@ -9,12 +9,12 @@
     if (isNew) {
         this->list.push_back(workspace);
     }
-    std::size_t taken = 0;
+    std::size_t duplicates = 0;
     for (const KeyDigest &key : keys) {
-        const auto [holder, isFree] = this->byKey.try_emplace(key, known->second);
-        taken += !isFree && holder->second != known->second ? 1 : 0;
+        const auto [owner, isFree] = this->byKey.try_emplace(key, known->second);
+        duplicates += !isFree && owner->second != known->second ? 1 : 0;
     }
-    return taken;
+    return duplicates;
 }
 
 const Workspace *WorkspaceDirectory::findByKey(const KeyDigest &key) const
--- a/Tests/LibBatch/TestJobSchedule.cpp
+++ b/Tests/LibBatch/TestJobSchedule.cpp
@@ -20,17 +20,17 @@
 }
 
 /** Leases items one by one. @return number of items leased per job */
-std::map<JobId, int> handOut(JobSchedule &schedule, std::map<JobId, JobDemand> &jobs, int items)
+std::map<JobId, int> leaseItems(JobSchedule &schedule, std::map<JobId, JobDemand> &jobs, int items)
 {
-    std::map<JobId, int> given;
+    std::map<JobId, int> leasedItems;
     for (int i = 0; i < items; ++i) {
         const JobId job = *schedule.next(model);
-        ++given[job];
+        ++leasedItems[job];
         schedule.leased(job, 1);
         --jobs[job].waiting;
         schedule.update(jobs[job]);
     }
-    return given;
+    return leasedItems;
 }
 
 } // namespace
@@ -74,11 +74,11 @@
     for (const auto &[id, each] : jobs) {
         schedule.update(each);
     }
-    auto given = handOut(schedule, jobs, 100);
-    CHECK(given[JobId("urgent")] == 100);
-    given = handOut(schedule, jobs, 1000);
-    CHECK(given[JobId("urgent")] == 500);
-    CHECK(given[JobId("patient")] == 500);
+    auto leasedItems = leaseItems(schedule, jobs, 100);
+    CHECK(leasedItems[JobId("urgent")] == 100);
+    leasedItems = leaseItems(schedule, jobs, 1000);
+    CHECK(leasedItems[JobId("urgent")] == 500);
+    CHECK(leasedItems[JobId("patient")] == 500);
 }
 
 TEST_CASE("a returning tenant gets no credit for the time without jobs")
@@ -87,11 +87,11 @@
     std::map<JobId, JobDemand> jobs;
     jobs[JobId("old")] = demand("old", "there", 10s, 100000);
     schedule.update(jobs[JobId("old")]);
-    handOut(schedule, jobs, 5000);
+    leaseItems(schedule, jobs, 5000);
     jobs[JobId("new")] = demand("new", "back", 10s, 100000);
     schedule.update(jobs[JobId("new")]);
-    auto given = handOut(schedule, jobs, 1000);
-    CHECK(given[JobId("old")] == 500);
+    auto leasedItems = leaseItems(schedule, jobs, 1000);
+    CHECK(leasedItems[JobId("old")] == 500);
 }
 
 TEST_CASE("time without work does not count for the rate")
--- a/Tests/LibWorkspace/TestQuotaBucket.cpp
+++ b/Tests/LibWorkspace/TestQuotaBucket.cpp
@@ -14,11 +14,11 @@
 
 int takeAll(QuotaBucket &bucket, SteadyTime now)
 {
-    int taken = 0;
+    int granted = 0;
     while (!bucket.tryAcquire(now)) {
-        ++taken;
+        ++granted;
     }
-    return taken;
+    return granted;
 }
 
 } // namespace
--- a/Tests/LibWorkspace/TestQuotaClient.cpp
+++ b/Tests/LibWorkspace/TestQuotaClient.cpp
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using Counter = QuotaClient::Counter;
 
-/** An client whose questions are kept, and answered by the test. */
+/** A quota client whose queries are recorded and answered by the test. */
 class Bench
 {
 public:
--- a/Tests/LibWorkspace/TestQuotaReplay.cpp
+++ b/Tests/LibWorkspace/TestQuotaReplay.cpp
@@ -45,7 +45,7 @@
     }
 }
 
-/** Applies the load to all nodes; small rates get at least one request per interval. */
+/** Applies a load to all nodes. */
 void playEverywhere(QuotaFleet &fleet, double perSecond, milliseconds length)
 {
     play(fleet, {perSecond, 0, fleet.size()}, length);
