--- a/Libraries/LibBatch/JobSchedule.cpp
+++ b/Libraries/LibBatch/JobSchedule.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Items that tenants without waiting jobs had are remembered for this many of them. */
+/** Max number of tenants without waiting jobs whose served items are kept. */
 constexpr std::size_t idleTenantsKept = 1024;
 
 } // namespace
@@ -20,7 +20,7 @@
     JobDemand demand;
     std::uint64_t number = 0;
     ModelQueue *model = nullptr;
-    /** Set while it is in the queues. */
+    /** Set while the job is in the queues. */
     TenantQueue *tenant = nullptr;
     Key key;
 };
@@ -29,10 +29,10 @@
 {
     WorkspaceName name;
     std::uint64_t number = 0;
-    /** Items it has had, from where it joined. */
+    /** Items served to the tenant; starts at the count of the least served tenant. */
     std::uint64_t served = 0;
     std::map<Key, Entry *> jobs;
-    /** Its place in ModelQueue::byUrgency. */
+    /** Key in ModelQueue::byUrgency. */
     Key head;
 };
 
@@ -41,7 +41,7 @@
     std::chrono::nanoseconds timePerItem{0};
     std::uint64_t waiting = 0;
     std::map<WorkspaceName, TenantQueue> tenants;
-    /** Tenants with waiting jobs, by what they had and by their most urgent job. */
+    /** Tenants with waiting jobs, by their served items and by their most urgent job. */
     std::map<std::pair<std::uint64_t, std::uint64_t>, TenantQueue *> byServed;
     std::map<Key, TenantQueue *> byUrgency;
 
@@ -58,13 +58,13 @@
         this->byServed.erase(std::pair(tenant.served, tenant.number));
     }
 
-    void forgetIdle(const TenantQueue &but)
+    void removeIdle(const TenantQueue &except)
     {
         if (this->tenants.size() - this->byServed.size() <= idleTenantsKept) {
             return;
         }
-        std::erase_if(this->tenants, [&but](const auto &entry) {
-            return entry.second.jobs.empty() && &entry.second != &but;
+        std::erase_if(this->tenants, [&except](const auto &entry) {
+            return entry.second.jobs.empty() && &entry.second != &except;
         });
     }
 };
@@ -98,7 +98,7 @@
         entry->model = queue.get();
     }
     const bool wasWaiting = entry->tenant != nullptr;
-    this->take(*entry);
+    this->dequeue(*entry);
     entry->demand = demand;
     this->insert(*entry, wasWaiting);
 }
@@ -107,7 +107,7 @@
 {
     const auto found = this->entries.find(job);
     if (found != this->entries.end()) {
-        this->take(*found->second);
+        this->dequeue(*found->second);
         this->entries.erase(found);
     }
 }
@@ -121,17 +121,17 @@
     const auto [found, isNew] = model.tenants.try_emplace(entry.demand.tenant);
     TenantQueue &tenant = found->second;
     if (isNew) {
-        model.forgetIdle(tenant);
+        model.removeIdle(tenant);
         tenant.name = entry.demand.tenant;
         tenant.number = ++this->lastNumber;
     }
     if (!tenant.jobs.empty()) {
         model.unlink(tenant);
     } else if (!wasWaiting) {
-        // One that comes back has no claim to what it did not use meanwhile, else it could shut the others out for as
-        // long as it was away; one that had more than its share is not let off by a short absence.
-        const std::uint64_t least = model.byServed.empty() ? tenant.served : model.byServed.begin()->first.first;
-        tenant.served = std::max(tenant.served, least);
+        // A returning tenant gets no credit for the time without jobs, else it could starve the others for as long. A tenant
+        // with a lead keeps it, so that a short absence does not reset it.
+        const std::uint64_t minServed = model.byServed.empty() ? tenant.served : model.byServed.begin()->first.first;
+        tenant.served = std::max(tenant.served, minServed);
     }
     entry.key = {latestStartOf(entry), entry.number};
     entry.tenant = &tenant;
@@ -140,7 +140,7 @@
     model.waiting += entry.demand.waiting;
 }
 
-void JobSchedule::take(Entry &entry)
+void JobSchedule::dequeue(Entry &entry)
 {
     TenantQueue *const tenant = std::exchange(entry.tenant, nullptr);
     if (tenant == nullptr) {
@@ -163,10 +163,10 @@
     }
     const ModelQueue &queue = *found->second;
     const TenantQueue *const urgent = queue.byUrgency.begin()->second;
-    const TenantQueue *const behind = queue.byServed.begin()->second;
-    const bool mayLead = urgent->served < behind->served + this->options.tenantLead;
-    const TenantQueue *const chosen = mayLead ? urgent : behind;
-    return chosen->jobs.begin()->second->demand.jobId;
+    const TenantQueue *const leastServed = queue.byServed.begin()->second;
+    const bool mayLead = urgent->served < leastServed->served + this->options.tenantLead;
+    const TenantQueue *const selected = mayLead ? urgent : leastServed;
+    return selected->jobs.begin()->second->demand.jobId;
 }
 
 void JobSchedule::leased(const JobId &job, std::uint32_t items)
@@ -197,7 +197,7 @@
     for (const auto &[id, entry] : this->entries) {
         if (entry->model == found->second.get() && entry->tenant != nullptr) {
             queued.push_back(entry.get());
-            this->take(*entry);
+            this->dequeue(*entry);
         }
     }
     found->second->timePerItem = time;
--- a/Libraries/LibWorkspace/QuotaClient.h
+++ b/Libraries/LibWorkspace/QuotaClient.h
@@ -15,114 +15,117 @@
 namespace Dogwoodkeel
 {
 
-/** The workspaces are spread over so many counters by their names, each of them a duty of its own. */
+/** Number of counters that the workspaces are distributed over by name. Each counter is a role with its own coordinator. */
 inline constexpr std::size_t quotaParts = 4;
 
-/** @return which of the counters counts a workspace. */
+/** @return the index of the counter that is responsible for a workspace. */
 std::size_t quotaPartOf(const WorkspaceName &workspace);
 
-/** What a counter is asked. */
-struct QuotaQuestion
+/** Query to a counter: whether one more request of a workspace may run. */
+struct CounterQuery
 {
     std::uint64_t ticket = 0;
     WorkspaceName workspace;
     RequestQuota quota;
-    /** Of the configuration that the quota stands in. */
+    /** Version of the configuration that defines the quota. */
     std::uint64_t version = 0;
 };
 
 /**
- * Gets the requests of this node counted. It asks the counter of a workspace; without an answer the node that would take that
- * duty over; and if that does not answer either, it decides by its own part, see LoneQuota. A counter that is lost delays a
- * request by some tens of milliseconds, and only the first ones.
+ * Obtains quota decisions for the requests of this node. It queries the counter of the workspace; without an answer, the
+ * successor of that counter; and without an answer from the successor, it decides by the node's share of the quota, see
+ * LocalQuota. The loss of a counter delays only the first requests after it, by some tens of milliseconds.
  */
-class QuotaAsker
+class QuotaClient
 {
 public:
     using Ticket = std::uint64_t;
-    using Decided = std::function<void(const QuotaDecision &)>;
+    using DecisionHandler = std::function<void(const QuotaDecision &)>;
 
-    /** Whom to ask. */
+    /** Node to query. */
     enum class Counter {
-        Holder,
+        Coordinator,
         Successor,
     };
 
     struct Hooks
     {
-        /** Ask; the answer comes back by take(), maybe at once. @return whether there is such a node */
-        std::function<bool(const QuotaQuestion &, Counter)> ask;
-        /** The holder of a part did not answer. */
-        std::function<void(std::size_t part)> suspectHolder;
+        /**
+         * Sends a query; its answer is passed to handleAnswer(), possibly from inside this call.
+         * @return whether there is a node to query
+         */
+        std::function<bool(const CounterQuery &, Counter)> sendQuery;
+        /** Called when the coordinator of a part did not answer. */
+        std::function<void(std::size_t part)> suspectCoordinator;
     };
 
-    QuotaAsker(const Clock &clock, const QuotaBounds &bounds, Hooks hooks);
+    QuotaClient(const Clock &clock, const QuotaBounds &bounds, Hooks hooks);
 
-    /** See LoneQuota::setNodes(). */
-    void setNodes(std::size_t place, std::size_t count);
+    /** See LocalQuota::setNodes(). */
+    void setNodes(std::size_t position, std::size_t count);
 
     /**
-     * Ask whether a request may run.
-     * @param decided told once, maybe from inside this call
-     * @return names the question until then
+     * Requests a decision on whether a request may run.
+     * @param onDecision called once, possibly from inside this call
+     * @return identifies the query until the decision
      */
-    Ticket ask(const WorkspaceName &workspace, const RequestQuota &quota, std::uint64_t version, Decided decided);
+    Ticket query(const WorkspaceName &workspace, const RequestQuota &quota, std::uint64_t version, DecisionHandler onDecision);
 
-    /** The answer is not wanted any more. */
+    /** Drops a query; its decision handler is not called. */
     void cancel(Ticket ticket);
 
-    /** A counter has answered. */
-    void take(Ticket ticket, const QuotaDecision &decision);
+    /** Handles the answer of a counter. */
+    void handleAnswer(Ticket ticket, const QuotaDecision &decision);
 
-    /** Another node has the duty of a counter now: what is suspected of the one before does not count. */
-    void noteHolderChanged(std::size_t part);
+    /** Clears the suspicions of a part after another node became its coordinator. */
+    void handleCoordinatorChange(std::size_t part);
 
-    /** Look after what time brings. */
+    /** Sends unanswered queries again and handles expired timeouts. */
     void tick();
 
-    /** @return requests that were decided without a counter. */
-    std::uint64_t decidedAlone() const;
+    /** @return number of requests that were decided without a counter. */
+    std::uint64_t decidedLocally() const;
 
-    /** @return whether a counter of the part has answered lately. */
-    bool isInTouch(std::size_t part) const;
+    /** @return whether a counter of the part has answered recently. */
+    bool hasRecentAnswer(std::size_t part) const;
 
 private:
-    struct Asked
+    struct PendingQuery
     {
-        QuotaQuestion question;
-        Decided decided;
-        Counter counter = Counter::Holder;
-        SteadyTime begun{};
-        /** Whether there was nobody to ask. */
-        bool isStranded = false;
-        /** When that counter was first asked, and last. */
-        SteadyTime first{};
-        SteadyTime last{};
+        CounterQuery query;
+        DecisionHandler onDecision;
+        Counter counter = Counter::Coordinator;
+        SteadyTime started{};
+        /** Whether no node was known that could be queried. */
+        bool hasNoCounter = false;
+        /** When the current counter was first queried, and when last. */
+        SteadyTime firstSent{};
+        SteadyTime lastSent{};
     };
 
-    /** What is known of the counters of a part. */
+    /** State of the counters of a part. */
     struct Part
     {
-        /** Until then the holder, or its successor as well, is not waited for. */
-        SteadyTime holderSuspectedUntil{};
+        /** Until when the coordinator, or its successor, is skipped because it did not answer. */
+        SteadyTime coordinatorSuspectedUntil{};
         SteadyTime successorSuspectedUntil{};
         SteadyTime answered{};
     };
 
-    void askCounter(Ticket ticket, Counter counter);
-    void askNext(Ticket ticket);
-    void tickOne(Ticket ticket);
-    void suspectCounter(const Asked &asked);
-    void decideAlone(Ticket ticket);
+    void sendToCounter(Ticket ticket, Counter counter);
+    void tryNextCounter(Ticket ticket);
+    void checkQuery(Ticket ticket);
+    void suspectCounter(const PendingQuery &pending);
+    void decideLocally(Ticket ticket);
     void decide(Ticket ticket, const QuotaDecision &decision);
 
     const Clock &clock;
     Hooks hooks;
-    LoneQuota own;
+    LocalQuota localQuota;
     std::array<Part, quotaParts> parts;
-    std::map<Ticket, Asked> open;
+    std::map<Ticket, PendingQuery> pendingQueries;
     Ticket lastTicket = 0;
-    std::uint64_t aloneCount = 0;
+    std::uint64_t localDecisions = 0;
 };
 
 } // namespace Dogwoodkeel
--- a/Services/Gateway/QuotaService.cpp
+++ b/Services/Gateway/QuotaService.cpp
@@ -41,7 +41,7 @@
 constexpr double partitionedShare = 0.6;
 constexpr double wholeShare = 0.9;
 
-QuotaAnswer answerOf(QuotaAsker::Ticket ticket, const QuotaDecision &decision)
+QuotaAnswer answerOf(QuotaClient::Ticket ticket, const QuotaDecision &decision)
 {
     return {ticket, decision.kind == QuotaDecision::Kind::Granted, decision.retryAfter};
 }
@@ -58,11 +58,11 @@
     , suspended(clock.suspended())
     , asker(clock,
             bounds,
-            {.ask =
-                 [this](const QuotaQuestion &question, QuotaAsker::Counter counter) {
+            {.sendQuery =
+                 [this](const CounterQuery &question, QuotaClient::Counter counter) {
                      return this->queryCounter(question, counter);
                  },
-             .suspectHolder =
+             .suspectCoordinator =
                  [this](std::size_t number) {
                      const std::string &role = this->parts[number].role;
                      log(LogLevel::Warning, "counter of quotas does not answer", {{"duty", role}});
@@ -87,21 +87,21 @@
     }
 }
 
-QuotaAsker::Ticket QuotaService::request(const Workspace &workspace, std::uint64_t version, QuotaAsker::Decided decided)
+QuotaClient::Ticket QuotaService::request(const Workspace &workspace, std::uint64_t version, QuotaClient::DecisionHandler decided)
 {
-    return this->asker.ask(workspace.name, workspace.quota, version, std::move(decided));
+    return this->asker.query(workspace.name, workspace.quota, version, std::move(decided));
 }
 
-void QuotaService::cancel(QuotaAsker::Ticket ticket)
+void QuotaService::cancel(QuotaClient::Ticket ticket)
 {
     this->asker.cancel(ticket);
 }
 
-bool QuotaService::queryCounter(const QuotaQuestion &question, QuotaAsker::Counter counter)
+bool QuotaService::queryCounter(const CounterQuery &question, QuotaClient::Counter counter)
 {
     const std::size_t number = quotaPartOf(question.workspace);
     const std::string &role = this->parts[number].role;
-    const bool isToSuccessor = counter == QuotaAsker::Counter::Successor;
+    const bool isToSuccessor = counter == QuotaClient::Counter::Successor;
     const Member *const member = isToSuccessor ? this->elections.successor(role) : this->elections.coordinator(role);
     if (member == nullptr) {
         return false;
@@ -110,7 +110,7 @@
         if (this->isIsolated() || !this->mayCount(role)) {
             return false;
         }
-        this->asker.take(question.ticket, this->count(number, {this->peers.self(), question.ticket}, question));
+        this->asker.handleAnswer(question.ticket, this->count(number, {this->peers.self(), question.ticket}, question));
         return true;
     }
     QuotaQuery query;
@@ -136,7 +136,7 @@
     if (datagram.number == QuotaAnswer::number) {
         if (const auto answer = decode<QuotaAnswer>(datagram.payload)) {
             const auto kind = answer->isGranted ? QuotaDecision::Kind::Granted : QuotaDecision::Kind::OverLimit;
-            this->asker.take(answer->ticket, {kind, answer->retryAfter});
+            this->asker.handleAnswer(answer->ticket, {kind, answer->retryAfter});
         }
         return true;
     }
@@ -166,19 +166,19 @@
     if (!this->mayCount(role)) {
         return;
     }
-    const QuotaQuestion question{query.ticket, query.workspace, {query.perSecond, query.burst}, query.version};
+    const CounterQuery question{query.ticket, query.workspace, {query.perSecond, query.burst}, query.version};
     const QuotaDecision decision = this->count(number, {query.from, query.ticket}, question);
     this->peers.datagrams().send(isForwarded ? query.replyTo : datagram.from, answerOf(query.ticket, decision));
 }
 
-QuotaDecision QuotaService::count(std::size_t number, const QueryId &id, const QuotaQuestion &question)
+QuotaDecision QuotaService::count(std::size_t number, const QueryId &id, const CounterQuery &question)
 {
     Part &part = this->parts[number];
     const auto known = part.answered.find(id);
     if (known != part.answered.end()) {
         return known->second;
     }
-    const QuotaDecision decision = this->counterOf(part).take(question.workspace, question.quota, question.version);
+    const QuotaDecision decision = this->counterOf(part).tryAcquire(question.workspace, question.quota, question.version);
     if (decision.kind == QuotaDecision::Kind::OverLimit) {
         this->lastRefusal = this->clock.now();
     }
@@ -190,8 +190,8 @@
 QuotaCounter &QuotaService::counterOf(Part &part)
 {
     if (!part.counter) {
-        const auto beginning = this->elections.isClaimed(part.role) ? QuotaCounter::Beginning::HolderSilent
-                                                                    : QuotaCounter::Beginning::NobodyClaimed;
+        const auto beginning = this->elections.isClaimed(part.role) ? QuotaCounter::StartReason::CoordinatorUnresponsive
+                                                                    : QuotaCounter::StartReason::NoClaim;
         part.counter = std::make_unique<QuotaCounter>(this->clock, this->bounds, beginning);
         if (this->share) {
             part.counter->setShare(*this->share);
@@ -219,7 +219,7 @@
 void QuotaService::handOver(std::size_t number, const CoordinatorElections::Change &change)
 {
     Part &part = this->parts[number];
-    this->asker.noteHolderChanged(number);
+    this->asker.handleCoordinatorChange(number);
     if (change.former != this->peers.self() || !part.counter) {
         return;
     }
@@ -277,7 +277,7 @@
     }
     part.handover.clear();
     if (isCurrent) {
-        part.counter->inform(levels);
+        part.counter->restoreLevels(levels);
     }
 }
 
@@ -369,7 +369,7 @@
     bool isInTouch = false;
     for (std::size_t number = 0; number < this->parts.size(); ++number) {
         this->clean(this->parts[number]);
-        isInTouch = isInTouch || this->asker.isInTouch(number);
+        isInTouch = isInTouch || this->asker.hasRecentAnswer(number);
     }
     if (!isInTouch) {
         return;
@@ -393,13 +393,13 @@
         part.answeredOrder.pop_front();
     }
     if (part.counter) {
-        part.counter->forgetUnused();
+        part.counter->removeUnused();
     }
 }
 
 std::uint64_t QuotaService::decidedAlone() const
 {
-    return this->asker.decidedAlone();
+    return this->asker.decidedLocally();
 }
 
 std::size_t QuotaService::counted() const
--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -34,10 +34,10 @@
     void start();
 
     /** See QuotaAsker::ask(). @param version version of the configuration that names the workspace */
-    QuotaAsker::Ticket request(const Workspace &workspace, std::uint64_t version, QuotaAsker::Decided decided);
+    QuotaClient::Ticket request(const Workspace &workspace, std::uint64_t version, QuotaClient::DecisionHandler decided);
 
     /** Cancels a request; its callback is not called any more. */
-    void cancel(QuotaAsker::Ticket ticket);
+    void cancel(QuotaClient::Ticket ticket);
 
     /** Records that a datagram of another node was received. */
     void recordReceived(const Address &from);
@@ -59,7 +59,7 @@
 
 private:
     /** Identifies a query among all nodes. */
-    using QueryId = std::pair<SessionNumber, QuotaAsker::Ticket>;
+    using QueryId = std::pair<SessionNumber, QuotaClient::Ticket>;
 
     /** A part of the workspaces, and the counter for it. */
     struct Part
@@ -76,11 +76,11 @@
         SteadyTime nextClean{};
     };
 
-    bool queryCounter(const QuotaQuestion &question, QuotaAsker::Counter counter);
+    bool queryCounter(const CounterQuery &question, QuotaClient::Counter counter);
     void receive(const Datagram &datagram, const QuotaQuery &query);
     void receive(const QuotaHandover &handover);
     void applyHandover(Part &part);
-    QuotaDecision count(std::size_t number, const QueryId &id, const QuotaQuestion &question);
+    QuotaDecision count(std::size_t number, const QueryId &id, const CounterQuery &question);
     QuotaCounter &counterOf(Part &part);
     void handOver(std::size_t number, const CoordinatorElections::Change &change);
     void clean(Part &part);
@@ -100,7 +100,7 @@
     std::chrono::nanoseconds suspended{0};
     SteadyTime nextProbe{};
     std::array<Part, quotaParts> parts;
-    QuotaAsker asker;
+    QuotaClient asker;
     RecentMembers recent;
     ReachabilityEstimator reachability;
     /** When the reachability estimator next gets the recent members. */
