--- a/Benchmarks/Measure/Decisions.cpp
+++ b/Benchmarks/Measure/Decisions.cpp
@@ -4,7 +4,7 @@
 #include <LibBase/Hash.h>
 #include <LibBase/SystemClock.h>
 #include <LibFleet/FleetState.h>
-#include <LibRouting/ReplicaChooser.h>
+#include <LibRouting/ReplicaSelector.h>
 
 #include <algorithm>
 #include <deque>
--- a/Benchmarks/Measure/Routing.cpp
+++ b/Benchmarks/Measure/Routing.cpp
@@ -5,7 +5,7 @@
 
 #include <LibBase/Hash.h>
 #include <LibFleet/FleetState.h>
-#include <LibRouting/ReplicaChooser.h>
+#include <LibRouting/ReplicaSelector.h>
 
 #include <algorithm>
 #include <array>
--- a/Libraries/LibRouting/ReplicaChooser.cpp
+++ b/Libraries/LibRouting/ReplicaSelector.cpp
@@ -1,4 +1,4 @@
-#include <LibRouting/ReplicaChooser.h>
+#include <LibRouting/ReplicaSelector.h>
 
 #include <LibFleet/FleetState.h>
 #include <LibRouting/OutlierEjection.h>
--- a/Tests/LibRouting/TestReplicaChooser.cpp
+++ b/Tests/LibRouting/TestReplicaSelector.cpp
@@ -1,7 +1,7 @@
 #include <LibBase/Hash.h>
 #include <LibBase/ManualClock.h>
 #include <LibFleet/FleetState.h>
-#include <LibRouting/ReplicaChooser.h>
+#include <LibRouting/ReplicaSelector.h>
 
 #include <doctest/doctest.h>
 
