--- a/Benchmarks/Measure/Decisions.cpp
+++ b/Benchmarks/Measure/Decisions.cpp
@@ -4,7 +4,7 @@
 #include <LibBase/Hash.h>
 #include <LibBase/SystemClock.h>
 #include <LibFleet/FleetState.h>
-#include <LibRouting/ReplicaChooser.h>
+#include <LibRouting/ReplicaSelector.h>
 
 #include <algorithm>
 #include <deque>
@@ -59,12 +59,12 @@
     {
         printFigure("decisions.route_two_choices." + name,
                     this->time([this](std::uint64_t) {
-                        return this->chooser.choose(model, {});
+                        return this->chooser.select(model, {});
                     }),
                     "ns");
         printFigure("decisions.route_prefix." + name,
                     this->time([this](std::uint64_t number) {
-                        return this->chooser.choose(model, {.prefix = rendezvousWeight(1, number % prefixes)});
+                        return this->chooser.select(model, {.prefix = rendezvousWeight(1, number % prefixes)});
                     }),
                     "ns");
         printFigure("decisions.route_scan_of_all." + name,
@@ -92,7 +92,7 @@
     std::mt19937_64 random{1};
     ReplicaTable table;
     FleetState state{this->clock, this->settings, this->table};
-    ReplicaChooser chooser{this->clock, this->settings, this->table, this->random};
+    ReplicaSelector chooser{this->clock, this->settings, this->table, this->random};
     std::deque<Replica *> open;
 };
 
--- a/Benchmarks/Measure/Routing.cpp
+++ b/Benchmarks/Measure/Routing.cpp
@@ -5,7 +5,7 @@
 
 #include <LibBase/Hash.h>
 #include <LibFleet/FleetState.h>
-#include <LibRouting/ReplicaChooser.h>
+#include <LibRouting/ReplicaSelector.h>
 
 #include <algorithm>
 #include <array>
@@ -142,7 +142,7 @@
     std::mt19937_64 random;
     ReplicaTable table;
     FleetState state;
-    ReplicaChooser chooser;
+    ReplicaSelector chooser;
 };
 
 using Choose = std::function<Replica *(Node &node, std::uint64_t prefix)>;
@@ -175,11 +175,11 @@
      }},
     {"ours_without_prefix",
      [](Node &node, std::uint64_t) {
-         return node.chooser.choose(model, {});
+         return node.chooser.select(model, {});
      }},
     {"ours",
      [](Node &node, std::uint64_t prefix) {
-         return node.chooser.choose(model, {.prefix = prefix});
+         return node.chooser.select(model, {.prefix = prefix});
      }},
 }};
 
--- a/Libraries/LibFleet/FleetState.cpp
+++ b/Libraries/LibFleet/FleetState.cpp
@@ -21,9 +21,9 @@
 
 void FleetState::begin(Replica &replica)
 {
-    replica.used = this->clock.now();
-    occupy(replica, replica.used);
-    replica.history.record(++replica.inFlight, replica.used);
+    replica.lastUsed = this->clock.now();
+    occupy(replica, replica.lastUsed);
+    replica.history.record(++replica.inFlight, replica.lastUsed);
 }
 
 void FleetState::end(Replica &replica, const AttemptResult &result)
@@ -35,13 +35,13 @@
     replica.history.record(--replica.inFlight, now);
     switch (result.outcome) {
     case AttemptOutcome::Succeeded:
-        replica.failuresInARow = 0;
+        replica.consecutiveFailures = 0;
         replica.failures.observe(0, now, this->settings->fleet.failureHalfLife);
         break;
     case AttemptOutcome::NotConnected:
     case AttemptOutcome::Failed:
-    case AttemptOutcome::Silent:
-        ++replica.failuresInARow;
+    case AttemptOutcome::Unresponsive:
+        ++replica.consecutiveFailures;
         replica.failures.observe(1, now, this->settings->fleet.failureHalfLife);
         break;
     case AttemptOutcome::Refused:
@@ -110,7 +110,7 @@
 void FleetState::restarted(Replica &replica)
 {
     replica.prefixes.clear();
-    replica.failuresInARow = 0;
+    replica.consecutiveFailures = 0;
     replica.ejection = {};
     replica.rampStart = this->clock.now();
 }
--- a/Libraries/LibFleet/FleetState.h
+++ b/Libraries/LibFleet/FleetState.h
@@ -24,7 +24,7 @@
     /** The connection broke, the answer was cut short, or the endpoint reported an error of its own. */
     Failed,
     /** No sign of progress for too long. */
-    Silent,
+    Unresponsive,
     /** Given up by this node or its caller: says nothing about the endpoint. */
     Abandoned,
 };
--- a/Libraries/LibFleet/PrefixHints.cpp
+++ b/Libraries/LibFleet/PrefixHints.cpp
@@ -79,7 +79,7 @@
     return this->known.contains(prefix) ? this->trust : 0;
 }
 
-std::uint64_t PrefixHints::last() const
+std::uint64_t PrefixHints::lastEventNumber() const
 {
     return this->lastNumber;
 }
--- a/Libraries/LibFleet/PrefixHints.h
+++ b/Libraries/LibFleet/PrefixHints.h
@@ -44,7 +44,7 @@
     double confidence(std::uint64_t prefix) const;
 
     /** @return the number of the last event seen; the ones behind it are to be asked for. */
-    std::uint64_t last() const;
+    std::uint64_t lastEventNumber() const;
 
     std::size_t size() const;
 
--- a/Libraries/LibFleet/Replica.h
+++ b/Libraries/LibFleet/Replica.h
@@ -45,7 +45,7 @@
     /** Requests of this node that run there. Changed by FleetState alone. */
     std::uint32_t inFlight = 0;
     /** Failures since its last success. */
-    std::uint32_t failuresInARow = 0;
+    std::uint32_t consecutiveFailures = 0;
     /** Whether it is about to go; once seen, it stays so until another start of the endpoint reports. */
     bool isLeaving = false;
 
@@ -63,7 +63,7 @@
     std::vector<std::string> adapters;
 
     /** When this node last sent a request there. */
-    SteadyTime used{};
+    SteadyTime lastUsed{};
     InFlightHistory history;
     OthersLoad others;
     /** Of when the last whole report is: it may be older than the last word on the load. */
--- a/Libraries/LibRouting/DeadlineQueue.cpp
+++ b/Libraries/LibRouting/DeadlineQueue.cpp
@@ -35,7 +35,7 @@
         return {};
     }
     Offer offer{.isQueued = true};
-    if (this->places.size() >= this->options.most) {
+    if (this->places.size() >= this->options.maxSize) {
         const auto last = std::prev(this->places.end());
         if (*last < place) {
             return {};
@@ -67,7 +67,7 @@
     }
 }
 
-std::vector<DeadlineQueue::Ticket> DeadlineQueue::takeHopeless()
+std::vector<DeadlineQueue::Ticket> DeadlineQueue::removeInfeasible()
 {
     std::vector<Ticket> hopeless;
     std::size_t others = 0;
@@ -84,7 +84,7 @@
     return hopeless;
 }
 
-void DeadlineQueue::placed()
+void DeadlineQueue::recordPlacement()
 {
     const SteadyTime now = this->clock.now();
     if (this->given < 1) {
@@ -94,7 +94,7 @@
     this->givenAt = now;
 }
 
-void DeadlineQueue::served(std::chrono::microseconds service)
+void DeadlineQueue::recordServiceTime(std::chrono::microseconds service)
 {
     const double taken = seconds(service);
     if (this->service == 0) {
--- a/Libraries/LibRouting/DeadlineQueue.h
+++ b/Libraries/LibRouting/DeadlineQueue.h
@@ -31,7 +31,7 @@
     struct Options
     {
         /** Requests that wait at most. */
-        std::size_t most = 256;
+        std::size_t maxSize = 256;
         /** How fast the measured rates forget. */
         std::chrono::milliseconds memory{2000};
     };
@@ -56,13 +56,13 @@
     void remove(Ticket ticket);
 
     /** @return the requests that cannot make their deadlines any more, taken out. */
-    std::vector<Ticket> takeHopeless();
+    std::vector<Ticket> removeInfeasible();
 
     /** A request got a place. */
-    void placed();
+    void recordPlacement();
 
     /** A request left its place. @param service how long it had it */
-    void served(std::chrono::microseconds service);
+    void recordServiceTime(std::chrono::microseconds service);
 
     /** @return how long a request that comes now would wait; zero if no rate is known yet. */
     std::chrono::milliseconds expectedWait() const;
--- a/Libraries/LibRouting/OutlierEjection.cpp
+++ b/Libraries/LibRouting/OutlierEjection.cpp
@@ -22,7 +22,7 @@
 {
     replica.ejection.isEjected = false;
     // One more failure ejects it again; it need not fail as often as one of good standing.
-    replica.failuresInARow = 0;
+    replica.consecutiveFailures = 0;
     replica.rampStart = now;
 }
 
@@ -30,7 +30,7 @@
 {
     const bool isOnProbation = replica.ejection.times > 0 && rampShare(replica, now, settings.slowStart) < 1;
     const std::uint32_t limit = isOnProbation ? 1 : static_cast<std::uint32_t>(settings.ejectFailures);
-    return replica.failuresInARow >= limit;
+    return replica.consecutiveFailures >= limit;
 }
 
 void eject(Replica &replica, SteadyTime now, const FleetSettings &settings)
@@ -49,7 +49,7 @@
         if (replica->ejection.isEjected && now >= replica->ejection.until) {
             release(*replica, now);
         }
-        const bool isReformed = replica->ejection.times > 0 && !replica->ejection.isEjected && replica->failuresInARow == 0
+        const bool isReformed = replica->ejection.times > 0 && !replica->ejection.isEjected && replica->consecutiveFailures == 0
             && now - replica->rampStart >= settings.ejectTimeMost;
         if (isReformed) {
             replica->ejection.times = 0;
@@ -63,7 +63,7 @@
         }
     }
     // Under the cap, those that fail the most go first.
-    std::ranges::sort(outliers, std::ranges::greater(), &Replica::failuresInARow);
+    std::ranges::sort(outliers, std::ranges::greater(), &Replica::consecutiveFailures);
     outliers.resize(std::min(outliers.size(), left));
     for (Replica *const replica : outliers) {
         eject(*replica, now, settings);
--- a/Libraries/LibRouting/Quarantine.cpp
+++ b/Libraries/LibRouting/Quarantine.cpp
@@ -42,24 +42,24 @@
     this->options = options;
 }
 
-Standing Quarantine::standing(ContentFingerprint request) const
+QuarantineStatus Quarantine::status(ContentFingerprint request) const
 {
     const Record *const record = this->find(request);
     if (record == nullptr) {
-        return Standing::Clear;
+        return QuarantineStatus::Clear;
     }
-    return record->points.size() >= this->options.losses ? Standing::Quarantined : Standing::Suspect;
+    return record->points.size() >= this->options.losses ? QuarantineStatus::Quarantined : QuarantineStatus::Suspect;
 }
 
 std::chrono::milliseconds Quarantine::remaining(ContentFingerprint request) const
 {
-    if (this->standing(request) != Standing::Quarantined) {
+    if (this->status(request) != QuarantineStatus::Quarantined) {
         return std::chrono::milliseconds(0);
     }
     return std::chrono::ceil<std::chrono::milliseconds>(this->find(request)->until - this->clock.now());
 }
 
-Standing Quarantine::lost(ContentFingerprint request, const CrashPoint &point)
+QuarantineStatus Quarantine::recordLoss(ContentFingerprint request, const CrashPoint &point)
 {
     this->forgetOld();
     if (this->find(request) == nullptr) {
@@ -74,10 +74,10 @@
         record.until = this->clock.now() + this->options.duration;
         this->ages.emplace_back(this->clock.now(), request);
     }
-    return this->standing(request);
+    return this->status(request);
 }
 
-bool Quarantine::succeeded(ContentFingerprint request)
+bool Quarantine::recordSuccess(ContentFingerprint request)
 {
     return this->records.erase(request) > 0;
 }
@@ -92,7 +92,7 @@
 {
     std::vector<ContentFingerprint> found;
     for (const auto &[request, record] : this->records) {
-        if (this->standing(request) == Standing::Quarantined) {
+        if (this->status(request) == QuarantineStatus::Quarantined) {
             found.push_back(request);
         }
     }
--- a/Libraries/LibRouting/Quarantine.h
+++ b/Libraries/LibRouting/Quarantine.h
@@ -37,7 +37,7 @@
 };
 
 /** How far a request is held to crash endpoints. */
-enum class Standing {
+enum class QuarantineStatus {
     Clear,
     /** It was running on one endpoint that was lost; it may be a bystander. */
     Suspect,
@@ -76,16 +76,16 @@
     void setOptions(const Options &options);
 
     /** @return how a request stands now. */
-    Standing standing(ContentFingerprint request) const;
+    QuarantineStatus status(ContentFingerprint request) const;
 
     /** @return how long a quarantine still lasts; zero without one. */
     std::chrono::milliseconds remaining(ContentFingerprint request) const;
 
     /** An endpoint was lost while it ran the request. @return how the request stands after it */
-    Standing lost(ContentFingerprint request, const CrashPoint &point);
+    QuarantineStatus recordLoss(ContentFingerprint request, const CrashPoint &point);
 
     /** The request ran to its end somewhere: it is cleared. @return whether it had been suspected */
-    bool succeeded(ContentFingerprint request);
+    bool recordSuccess(ContentFingerprint request);
 
     /** @return what is held against a request. */
     std::vector<CrashPoint> points(ContentFingerprint request) const;
--- a/Libraries/LibRouting/ReplicaScore.cpp
+++ b/Libraries/LibRouting/ReplicaScore.cpp
@@ -60,7 +60,7 @@
     return means;
 }
 
-double requestsOn(const Replica &replica, const PoolMeans &means, SteadyTime now, const FleetSettings &settings)
+double estimatedRequests(const Replica &replica, const PoolMeans &means, SteadyTime now, const FleetSettings &settings)
 {
     const LoadPrior prior{
         means.othersPerCapacity * replica.capacity, std::chrono::duration<double>(means.lifetime), settings.loadHalfLife};
@@ -80,7 +80,7 @@
 double busyness(const Replica &replica, const PoolMeans &means, double more, SteadyTime now, const FleetSettings &settings)
 {
     const double capacity = std::max(1.0, static_cast<double>(replica.capacity));
-    const double inFlight = requestsOn(replica, means, now, settings);
+    const double inFlight = estimatedRequests(replica, means, now, settings);
     const double places = capacity * rampShare(replica, now, settings.slowStart);
     return relativeServiceTime(replica, means) * (inFlight + more) / places;
 }
@@ -94,7 +94,7 @@
 {
     double cost = busyness(replica, means, 1, now, settings);
     // What fails with probability p has to be sent 1/(1-p) times on average.
-    const double failed = replica.failures.valueOr(0) * std::min(1.0, static_cast<double>(replica.failuresInARow));
+    const double failed = replica.failures.valueOr(0) * std::min(1.0, static_cast<double>(replica.consecutiveFailures));
     cost /= 1 - std::min(failed, worstFailureShare);
     if (prefix != 0) {
         cost -= prefixGain * replica.prefixes.confidence(prefix);
--- a/Libraries/LibRouting/ReplicaScore.h
+++ b/Libraries/LibRouting/ReplicaScore.h
@@ -25,7 +25,7 @@
 PoolMeans meansOf(const std::vector<Replica *> &replicas, SteadyTime now, const FleetSettings &settings);
 
 /** @return requests on a replica, of all nodes, as far as this one can tell. */
-double requestsOn(const Replica &replica, const PoolMeans &means, SteadyTime now, const FleetSettings &settings);
+double estimatedRequests(const Replica &replica, const PoolMeans &means, SteadyTime now, const FleetSettings &settings);
 
 /**
  * @return how much of its share a replica should get by now: near 0 when it is new or returned, 1 at the end of its slow
--- a/Libraries/LibRouting/ReplicaChooser.cpp
+++ b/Libraries/LibRouting/ReplicaSelector.cpp
@@ -1,4 +1,4 @@
-#include <LibRouting/ReplicaChooser.h>
+#include <LibRouting/ReplicaSelector.h>
 
 #include <LibFleet/FleetState.h>
 #include <LibRouting/OutlierEjection.h>
@@ -20,24 +20,24 @@
 /** Points of the ring that are looked at for a replica with room. */
 constexpr std::size_t mostPoints = 64;
 
-bool wasTried(const Replica &replica, const ChoiceQuery &query)
+bool wasTried(const Replica &replica, const SelectionQuery &query)
 {
     return std::ranges::find(query.avoid, replica.name) != query.avoid.end();
 }
 
-bool hasAdapter(const Replica &replica, const ChoiceQuery &query)
+bool hasAdapter(const Replica &replica, const SelectionQuery &query)
 {
     return query.adapter.empty() || std::ranges::find(replica.adapters, query.adapter) != replica.adapters.end();
 }
 
 /** @return whether it can serve the request at all. */
-bool canServe(const Replica &replica, const ChoiceQuery &query)
+bool canServe(const Replica &replica, const SelectionQuery &query)
 {
     return !replica.isLeaving && hasAdapter(replica, query) && !wasTried(replica, query);
 }
 
 /** @return whether nothing speaks against it. */
-bool isGood(const Replica &replica, const ChoiceQuery &query)
+bool isGood(const Replica &replica, const SelectionQuery &query)
 {
     const bool isElsewhere = query.avoidDomain.value().empty() || replica.failureDomain != query.avoidDomain;
     return canServe(replica, query) && !replica.ejection.isEjected && isElsewhere;
@@ -45,20 +45,20 @@
 
 } // namespace
 
-ReplicaChooser::Pool::Pool(std::vector<Replica *> replicas, std::uint64_t tableVersion)
+ReplicaSelector::Pool::Pool(std::vector<Replica *> replicas, std::uint64_t tableVersion)
     : all(std::move(replicas)), tableVersion(tableVersion), ring(this->all)
 {
 }
 
-ReplicaChooser::ReplicaChooser(const Clock &clock,
-                               const SettingsHandle &settings,
-                               ReplicaTable &replicas,
-                               std::mt19937_64 &random)
+ReplicaSelector::ReplicaSelector(const Clock &clock,
+                                 const SettingsHandle &settings,
+                                 ReplicaTable &replicas,
+                                 std::mt19937_64 &random)
     : clock(clock), settings(settings), replicas(replicas), random(random)
 {
 }
 
-ReplicaChooser::Pool *ReplicaChooser::poolOf(const std::string &serves)
+ReplicaSelector::Pool *ReplicaSelector::poolOf(const std::string &serves)
 {
     const auto found = this->pools.find(serves);
     if (found != this->pools.end() && found->second.tableVersion == this->replicas.version()) {
@@ -76,14 +76,14 @@
     return &this->pools.insert_or_assign(serves, std::move(pool)).first->second;
 }
 
-void ReplicaChooser::setRollout(const std::string &model, std::vector<VersionWeight> weights)
+void ReplicaSelector::setRollout(const std::string &model, std::vector<VersionWeight> weights)
 {
     if (Pool *const pool = this->poolOf(model)) {
         pool->rollout = std::move(weights);
     }
 }
 
-void ReplicaChooser::renew(Pool &pool, SteadyTime now)
+void ReplicaSelector::renew(Pool &pool, SteadyTime now)
 {
     if (now - pool.renewed < renewInterval) {
         return;
@@ -101,7 +101,7 @@
     pool.means = meansOf(pool.usable, now, this->settings->fleet);
 }
 
-std::string ReplicaChooser::versionFor(const Pool &pool, const ChoiceQuery &query)
+std::string ReplicaSelector::versionFor(const Pool &pool, const SelectionQuery &query)
 {
     if (!query.version.empty() || pool.rollout.empty()) {
         return query.version;
@@ -120,7 +120,7 @@
     return {};
 }
 
-Replica *ReplicaChooser::choose(const std::string &serves, const ChoiceQuery &query)
+Replica *ReplicaSelector::select(const std::string &serves, const SelectionQuery &query)
 {
     Pool *const pool = this->poolOf(serves);
     if (pool == nullptr) {
@@ -143,7 +143,7 @@
     return this->cheaperOfTwo(draw);
 }
 
-Replica *ReplicaChooser::byPrefix(const Draw &draw, const std::string &version) const
+Replica *ReplicaSelector::byPrefix(const Draw &draw, const std::string &version) const
 {
     return draw.pool.ring.walk(draw.query.prefix, mostPoints, [&](const Replica &replica) {
         const bool isOfVersion = version.empty() || replica.version == version;
@@ -151,7 +151,7 @@
     });
 }
 
-bool ReplicaChooser::hasRoom(const Replica &replica, const Draw &draw) const
+bool ReplicaSelector::hasRoom(const Replica &replica, const Draw &draw) const
 {
     const FleetSettings &fleet = this->settings->fleet;
     const double onePlace = 1 / std::max(1.0, static_cast<double>(replica.capacity));
@@ -159,12 +159,12 @@
     return busy <= fleet.prefixLoadBound * (draw.pool.means.busyness + onePlace);
 }
 
-double ReplicaChooser::cost(const Replica &replica, const Draw &draw) const
+double ReplicaSelector::cost(const Replica &replica, const Draw &draw) const
 {
     return replicaCost(replica, draw.pool.means, draw.query.ownDomain, draw.query.prefix, draw.now, this->settings->fleet);
 }
 
-Replica *ReplicaChooser::cheaperOfTwo(const Draw &draw)
+Replica *ReplicaSelector::cheaperOfTwo(const Draw &draw)
 {
     Replica *const first = this->drawOne(draw, nullptr);
     if (first == nullptr) {
@@ -174,7 +174,7 @@
     return second == nullptr || this->cost(*first, draw) <= this->cost(*second, draw) ? first : second;
 }
 
-Replica *ReplicaChooser::drawOne(const Draw &draw, const Replica *other)
+Replica *ReplicaSelector::drawOne(const Draw &draw, const Replica *other)
 {
     if (draw.candidates.empty()) {
         return nullptr;
@@ -189,7 +189,7 @@
     return nullptr;
 }
 
-Replica *ReplicaChooser::lastResort(const Draw &draw)
+Replica *ReplicaSelector::lastResort(const Draw &draw)
 {
     // Few can serve, so all are looked at: those against which nothing speaks first, then those in the domain that just
     // failed, then those that were ejected. A try there may fail; refusing without one is sure to.
--- a/Libraries/LibRouting/ReplicaChooser.h
+++ b/Libraries/LibRouting/ReplicaSelector.h
@@ -15,7 +15,7 @@
 {
 
 /** What a choice of a replica has to respect. */
-struct ChoiceQuery
+struct SelectionQuery
 {
     /** Where the choosing node is: a replica there is a little better. */
     FailureDomain ownDomain;
@@ -45,17 +45,17 @@
  * A choice looks at a few replicas only. What needs a look at all of a pool (means, ejections) is renewed at intervals.
  * The load bound on the prefix (Mirrokni, Thorup, Zadimoghaddam, 2018) keeps a popular prefix from filling one replica.
  */
-class ReplicaChooser
+class ReplicaSelector
 {
 public:
-    ReplicaChooser(const Clock &clock, const SettingsHandle &settings, ReplicaTable &replicas, std::mt19937_64 &random);
+    ReplicaSelector(const Clock &clock, const SettingsHandle &settings, ReplicaTable &replicas, std::mt19937_64 &random);
 
     /**
      * @param serves the model or plain service
      * @param query what to respect
      * @return the choice, or null if no replica is eligible
      */
-    Replica *choose(const std::string &serves, const ChoiceQuery &query);
+    Replica *select(const std::string &serves, const SelectionQuery &query);
 
     /**
      * Set the parts that versions of a model get of the requests that name none. A version that is not listed gets
@@ -86,13 +86,13 @@
     {
         Pool &pool;
         const std::vector<Replica *> &candidates;
-        const ChoiceQuery &query;
+        const SelectionQuery &query;
         SteadyTime now;
     };
 
     Pool *poolOf(const std::string &serves);
     void renew(Pool &pool, SteadyTime now);
-    std::string versionFor(const Pool &pool, const ChoiceQuery &query);
+    std::string versionFor(const Pool &pool, const SelectionQuery &query);
     Replica *byPrefix(const Draw &draw, const std::string &version) const;
     bool hasRoom(const Replica &replica, const Draw &draw) const;
     Replica *cheaperOfTwo(const Draw &draw);
--- a/Libraries/LibRouting/RetryBudget.cpp
+++ b/Libraries/LibRouting/RetryBudget.cpp
@@ -15,9 +15,9 @@
         buckets.clear();
     }
     const SteadyTime now = this->clock.now();
-    Bucket &bucket = buckets.try_emplace(key, Bucket{this->options.most, now}).first->second;
+    Bucket &bucket = buckets.try_emplace(key, Bucket{this->options.burst, now}).first->second;
     const std::chrono::duration<double> passed = now - bucket.at;
-    bucket.level = std::min(this->options.most, bucket.level + passed.count() * this->options.perSecond);
+    bucket.level = std::min(this->options.burst, bucket.level + passed.count() * this->options.perSecond);
     bucket.at = now;
     return bucket;
 }
@@ -27,15 +27,15 @@
     this->options = options;
 }
 
-void RetryBudget::succeeded(const WorkspaceName &tenant, const EndpointName &endpoint)
+void RetryBudget::recordSuccess(const WorkspaceName &tenant, const EndpointName &endpoint)
 {
     for (Bucket *const bucket :
          {&this->refilled(this->tenants, tenant.value()), &this->refilled(this->endpoints, endpoint.value())}) {
-        bucket->level = std::min(this->options.most, bucket->level + this->options.perSuccess);
+        bucket->level = std::min(this->options.burst, bucket->level + this->options.perSuccess);
     }
 }
 
-bool RetryBudget::take(const WorkspaceName &tenant, const EndpointName &endpoint)
+bool RetryBudget::tryConsume(const WorkspaceName &tenant, const EndpointName &endpoint)
 {
     Bucket &ofTenant = this->refilled(this->tenants, tenant.value());
     Bucket &ofEndpoint = this->refilled(this->endpoints, endpoint.value());
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -27,7 +27,7 @@
         /** Retries a second that are free. */
         double perSecond = 1;
         /** Retries that may be saved up: as many requests of one tenant as a node may lose with one endpoint. */
-        double most = 20;
+        double burst = 20;
         /** Buckets kept at most; past it the whole map starts anew, which errs by one full bucket for each. */
         std::size_t buckets = 100000;
     };
@@ -38,14 +38,14 @@
     void setOptions(const Options &options);
 
     /** An attempt succeeded. */
-    void succeeded(const WorkspaceName &tenant, const EndpointName &endpoint);
+    void recordSuccess(const WorkspaceName &tenant, const EndpointName &endpoint);
 
     /**
      * Take a retry out of both budgets, or out of none.
      * @param endpoint where the retry is to go
      * @return whether the retry may be made
      */
-    bool take(const WorkspaceName &tenant, const EndpointName &endpoint);
+    bool tryConsume(const WorkspaceName &tenant, const EndpointName &endpoint);
 
 private:
     struct Bucket
--- a/Programs/dogwoodkeel/NodeStatus.cpp
+++ b/Programs/dogwoodkeel/NodeStatus.cpp
@@ -37,7 +37,7 @@
     StatusPart part;
     for (const Replica &replica : endpoints) {
         leaving += replica.isLeaving ? 1 : 0;
-        if (replica.failuresInARow >= manyFailures) {
+        if (replica.consecutiveFailures >= manyFailures) {
             ++failing;
             part.degradations.push_back(
                 {"endpoint " + replica.name.value() + " fails", "see to it, or take it out of the configuration"});
--- a/Services/Entry/Admission.cpp
+++ b/Services/Entry/Admission.cpp
@@ -19,7 +19,7 @@
 
 DeadlineQueue::Options queueOptions(const EntrySettings &settings)
 {
-    return {.most = static_cast<std::size_t>(settings.queueLength)};
+    return {.maxSize = static_cast<std::size_t>(settings.queueLength)};
 }
 
 } // namespace
@@ -62,7 +62,8 @@
     const PoolMeans means = meansOf(usable, now, fleet);
     double room = 0;
     for (const Replica *const replica : usable) {
-        room += std::max(0.0, replica->capacity * this->settings->entry.overcommit - requestsOn(*replica, means, now, fleet));
+        room += std::max(0.0,
+                         replica->capacity * this->settings->entry.overcommit - estimatedRequests(*replica, means, now, fleet));
     }
     return room;
 }
@@ -84,7 +85,7 @@
     const bool isKnown = !this->replicas.of(serves).empty();
     if (!isKnown || (pool.queue.size() == 0 && this->hasRoom(serves, pool))) {
         --pool.room;
-        pool.queue.placed();
+        pool.queue.recordPlacement();
         hooks.run();
         return ticket;
     }
@@ -122,7 +123,7 @@
 {
     Pool &pool = this->poolOf(serves);
     ++pool.room;
-    pool.queue.served(service);
+    pool.queue.recordServiceTime(service);
     if (pool.queue.size() > 0) {
         this->loop.post([this, serves, alive = this->alive] {
             if (*alive) {
@@ -135,13 +136,13 @@
 void Admission::pump(const std::string &serves)
 {
     Pool &pool = this->poolOf(serves);
-    for (const Ticket ticket : pool.queue.takeHopeless()) {
+    for (const Ticket ticket : pool.queue.removeInfeasible()) {
         this->refuse(pool, ticket);
     }
     while (pool.queue.size() > 0 && this->hasRoom(serves, pool)) {
         const auto hooks = pool.hooks.extract(*pool.queue.take());
         --pool.room;
-        pool.queue.placed();
+        pool.queue.recordPlacement();
         hooks.mapped().run();
     }
 }
--- a/Services/Entry/EntryContext.h
+++ b/Services/Entry/EntryContext.h
@@ -5,7 +5,7 @@
 #include <LibHttp/HttpClient.h>
 #include <LibMetrics/NodeMetrics.h>
 #include <LibPlatform/Platform.h>
-#include <LibRouting/ReplicaChooser.h>
+#include <LibRouting/ReplicaSelector.h>
 #include <LibRouting/RetryBudget.h>
 #include <LibSettings/SettingsHandle.h>
 #include <LibTask/EventLoop.h>
@@ -41,7 +41,7 @@
     Admission &admission;
     LimitSharing &limits;
     FleetState &fleet;
-    ReplicaChooser &chooser;
+    ReplicaSelector &chooser;
     FleetWatch &watch;
     /** Takes operators' requests to the control task. */
     OperatorGateway operators;
--- a/Services/Entry/EntryTask.cpp
+++ b/Services/Entry/EntryTask.cpp
@@ -17,7 +17,7 @@
 
 RetryBudget::Options retryOptions(const RetrySettings &settings)
 {
-    return {.perSuccess = settings.perSuccess, .perSecond = settings.perSecond, .most = settings.burst};
+    return {.perSuccess = settings.perSuccess, .perSecond = settings.perSecond, .burst = settings.burst};
 }
 
 Quarantine::Options quarantineOptions(const QuarantineSettings &settings)
--- a/Services/Entry/EntryTask.h
+++ b/Services/Entry/EntryTask.h
@@ -103,7 +103,7 @@
     LimitSharing limits;
     FleetState fleet;
     FleetWatch watch;
-    ReplicaChooser chooser;
+    ReplicaSelector chooser;
     EntryContext context;
     EntryService service;
     HttpServer server;
--- a/Services/Entry/FleetWatch.cpp
+++ b/Services/Entry/FleetWatch.cpp
@@ -166,7 +166,7 @@
 
 void FleetWatch::pollEvents(Replica &replica)
 {
-    const std::string query = "after=" + std::to_string(replica.prefixes.last());
+    const std::string query = "after=" + std::to_string(replica.prefixes.lastEventNumber());
     const auto answered = [this, name = replica.name, instance = replica.instance, alive = this->alive](
                               ExchangeEnd end, const HttpResponse &response) {
         const bool isAnswer = *alive && end == ExchangeEnd::Complete && response.status == statusOk;
@@ -211,7 +211,7 @@
     const SteadyTime now = this->clock.now();
     std::unordered_map<std::string, bool> used;
     for (const Replica &replica : this->replicas.all()) {
-        used[replica.serves] |= now - replica.used < useMemory;
+        used[replica.serves] |= now - replica.lastUsed < useMemory;
     }
     std::vector<const Replica *> wanted;
     for (const Replica &replica : this->replicas.all()) {
--- a/Services/Entry/OnlineRequest.cpp
+++ b/Services/Entry/OnlineRequest.cpp
@@ -246,14 +246,14 @@
 void OnlineRequest::dispatch()
 {
     const SuspectNotices &suspects = this->context.suspects;
-    if (suspects.quarantine().standing(this->request.content) == Standing::Quarantined) {
+    if (suspects.quarantine().status(this->request.content) == QuarantineStatus::Quarantined) {
         const auto left = std::chrono::ceil<std::chrono::seconds>(suspects.quarantine().remaining(this->request.content));
         this->refuse({statusUnprocessable, "quarantined", "endpoints were lost while they ran it", this->runState(), left});
         return;
     }
-    ChoiceQuery query{FailureDomain(this->context.settings->node.failureDomain), this->tried, this->failedDomain};
+    SelectionQuery query{FailureDomain(this->context.settings->node.failureDomain), this->tried, this->failedDomain};
     query.prefix = this->request.prefix;
-    Replica *const chosen = this->context.chooser.choose(this->request.serves, query);
+    Replica *const chosen = this->context.chooser.select(this->request.serves, query);
     const bool isExhausted = this->attempts >= static_cast<std::uint32_t>(this->context.settings->entry.attempts);
     if (chosen == nullptr || isExhausted) {
         this->refuse(
@@ -270,7 +270,7 @@
 
 bool OnlineRequest::mayRetryAt(const Replica &chosen)
 {
-    if (this->context.retries.take(this->request.tenant, chosen.name)) {
+    if (this->context.retries.tryConsume(this->request.tenant, chosen.name)) {
         this->context.metrics.countRetry(this->lastFailure);
         return true;
     }
@@ -388,7 +388,7 @@
         this->attemptFailed(AttemptOutcome::Failed, RunState::Unknown, "broken");
         return;
     case AttemptEnd::SilentFresh:
-        this->attemptFailed(AttemptOutcome::Silent, RunState::Unknown, "silent");
+        this->attemptFailed(AttemptOutcome::Unresponsive, RunState::Unknown, "silent");
         return;
     case AttemptEnd::SilentReused: {
         // The connection is blamed first, not the endpoint: its place in the stream is resumed there over a new one.
@@ -425,7 +425,7 @@
         return;
     }
     this->context.suspects.succeeded(this->request.content);
-    this->context.retries.succeeded(this->request.tenant, this->replica->name);
+    this->context.retries.recordSuccess(this->request.tenant, this->replica->name);
     this->leaveReplica({AttemptOutcome::Succeeded, this->serviceTime()});
     if (this->request.completion && this->status == statusOk) {
         this->commit(this->completion.answer(*this->request.completion, this->request.id));
--- a/Services/Entry/PlainCall.cpp
+++ b/Services/Entry/PlainCall.cpp
@@ -67,13 +67,13 @@
 void PlainCall::dispatch()
 {
     const Quarantine &quarantine = this->context.suspects.quarantine();
-    if (quarantine.standing(this->content) == Standing::Quarantined) {
+    if (quarantine.status(this->content) == QuarantineStatus::Quarantined) {
         const auto left = std::chrono::ceil<std::chrono::seconds>(quarantine.remaining(this->content));
         this->refuse(statusUnprocessable, "quarantined", "endpoints were lost while they ran it", left);
         return;
     }
-    const ChoiceQuery query{FailureDomain(this->context.settings->node.failureDomain), this->tried, this->failedDomain};
-    Replica *const chosen = this->context.chooser.choose(this->service.name, query);
+    const SelectionQuery query{FailureDomain(this->context.settings->node.failureDomain), this->tried, this->failedDomain};
+    Replica *const chosen = this->context.chooser.select(this->service.name, query);
     const bool isExhausted = this->tried.size() >= static_cast<std::size_t>(this->context.settings->entry.attempts);
     if (chosen == nullptr || isExhausted) {
         this->refuse(statusUnavailable, "no_endpoint", "no endpoint can serve the request now", usualRetryAfter);
@@ -87,7 +87,7 @@
 
 bool PlainCall::mayRetryAt(const Replica &chosen)
 {
-    if (this->context.retries.take(this->tenant, chosen.name)) {
+    if (this->context.retries.tryConsume(this->tenant, chosen.name)) {
         this->context.metrics.countRetry(this->lastFailure);
         return true;
     }
@@ -150,7 +150,7 @@
         this->failed(AttemptOutcome::Failed, RunState::Unknown, "broken");
         return;
     case AttemptEnd::SilentFresh:
-        this->failed(AttemptOutcome::Silent, RunState::Unknown, "silent");
+        this->failed(AttemptOutcome::Unresponsive, RunState::Unknown, "silent");
         return;
     case AttemptEnd::SilentReused: {
         // The connection is blamed first, not the endpoint.
@@ -186,7 +186,7 @@
 void PlainCall::answer()
 {
     this->context.suspects.succeeded(this->content);
-    this->context.retries.succeeded(this->tenant, this->replica->name);
+    this->context.retries.recordSuccess(this->tenant, this->replica->name);
     const auto taken = std::chrono::duration_cast<std::chrono::microseconds>(this->context.clock.now() - this->sent);
     this->leaveReplica({AttemptOutcome::Succeeded, taken});
     this->context.loop.cancel(std::exchange(this->deadlineTimer, 0));
--- a/Services/Entry/SuspectNotices.cpp
+++ b/Services/Entry/SuspectNotices.cpp
@@ -61,7 +61,7 @@
 
 void SuspectNotices::lost(ContentFingerprint request, const CrashPoint &point)
 {
-    if (this->held.lost(request, point) == Standing::Quarantined) {
+    if (this->held.recordLoss(request, point) == QuarantineStatus::Quarantined) {
         log(LogLevel::Warning,
             "request quarantined",
             {{"fingerprint", static_cast<std::int64_t>(request.value())}, {"endpoint", point.endpoint.value()}});
@@ -72,7 +72,7 @@
 
 void SuspectNotices::succeeded(ContentFingerprint request)
 {
-    if (this->held.succeeded(request)) {
+    if (this->held.recordSuccess(request)) {
         this->newCleared.push_back(request.value());
         this->tellSoon();
     }
@@ -114,7 +114,7 @@
     SuspectNotice message{this->self, {}, cleared};
     for (const Loss &loss : losses) {
         // A request that has succeeded since is not accused again by the repetition.
-        if (this->held.standing(loss.request) != Standing::Clear) {
+        if (this->held.status(loss.request) != QuarantineStatus::Clear) {
             message.suspects.push_back({loss.request.value(),
                                         loss.point.endpoint,
                                         loss.point.failureDomain,
@@ -129,14 +129,14 @@
 {
     const SteadyTime now = this->clock.now();
     for (const Suspect &suspect : notice.suspects) {
-        this->held.lost(ContentFingerprint(suspect.fingerprint),
-                        {suspect.endpoint,
-                         suspect.failureDomain,
-                         now - std::chrono::milliseconds(suspect.sentMillisecondsAgo),
-                         now - std::chrono::milliseconds(suspect.lostMillisecondsAgo)});
+        this->held.recordLoss(ContentFingerprint(suspect.fingerprint),
+                              {suspect.endpoint,
+                               suspect.failureDomain,
+                               now - std::chrono::milliseconds(suspect.sentMillisecondsAgo),
+                               now - std::chrono::milliseconds(suspect.lostMillisecondsAgo)});
     }
     for (const std::uint64_t cleared : notice.cleared) {
-        this->held.succeeded(ContentFingerprint(cleared));
+        this->held.recordSuccess(ContentFingerprint(cleared));
     }
 }
 
--- a/Services/Lane/LaneService.cpp
+++ b/Services/Lane/LaneService.cpp
@@ -406,11 +406,11 @@
 {
     // Items that ran on an endpoint that was lost run one at a time on a replica: should one of them crash it again, the
     // others are not taken for it.
-    if (this->quarantine.standing(item.fingerprint) == Standing::Clear) {
+    if (this->quarantine.status(item.fingerprint) == QuarantineStatus::Clear) {
         return true;
     }
     return std::ranges::none_of(held.runs, [this](const std::shared_ptr<ItemRun> &run) {
-        return this->quarantine.standing(run->held().fingerprint) != Standing::Clear;
+        return this->quarantine.status(run->held().fingerprint) != QuarantineStatus::Clear;
     });
 }
 
@@ -430,7 +430,7 @@
         if (!item) {
             break;
         }
-        if (this->quarantine.standing(item->fingerprint) == Standing::Quarantined) {
+        if (this->quarantine.status(item->fingerprint) == QuarantineStatus::Quarantined) {
             this->addResult(*item, ItemStatus::Failed, "the endpoints that ran it crashed");
             continue;
         }
@@ -467,7 +467,7 @@
     const std::string runId = "batch-" + std::to_string(this->self.value()) + '-' + std::to_string(++this->lastRun);
     // An idle connection of an engine that crashed and is back breaks as soon as it is used. Taken for a second crash, that
     // would end an item that only ran beside the one that crashes: over a fresh connection, a break is the engine's.
-    const bool isSuspect = this->quarantine.standing(item.fingerprint) != Standing::Clear;
+    const bool isSuspect = this->quarantine.status(item.fingerprint) != QuarantineStatus::Clear;
     const auto connection = item.silences > 0 || isSuspect ? ConnectionChoice::Fresh : ConnectionChoice::Pooled;
     const auto run = std::make_shared<ItemRun>(this->http, this->clock, std::move(item), runId);
     held.runs.push_back(run);
@@ -503,7 +503,7 @@
     const HeldItem &item = run->held();
     switch (end) {
     case RunEnd::Finished:
-        this->quarantine.succeeded(item.fingerprint);
+        this->quarantine.recordSuccess(item.fingerprint);
         this->addResult(item, ItemStatus::Succeeded, detail);
         break;
     case RunEnd::Rejected:
@@ -534,7 +534,8 @@
          {"item", static_cast<std::int64_t>(item.item.index)},
          {"endpoint", name.value()},
          {"tokens", static_cast<std::int64_t>(item.tokens)}});
-    if (this->quarantine.lost(item.fingerprint, {name, domain, run.sent(), this->clock.now()}) == Standing::Quarantined) {
+    if (this->quarantine.recordLoss(item.fingerprint, {name, domain, run.sent(), this->clock.now()})
+        == QuarantineStatus::Quarantined) {
         this->addResult(item, ItemStatus::Failed, "the endpoints that ran it crashed");
         return;
     }
--- a/Tests/LibFleet/TestFleetState.cpp
+++ b/Tests/LibFleet/TestFleetState.cpp
@@ -182,5 +182,5 @@
     fixture.clock.advance(1000ms);
     fixture.state->observe(fixture.report(0, 0ms, "second"));
     CHECK(fixture.replica().prefixes.confidence(prefixKey(block, 1000)) == 0);
-    CHECK(fixture.replica().prefixes.last() == 0);
+    CHECK(fixture.replica().prefixes.lastEventNumber() == 0);
 }
--- a/Tests/LibFleet/TestReplicaTable.cpp
+++ b/Tests/LibFleet/TestReplicaTable.cpp
@@ -23,7 +23,7 @@
     ReplicaTable table({endpoint("a", "127.0.0.1:1", "m"), endpoint("b", "127.0.0.1:2", "m")});
     Replica *const kept = table.find(EndpointName("a"));
     kept->inFlight = 3;
-    kept->failuresInARow = 1;
+    kept->consecutiveFailures = 1;
 
     table.update({endpoint("c", "127.0.0.1:3", "m"), endpoint("a", "127.0.0.1:1", "n")});
 
@@ -55,11 +55,11 @@
 TEST_CASE("an endpoint that moves to another address is a new replica")
 {
     ReplicaTable table({endpoint("a", "127.0.0.1:1", "m")});
-    table.find(EndpointName("a"))->failuresInARow = 5;
+    table.find(EndpointName("a"))->consecutiveFailures = 5;
 
     table.update({endpoint("a", "127.0.0.1:9", "m")});
 
-    CHECK(table.find(EndpointName("a"))->failuresInARow == 0);
+    CHECK(table.find(EndpointName("a"))->consecutiveFailures == 0);
     CHECK(table.find(EndpointName("a"))->address == *Address::parse("127.0.0.1:9"));
     CHECK(table.all().size() == 1);
 }
--- a/Tests/LibRouting/TestDeadlineQueue.cpp
+++ b/Tests/LibRouting/TestDeadlineQueue.cpp
@@ -25,7 +25,7 @@
 TEST_CASE("a full queue lets the request with the most time go")
 {
     ManualClock clock;
-    DeadlineQueue queue(clock, {.most = 2});
+    DeadlineQueue queue(clock, {.maxSize = 2});
     queue.offer(1, clock.now() + milliseconds(300));
     queue.offer(2, clock.now() + milliseconds(100));
     CHECK_FALSE(queue.offer(3, clock.now() + milliseconds(400)).isQueued);
@@ -40,8 +40,8 @@
     ManualClock clock;
     DeadlineQueue queue(clock, {});
     for (int i = 0; i < 1000; ++i) {
-        queue.placed();
-        queue.served(std::chrono::milliseconds(20));
+        queue.recordPlacement();
+        queue.recordServiceTime(std::chrono::milliseconds(20));
         clock.advance(milliseconds(10));
     }
     for (DeadlineQueue::Ticket ticket = 1; ticket <= 20; ++ticket) {
@@ -59,16 +59,16 @@
     ManualClock clock;
     DeadlineQueue queue(clock, {});
     for (int i = 0; i < 500; ++i) {
-        queue.placed();
-        queue.served(std::chrono::milliseconds(20));
+        queue.recordPlacement();
+        queue.recordServiceTime(std::chrono::milliseconds(20));
         clock.advance(milliseconds(10));
     }
     for (DeadlineQueue::Ticket ticket = 1; ticket <= 50; ++ticket) {
         REQUIRE(queue.offer(ticket, clock.now() + milliseconds(800)).isQueued);
     }
-    CHECK(queue.takeHopeless().empty());
+    CHECK(queue.removeInfeasible().empty());
     clock.advance(milliseconds(500));
-    const std::size_t late = queue.takeHopeless().size();
+    const std::size_t late = queue.removeInfeasible().size();
     CHECK(late > 10);
     CHECK(late < 50);
     CHECK(queue.size() == 50 - late);
@@ -81,7 +81,7 @@
 int finishedInTime(int perSecond, bool isShedding)
 {
     ManualClock clock;
-    DeadlineQueue queue(clock, {.most = isShedding ? std::size_t(256) : std::size_t(1000000)});
+    DeadlineQueue queue(clock, {.maxSize = isShedding ? std::size_t(256) : std::size_t(1000000)});
     std::deque<SteadyTime> plain;
     std::unordered_map<DeadlineQueue::Ticket, SteadyTime> deadlines;
     constexpr milliseconds service{10};
@@ -104,10 +104,10 @@
                 next = plain.front();
                 plain.pop_front();
             } else if (isShedding) {
-                queue.takeHopeless();
+                queue.removeInfeasible();
                 if (const auto taken = queue.take()) {
-                    queue.placed();
-                    queue.served(service);
+                    queue.recordPlacement();
+                    queue.recordServiceTime(service);
                     next = deadlines[*taken];
                 }
             }
--- a/Tests/LibRouting/TestQuarantine.cpp
+++ b/Tests/LibRouting/TestQuarantine.cpp
@@ -26,12 +26,12 @@
     // goes to another one and takes that down as well; the caller's resend under a new id has the same content.
     ManualClock clock;
     Quarantine quarantine(clock, {});
-    CHECK(quarantine.lost(poison, lossAt("a", "one", clock.now(), clock.now())) == Standing::Suspect);
+    CHECK(quarantine.recordLoss(poison, lossAt("a", "one", clock.now(), clock.now())) == QuarantineStatus::Suspect);
     clock.advance(std::chrono::milliseconds(10));
-    CHECK(quarantine.lost(poison, lossAt("b", "one", clock.now(), clock.now())) == Standing::Quarantined);
+    CHECK(quarantine.recordLoss(poison, lossAt("b", "one", clock.now(), clock.now())) == QuarantineStatus::Quarantined);
     CHECK(quarantine.remaining(poison) == Quarantine::Options().duration);
     clock.advance(Quarantine::Options().duration);
-    CHECK(quarantine.standing(poison) == Standing::Clear);
+    CHECK(quarantine.status(poison) == QuarantineStatus::Clear);
 }
 
 TEST_CASE("the same loss told again by other nodes counts once")
@@ -39,9 +39,9 @@
     ManualClock clock;
     Quarantine quarantine(clock, {});
     const CrashPoint loss = lossAt("a", "one", clock.now(), clock.now() + std::chrono::milliseconds(5));
-    CHECK(quarantine.lost(poison, loss) == Standing::Suspect);
+    CHECK(quarantine.recordLoss(poison, loss) == QuarantineStatus::Suspect);
     clock.advance(std::chrono::milliseconds(100));
-    CHECK(quarantine.lost(poison, loss) == Standing::Suspect);
+    CHECK(quarantine.recordLoss(poison, loss) == QuarantineStatus::Suspect);
 }
 
 TEST_CASE("a popular request that ran on several endpoints of a lost failure domain is not quarantined")
@@ -50,19 +50,19 @@
     Quarantine quarantine(clock, {});
     const SteadyTime sent = clock.now();
     clock.advance(std::chrono::milliseconds(50));
-    CHECK(quarantine.lost(bystander, lossAt("a", "one", sent, clock.now())) == Standing::Suspect);
+    CHECK(quarantine.recordLoss(bystander, lossAt("a", "one", sent, clock.now())) == QuarantineStatus::Suspect);
     clock.advance(std::chrono::milliseconds(1));
-    CHECK(quarantine.lost(bystander, lossAt("b", "one", sent, clock.now())) == Standing::Suspect);
+    CHECK(quarantine.recordLoss(bystander, lossAt("b", "one", sent, clock.now())) == QuarantineStatus::Suspect);
 }
 
 TEST_CASE("a bystander is cleared by its first success, and a later loss starts from nothing")
 {
     ManualClock clock;
     Quarantine quarantine(clock, {});
-    quarantine.lost(bystander, lossAt("a", "one", clock.now(), clock.now()));
-    CHECK(quarantine.succeeded(bystander));
+    quarantine.recordLoss(bystander, lossAt("a", "one", clock.now(), clock.now()));
+    CHECK(quarantine.recordSuccess(bystander));
     clock.advance(std::chrono::milliseconds(10));
-    CHECK(quarantine.lost(bystander, lossAt("b", "two", clock.now(), clock.now())) == Standing::Suspect);
+    CHECK(quarantine.recordLoss(bystander, lossAt("b", "two", clock.now(), clock.now())) == QuarantineStatus::Suspect);
 }
 
 TEST_CASE("a suspicion ends by itself, and the number of records is bounded")
@@ -70,13 +70,13 @@
     ManualClock clock;
     Quarantine quarantine(clock, {.remembered = 3});
     for (std::uint64_t i = 10; i < 20; ++i) {
-        quarantine.lost(ContentFingerprint(i), lossAt("a", "one", clock.now(), clock.now()));
+        quarantine.recordLoss(ContentFingerprint(i), lossAt("a", "one", clock.now(), clock.now()));
         clock.advance(std::chrono::milliseconds(1));
     }
     CHECK(quarantine.size() <= 3);
-    CHECK(quarantine.standing(ContentFingerprint(19)) == Standing::Suspect);
+    CHECK(quarantine.status(ContentFingerprint(19)) == QuarantineStatus::Suspect);
     clock.advance(Quarantine::Options().duration);
-    CHECK(quarantine.standing(ContentFingerprint(19)) == Standing::Clear);
+    CHECK(quarantine.status(ContentFingerprint(19)) == QuarantineStatus::Clear);
 }
 
 TEST_CASE("the content is known again under another length or as a batch item, and not for another model")
--- a/Tests/LibRouting/TestReplicaChooser.cpp
+++ b/Tests/LibRouting/TestReplicaSelector.cpp
@@ -1,7 +1,7 @@
 #include <LibBase/Hash.h>
 #include <LibBase/ManualClock.h>
 #include <LibFleet/FleetState.h>
-#include <LibRouting/ReplicaChooser.h>
+#include <LibRouting/ReplicaSelector.h>
 
 #include <doctest/doctest.h>
 
@@ -37,13 +37,13 @@
         return *this->table->find(EndpointName("r" + std::to_string(index)));
     }
 
-    Replica *choose(const ChoiceQuery &query = {})
+    Replica *choose(const SelectionQuery &query = {})
     {
-        return this->chooser->choose("m", query);
+        return this->chooser->select("m", query);
     }
 
     /** @return how often each replica was chosen, each choice staying in flight. */
-    std::map<std::string, int> fill(int requests, const ChoiceQuery &query = {})
+    std::map<std::string, int> fill(int requests, const SelectionQuery &query = {})
     {
         std::map<std::string, int> counts;
         for (int i = 0; i < requests; ++i) {
@@ -76,7 +76,7 @@
     std::mt19937_64 random{7};
     std::optional<ReplicaTable> table;
     std::optional<FleetState> state;
-    std::optional<ReplicaChooser> chooser;
+    std::optional<ReplicaSelector> chooser;
 };
 
 } // namespace
@@ -96,7 +96,7 @@
 TEST_CASE("after a failure the other failure domains come first, and the failed one still serves if it is all there is")
 {
     Fixture fixture(9);
-    ChoiceQuery query;
+    SelectionQuery query;
     query.avoid = {EndpointName("r0")};
     query.avoidDomain = FailureDomain("d0");
     for (int i = 0; i < 100; ++i) {
@@ -129,7 +129,7 @@
     // One prompt template is suddenly behind every request. Sending all of them where its prefix is cached would queue
     // them on one replica while the others idle.
     Fixture fixture(9);
-    ChoiceQuery query;
+    SelectionQuery query;
     query.prefix = 42;
     Replica *const home = fixture.choose(query);
     fixture.state->begin(*home);
@@ -149,14 +149,14 @@
     Fixture fixture(9);
     std::map<std::uint64_t, Replica *> homes;
     for (std::uint64_t i = 1; i <= 400; ++i) {
-        ChoiceQuery query;
+        SelectionQuery query;
         query.prefix = stableHash(std::to_string(i));
         homes[query.prefix] = fixture.choose(query);
     }
     fixture.state->markLeaving(fixture.replica(4));
     std::set<Replica *> heirs;
     for (const auto &[prefix, home] : homes) {
-        ChoiceQuery query;
+        SelectionQuery query;
         query.prefix = prefix;
         Replica *const now = fixture.choose(query);
         if (home == &fixture.replica(4)) {
@@ -243,7 +243,7 @@
     CHECK(second > 60);
     CHECK(second < 150);
 
-    ChoiceQuery query;
+    SelectionQuery query;
     query.version = "2";
     CHECK(fixture.choose(query)->version == "2");
     query.version = "3";
@@ -258,7 +258,7 @@
 TEST_CASE("a replica that a new configuration takes out is not chosen, and one that it adds is")
 {
     Fixture fixture(3);
-    ChoiceQuery query;
+    SelectionQuery query;
     query.prefix = 5;
     fixture.choose(query);
     fixture.endpoints.erase(fixture.endpoints.begin(), fixture.endpoints.begin() + 2);
--- a/Tests/LibRouting/TestRetryBudget.cpp
+++ b/Tests/LibRouting/TestRetryBudget.cpp
@@ -16,7 +16,7 @@
     for (int i = 0; i < 10000; ++i) {
         clock.advance(std::chrono::milliseconds(1));
         for (int attempt = 0; attempt < 2; ++attempt) {
-            retries += budget.take(WorkspaceName("t"), EndpointName("e" + std::to_string(i % 9))) ? 1 : 0;
+            retries += budget.tryConsume(WorkspaceName("t"), EndpointName("e" + std::to_string(i % 9))) ? 1 : 0;
         }
     }
     CHECK(retries <= 31);
@@ -29,10 +29,10 @@
     RetryBudget budget(clock, {});
     int taken = 0;
     for (int i = 0; i < 100; ++i) {
-        taken += budget.take(WorkspaceName("failing"), EndpointName(std::to_string(i))) ? 1 : 0;
+        taken += budget.tryConsume(WorkspaceName("failing"), EndpointName(std::to_string(i))) ? 1 : 0;
     }
     CHECK(taken == 20);
-    CHECK(budget.take(WorkspaceName("other"), EndpointName("1")));
+    CHECK(budget.tryConsume(WorkspaceName("other"), EndpointName("1")));
 }
 
 TEST_CASE("an endpoint that gets many retries gets no more, whichever tenants they are from")
@@ -41,7 +41,7 @@
     RetryBudget budget(clock, {});
     int taken = 0;
     for (int i = 0; i < 100; ++i) {
-        taken += budget.take(WorkspaceName(std::to_string(i)), EndpointName("last")) ? 1 : 0;
+        taken += budget.tryConsume(WorkspaceName(std::to_string(i)), EndpointName("last")) ? 1 : 0;
     }
     CHECK(taken == 20);
 }
@@ -52,9 +52,9 @@
     RetryBudget budget(clock, {.perSecond = 0});
     for (int i = 0; i < 10000; ++i) {
         if (i % 10 == 0) {
-            REQUIRE(budget.take(WorkspaceName("t"), EndpointName("e")));
+            REQUIRE(budget.tryConsume(WorkspaceName("t"), EndpointName("e")));
         } else {
-            budget.succeeded(WorkspaceName("t"), EndpointName("e"));
+            budget.recordSuccess(WorkspaceName("t"), EndpointName("e"));
         }
     }
 }
--- a/Tests/ServiceEntry/TestFleetWatch.cpp
+++ b/Tests/ServiceEntry/TestFleetWatch.cpp
@@ -1,7 +1,7 @@
 #include <LibBase/SystemClock.h>
 #include <LibHttp/HttpReply.h>
 #include <LibHttp/HttpServer.h>
-#include <LibRouting/ReplicaChooser.h>
+#include <LibRouting/ReplicaSelector.h>
 #include <LibTask/EventLoop.h>
 #include <Services/Entry/EndpointReports.h>
 #include <Services/Entry/FleetWatch.h>
