--- a/Libraries/LibFleet/DecayingAverage.cpp
+++ b/Libraries/LibFleet/DecayingAverage.cpp
@@ -5,7 +5,7 @@
 namespace Dogwoodkeel
 {
 
-double remainingShare(std::chrono::nanoseconds age, std::chrono::milliseconds halfLife)
+double decayFactor(std::chrono::nanoseconds age, std::chrono::milliseconds halfLife)
 {
     if (age.count() <= 0) {
         return 1;
@@ -16,9 +16,9 @@
 
 void DecayingAverage::observe(double value, SteadyTime now, std::chrono::milliseconds halfLife)
 {
-    const double kept = remainingShare(now - this->updated, halfLife);
-    this->sum = this->sum * kept + value;
-    this->count = this->count * kept + 1;
+    const double factor = decayFactor(now - this->updated, halfLife);
+    this->sum = this->sum * factor + value;
+    this->count = this->count * factor + 1;
     this->updated = now;
 }
 
@@ -29,7 +29,7 @@
 
 double DecayingAverage::weight(SteadyTime now, std::chrono::milliseconds halfLife) const
 {
-    return this->count * remainingShare(now - this->updated, halfLife);
+    return this->count * decayFactor(now - this->updated, halfLife);
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibFleet/DecayingAverage.h
+++ b/Libraries/LibFleet/DecayingAverage.h
@@ -8,21 +8,19 @@
 {
 
 /**
- * Average of observations in which each counts half after every half-life (exponentially weighted by time), so that it
- * means the same at one request a minute and at a thousand a second.
+ * Average of observations, weighted exponentially by time: the weight of each halves after every half-life. The result
+ * does not depend on the rate of observations, be it one a minute or a thousand a second.
  */
 class DecayingAverage
 {
 public:
-    /** Count an observation. @param halfLife must be the same in every call */
+    /** Adds an observation. @param halfLife must be the same in every call */
     void observe(double value, SteadyTime now, std::chrono::milliseconds halfLife);
 
-    /** @return the average, or the fallback before the first observation. */
+    /** @return the average, or the fallback before the first observation */
     double valueOr(double fallback) const;
 
-    /**
-     * @return how many observations the average rests on, decayed to now; each counted 1 when it was made
-     */
+    /** @return the summed weight of all observations, decayed to now; each weighs 1 when it is made */
     double weight(SteadyTime now, std::chrono::milliseconds halfLife) const;
 
 private:
@@ -31,7 +29,10 @@
     SteadyTime updated{};
 };
 
-/** @return what is left of 1 after some time: 0.5 after one half-life, 1 for a time in the future. */
-double remainingShare(std::chrono::nanoseconds age, std::chrono::milliseconds halfLife);
+/**
+ * @return the weight that an observation of this age has left: 0.5 after one half-life, 1 if the age is zero or
+ * negative
+ */
+double decayFactor(std::chrono::nanoseconds age, std::chrono::milliseconds halfLife);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibFleet/EngineEvent.cpp
+++ b/Libraries/LibFleet/EngineEvent.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Follows the parser through {"choices":[{...}]} and keeps what stands in the first choice. */
+/** Handles the parser events for {"choices":[{...}]} and stores text and finish reason of the first choice. */
 class ChoiceReader final : public nlohmann::json_sax<nlohmann::json>
 {
 public:
@@ -106,13 +106,13 @@
 
 private:
     static constexpr std::uint32_t rootDepth = 1;
-    /** Inside the object, the list of choices and the choice. */
+    /** Depth within the root object, the array of choices and the choice object. */
     static constexpr std::uint32_t choiceDepth = 3;
     static constexpr std::uint32_t partDepth = 4;
 
-    bool isInChoice(std::uint32_t wanted) const
+    bool isInChoice(std::uint32_t expectedDepth) const
     {
-        return this->isChoices && this->choice == 1 && this->depth == wanted;
+        return this->isChoices && this->choice == 1 && this->depth == expectedDepth;
     }
 
     std::uint32_t depth = 0;
@@ -127,8 +127,8 @@
 std::optional<EngineEvent> EngineEvent::parse(std::string_view data)
 {
     ChoiceReader reader;
-    const bool isWhole = nlohmann::json::sax_parse(data, &reader);
-    return isWhole && reader.hasChoice ? std::optional(std::move(reader.event)) : std::nullopt;
+    const bool isValidJson = nlohmann::json::sax_parse(data, &reader);
+    return isValidJson && reader.hasChoice ? std::optional(std::move(reader.event)) : std::nullopt;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibFleet/EngineEvent.h
+++ b/Libraries/LibFleet/EngineEvent.h
@@ -7,18 +7,18 @@
 namespace Dogwoodkeel
 {
 
-/** What one event of an engine's stream, or a whole answer of it, says in its first choice. */
+/** Content of the first choice of a streamed event, or of a complete response, of an inference engine. */
 struct EngineEvent
 {
-    /** Of "text", or of "content" in "delta" or "message". */
+    /** Value of "text", or of "content" in "delta" or "message". */
     std::string text;
-    /** Empty but in the last event. */
+    /** Empty in all events but the last. */
     std::string finishReason;
 
     /**
-     * Read an event without building its JSON in memory: this is done for every token.
+     * Parses an event without building a JSON document in memory, because it runs for every token.
      * @param data the event's JSON
-     * @return what it says, or nothing if it is no JSON object with a choice
+     * @return the content, or nothing if the data is not a JSON object with a choice
      */
     static std::optional<EngineEvent> parse(std::string_view data);
 };
--- a/Libraries/LibFleet/FleetState.cpp
+++ b/Libraries/LibFleet/FleetState.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds shortestHalfLife{10};
+constexpr std::chrono::milliseconds minHalfLife{10};
 
 } // namespace
 
@@ -22,16 +22,16 @@
 void FleetState::begin(Replica &replica)
 {
     replica.lastUsed = this->clock.now();
-    occupy(replica, replica.lastUsed);
+    accumulateRequestSeconds(replica, replica.lastUsed);
     replica.history.record(++replica.inFlight, replica.lastUsed);
 }
 
 void FleetState::end(Replica &replica, const AttemptResult &result)
 {
     const SteadyTime now = this->clock.now();
-    occupy(replica, now);
-    // Little's law: the request-seconds over the requests that ended are the mean time a request lasts.
-    replica.lifetime.observe(std::exchange(replica.occupied, 0), now, this->settings->fleet.latencyHalfLife);
+    accumulateRequestSeconds(replica, now);
+    // Little's law: request-seconds divided by the number of completed requests is the mean request lifetime.
+    replica.lifetime.observe(std::exchange(replica.requestSeconds, 0), now, this->settings->fleet.latencyHalfLife);
     replica.history.record(--replica.inFlight, now);
     switch (result.outcome) {
     case AttemptOutcome::Succeeded:
@@ -54,10 +54,10 @@
     }
 }
 
-void FleetState::occupy(Replica &replica, SteadyTime now)
+void FleetState::accumulateRequestSeconds(Replica &replica, SteadyTime now)
 {
-    replica.occupied += replica.inFlight * std::chrono::duration<double>(now - replica.occupiedUntil).count();
-    replica.occupiedUntil = now;
+    replica.requestSeconds += replica.inFlight * std::chrono::duration<double>(now - replica.requestSecondsUntil).count();
+    replica.requestSecondsUntil = now;
 }
 
 bool FleetState::observe(const ReplicaReport &report)
@@ -67,11 +67,11 @@
         return false;
     }
     const SteadyTime at = this->clock.now() - std::chrono::milliseconds(report.ageMilliseconds);
-    if (at > replica->others.at) {
+    if (at > replica->otherNodes.at) {
         observeLoad(*replica, report.inFlight, at);
     }
-    if (at > replica->reported) {
-        replica->reported = at;
+    if (at > replica->lastReported) {
+        replica->lastReported = at;
         replica->version = report.version;
         replica->adapters = report.adapters;
         this->observeInstance(*replica, report.instance);
@@ -82,9 +82,9 @@
 void FleetState::observeLoad(Replica &replica, std::uint32_t inFlight, SteadyTime at)
 {
     const double own = replica.history.at(at);
-    replica.others.inFlight = std::max(0.0, inFlight - own);
-    replica.others.at = at;
-    replica.others.average.observe(replica.others.inFlight, this->clock.now(), this->settings->fleet.loadHalfLife);
+    replica.otherNodes.inFlight = std::max(0.0, inFlight - own);
+    replica.otherNodes.at = at;
+    replica.otherNodes.average.observe(replica.otherNodes.inFlight, this->clock.now(), this->settings->fleet.loadHalfLife);
 }
 
 void FleetState::observeInstance(Replica &replica, const std::string &instance)
@@ -98,16 +98,17 @@
         replica.leavingInstance = instance;
     }
     if (replica.isLeaving && instance != replica.leavingInstance) {
-        // The platform's list lags and may say either for a while: another start of the endpoint ends its leaving.
+        // A new instance ends the leaving state of its predecessor. The platform's list lags behind and may show either
+        // state.
         replica.isLeaving = false;
-        replica.isVmGone = false;
+        replica.isVmRemoved = false;
     }
     if (isRestart) {
-        this->restarted(replica);
+        this->resetAfterRestart(replica);
     }
 }
 
-void FleetState::restarted(Replica &replica)
+void FleetState::resetAfterRestart(Replica &replica)
 {
     replica.prefixes.clear();
     replica.consecutiveFailures = 0;
@@ -121,27 +122,27 @@
     for (const ListedVm &vm : vms) {
         isLeaving[vm.name] = vm.isLeaving;
     }
-    std::vector<Replica *> news;
+    std::vector<Replica *> newlyLeaving;
     for (Replica &replica : this->replicas.all()) {
         const auto listed = isLeaving.find(replica.vm);
         if (listed == isLeaving.end()) {
-            replica.isVmGone = replica.isLeaving;
+            replica.isVmRemoved = replica.isLeaving;
         } else if (listed->second && this->markLeaving(replica)) {
-            news.push_back(&replica);
-        } else if (!listed->second && replica.isVmGone) {
+            newlyLeaving.push_back(&replica);
+        } else if (!listed->second && replica.isVmRemoved) {
             replica.isLeaving = false;
-            replica.isVmGone = false;
-            this->restarted(replica);
+            replica.isVmRemoved = false;
+            this->resetAfterRestart(replica);
         }
     }
-    return news;
+    return newlyLeaving;
 }
 
 bool FleetState::markLeaving(Replica &replica, const std::string &instance)
 {
-    const bool isOldNews
+    const bool isOutdatedNotice
         = !instance.empty() && !replica.instance.empty() && instance != replica.instance && instance == replica.leavingInstance;
-    if (replica.isLeaving || isOldNews) {
+    if (replica.isLeaving || isOutdatedNotice) {
         return false;
     }
     replica.isLeaving = true;
@@ -156,14 +157,15 @@
 
 double estimatedInFlight(const Replica &replica, SteadyTime now, const LoadPrior &prior)
 {
-    const auto age = now - replica.others.at;
-    const double averageTrust = remainingShare(age, prior.averageHalfLife);
-    const double average = replica.others.average.valueOr(prior.othersMean);
-    const double lasting = averageTrust * average + (1 - averageTrust) * prior.othersMean;
-    // NOTE: Half of the mean lifetime, not all of it: the other nodes saw the same report and have acted on it.
+    const auto age = now - replica.otherNodes.at;
+    const double averageWeight = decayFactor(age, prior.averageHalfLife);
+    const double average = replica.otherNodes.average.valueOr(prior.otherNodesMean);
+    const double longTermLoad = averageWeight * average + (1 - averageWeight) * prior.otherNodesMean;
+    // NOTE: Half of the mean lifetime, because the other nodes received the same report and have already adjusted to
+    // it.
     const auto halfLife = std::chrono::ceil<std::chrono::milliseconds>(prior.lifetime / 2);
-    const double trust = remainingShare(age, std::max(halfLife, shortestHalfLife));
-    return replica.inFlight + trust * replica.others.inFlight + (1 - trust) * lasting;
+    const double reportWeight = decayFactor(age, std::max(halfLife, minHalfLife));
+    return replica.inFlight + reportWeight * replica.otherNodes.inFlight + (1 - reportWeight) * longTermLoad;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibFleet/FleetState.h
+++ b/Libraries/LibFleet/FleetState.h
@@ -13,94 +13,102 @@
 namespace Dogwoodkeel
 {
 
-/** How one attempt at an endpoint ended. */
+/** Outcome of one attempt at an endpoint. */
 enum class AttemptOutcome {
-    /** With an answer, be it an error of the request's own. */
+    /** The endpoint responded, possibly with an error that the request itself caused. */
     Succeeded,
-    /** The endpoint refused before it ran anything (503): it is full or starting, and not at fault. */
+    /** The endpoint refused before it ran anything (503): it is full or starting, which is not a failure. */
     Refused,
-    /** No connection could be made. */
+    /** No connection could be established. */
     NotConnected,
-    /** The connection broke, the answer was cut short, or the endpoint reported an error of its own. */
+    /** The connection was lost, the response was truncated, or the endpoint reported an internal error. */
     Failed,
-    /** No sign of progress for too long. */
+    /** No progress within the timeout. */
     Unresponsive,
-    /** Given up by this node or its caller: says nothing about the endpoint. */
+    /** Abandoned by this node or its caller; not attributed to the endpoint. */
     Abandoned,
 };
 
-/** What an attempt taught about its endpoint. */
+/** Outcome and measurements of an attempt at an endpoint. */
 struct AttemptResult
 {
     AttemptOutcome outcome = AttemptOutcome::Succeeded;
-    /** With success: mean time between tokens of a stream, or the time of a plain call. */
+    /** Set on success: mean time between tokens of a stream, or the duration of a plain call. */
     std::optional<std::chrono::microseconds> serviceTime;
 };
 
-/** Keeps what is known of the endpoints up to date. Pure: it is told all, and takes time from the clock. */
+/**
+ * Maintains the state of all known endpoints from request outcomes, load reports, the VM list and cache events.
+ * Performs no I/O; reads the time from the injected clock.
+ */
 class FleetState
 {
 public:
     FleetState(const Clock &clock, const SettingsHandle &settings, ReplicaTable &replicas);
 
-    /** A request of this node goes to a replica. Each begin() is followed by one end(). */
+    /** Records that a request of this node is sent to a replica. Each begin() is followed by one end(). */
     void begin(Replica &replica);
 
-    /** It is over. */
+    /** Records the end of a request and its outcome. */
     void end(Replica &replica, const AttemptResult &result);
 
     /**
-     * A load report came, from the endpoint or from the node that polls it. An older one than the last is not counted.
-     * @return whether the endpoint was not known to be leaving before, and is now
+     * Applies a load report from the endpoint or from the node that polls it. Data older than the last applied is
+     * ignored.
+     * @return whether the report newly marked the endpoint as leaving
      */
     bool observe(const ReplicaReport &report);
 
     /**
-     * An endpoint is about to go: by its own word, another node's or the platform's list. Nothing new is sent there from
-     * now on; what runs there goes on.
-     * @param instance which start of it, if that was told
-     * @return whether this was news
+     * Marks a replica as leaving, as reported by the endpoint itself, another node or the platform's list. No new
+     * requests are sent to it; running requests continue.
+     * @param instance the instance of the endpoint that leaves; empty if unknown
+     * @return whether the replica was newly marked
      */
     bool markLeaving(Replica &replica, const std::string &instance = {});
 
     /**
-     * The platform's list of VMs came. It lags, so that a VM it has live may be leaving by its endpoint's own word; a VM
-     * that was leaving counts as back only once the list was seen without it.
-     * @return the replicas that are leaving and were not known to be
+     * Applies the platform's list of VMs. The list lags behind, so a VM that it shows as live may already be leaving; a
+     * VM that was leaving counts as returned only after a list without it was received.
+     * @return the replicas newly marked as leaving
      */
     std::vector<Replica *> observe(const std::vector<ListedVm> &vms);
 
-    /** An endpoint told how many requests it has, with an answer: as fresh as it gets, and free. */
+    /**
+     * Applies the number of requests that an endpoint reported with a response. This is the most recent load
+     * information and needs no extra message.
+     */
     void observeLoad(Replica &replica, std::uint32_t inFlight, SteadyTime at);
 
-    /** Cache events came. */
+    /** Applies cache events of an endpoint. */
     static void observe(Replica &replica, const std::vector<CacheEvent> &events);
 
 private:
     void observeInstance(Replica &replica, const std::string &instance);
-    void restarted(Replica &replica);
-    static void occupy(Replica &replica, SteadyTime now);
+    void resetAfterRestart(Replica &replica);
+    static void accumulateRequestSeconds(Replica &replica, SteadyTime now);
 
     const Clock &clock;
     const SettingsHandle &settings;
     ReplicaTable &replicas;
 };
 
-/** What is assumed of a replica where its reports say too little. */
+/** Values assumed for a replica whose reports are missing or outdated. */
 struct LoadPrior
 {
-    /** The other nodes' requests on a replica of its capacity, on average over the pool. */
-    double othersMean = 0;
-    /** How long a request lasts, on average over the pool; 0 if it is not known. */
+    /** Mean number of the other nodes' requests on a replica of this capacity, over the pool. */
+    double otherNodesMean = 0;
+    /** Mean lifetime of a request over the pool; 0 if unknown. */
     std::chrono::duration<double> lifetime{0};
-    /** How fast the average of the reports forgets. */
+    /** Half-life of the average over the load reports. */
     std::chrono::milliseconds averageHalfLife{0};
 };
 
 /**
- * Requests on a replica, of all nodes: this node's own, which are exact, and the others'. Of those the last report says
- * something only as long as the requests it counted last; after that the average of the reports says more, because it
- * shows what is lastingly uneven (a popular prefix, a slow replica); and after that the pool's mean.
+ * Estimates the requests of all nodes on a replica: this node's own count, which is exact, plus the other nodes'. For
+ * those the last report is weighted most while the requests that it counted are likely to be running. After that the
+ * average of the reports dominates, because it shows lasting imbalance (a popular prefix, a slow replica), and finally
+ * the pool's mean.
  */
 double estimatedInFlight(const Replica &replica, SteadyTime now, const LoadPrior &prior);
 
--- a/Libraries/LibFleet/InFlightHistory.h
+++ b/Libraries/LibFleet/InFlightHistory.h
@@ -10,17 +10,18 @@
 {
 
 /**
- * How many requests this node had on a replica in the last few seconds. A load report counts requests of all nodes as
- * they were a while ago; to learn the others' part, this node's own number of that same moment has to be taken off.
- * With today's number instead, a burst sent since the report would look as if others had left.
+ * Number of requests that this node had on a replica during the last few seconds. A load report counts requests of all
+ * nodes at an earlier moment, so the other nodes' part is the reported number minus this node's own number at that
+ * moment. Subtracting the current number would make a burst sent since the report look like a drop of the other nodes'
+ * load.
  */
 class InFlightHistory
 {
 public:
-    /** The number changed. */
+    /** Records a change of the number. */
     void record(std::uint32_t inFlight, SteadyTime now);
 
-    /** @return the number at a moment; the oldest known one if it is further back. */
+    /** @return the number at a moment, or the oldest recorded one if the moment is earlier */
     std::uint32_t at(SteadyTime when) const;
 
 private:
@@ -31,7 +32,7 @@
     };
 
     static constexpr std::size_t samples = 128;
-    /** Changes within this time share a sample, so that the history reaches back for 3 s at any rate. */
+    /** Changes within this interval share a sample, so the history covers about 3 s at any rate. */
     static constexpr std::chrono::milliseconds resolution{25};
 
     std::array<Sample, samples> ring{};
--- a/Libraries/LibFleet/PrefixHints.cpp
+++ b/Libraries/LibFleet/PrefixHints.cpp
@@ -9,8 +9,8 @@
 {
 
 constexpr double trustAfterGap = 0.5;
-/** How much of the missing trust each event without a gap gives back. */
-constexpr double regain = 0.02;
+/** Share of the missing trust that each event without a gap restores. */
+constexpr double trustRecovery = 0.02;
 
 } // namespace
 
@@ -28,7 +28,7 @@
     if (event.number != this->lastNumber + 1) {
         this->trust *= trustAfterGap;
     }
-    this->trust += (1 - this->trust) * regain;
+    this->trust += (1 - this->trust) * trustRecovery;
     this->lastNumber = event.number;
     if (event.isStored) {
         this->store(event);
@@ -36,35 +36,36 @@
     }
     const auto block = this->keyOfBlock.find(event.hash);
     if (block != this->keyOfBlock.end()) {
-        this->known.erase(block->second);
+        this->cachedPrefixes.erase(block->second);
         this->keyOfBlock.erase(block);
     }
 }
 
 void PrefixHints::store(const CacheEvent &event)
 {
-    std::uint64_t before = 0;
+    std::uint64_t parentKey = 0;
     if (event.parent != 0) {
         const auto parent = this->keyOfBlock.find(event.parent);
         if (parent == this->keyOfBlock.end()) {
-            // Lost in a gap: without what stands before it, the block cannot be told from others with the same text.
+            // The parent was lost in a gap. Without it the block is indistinguishable from other blocks with the same
+            // text.
             return;
         }
-        before = parent->second;
+        parentKey = parent->second;
     }
-    const std::uint64_t key = extendPrefixKey(before, event.text);
+    const std::uint64_t key = extendPrefixKey(parentKey, event.text);
     if (!this->keyOfBlock.emplace(event.hash, key).second) {
         return;
     }
-    this->known.insert(key);
-    this->order.push_back(event.hash);
-    if (this->order.size() <= most) {
+    this->cachedPrefixes.insert(key);
+    this->insertionOrder.push_back(event.hash);
+    if (this->insertionOrder.size() <= maxBlocks) {
         return;
     }
-    const auto oldest = this->keyOfBlock.find(this->order.front());
-    this->order.pop_front();
+    const auto oldest = this->keyOfBlock.find(this->insertionOrder.front());
+    this->insertionOrder.pop_front();
     if (oldest != this->keyOfBlock.end()) {
-        this->known.erase(oldest->second);
+        this->cachedPrefixes.erase(oldest->second);
         this->keyOfBlock.erase(oldest);
     }
 }
@@ -76,7 +77,7 @@
 
 double PrefixHints::confidence(std::uint64_t prefix) const
 {
-    return this->known.contains(prefix) ? this->trust : 0;
+    return this->cachedPrefixes.contains(prefix) ? this->trust : 0;
 }
 
 std::uint64_t PrefixHints::lastEventNumber() const
@@ -86,7 +87,7 @@
 
 std::size_t PrefixHints::size() const
 {
-    return this->known.size();
+    return this->cachedPrefixes.size();
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibFleet/PrefixHints.h
+++ b/Libraries/LibFleet/PrefixHints.h
@@ -11,39 +11,40 @@
 namespace Dogwoodkeel
 {
 
-/** A block of a prompt came into an endpoint's cache, or fell out of it. */
+/** A block of a prompt was stored in or evicted from an endpoint's cache. */
 struct CacheEvent
 {
-    /** Counts an endpoint's events from 1; a missing number is an event that was lost. */
+    /** Sequence number of the endpoint's events, starting at 1; a missing number means a lost event. */
     std::uint64_t number = 0;
     bool isStored = false;
-    /** The endpoint's own name for the block. */
+    /** The endpoint's identifier of the block. */
     std::uint64_t hash = 0;
-    /** Its name for the block before; 0 for the first block of a prompt. */
+    /** The endpoint's identifier of the preceding block; 0 for the first block of a prompt. */
     std::uint64_t parent = 0;
     std::string text;
 };
 
 /**
- * Which prompt prefixes a replica is believed to have in its cache. Only a hint: a wrong one costs a prefill and never
- * an answer. Events lost in a gap may have been evictions, so a gap lowers the trust in all that was known before it.
+ * Tracks the prompt prefixes that a replica is expected to have in its cache. The result is a hint: a wrong one costs a
+ * prefill and does not affect the response. Events lost in a gap may have been evictions, so a gap lowers the trust in
+ * all earlier events.
  */
 class PrefixHints
 {
 public:
-    /** Take in events, in their order. Repeated ones are harmless. */
+    /** Applies events in their order. Repeated events are ignored. */
     void observe(const std::vector<CacheEvent> &events);
 
-    /** The endpoint started anew: its cache is empty, and its events count from 1. */
+    /** Resets the state after a restart of the endpoint: its cache is empty and its events count from 1 again. */
     void clear();
 
     /**
-     * @param prefix as prefixKey() makes it
-     * @return the belief that the prefix is cached there: 0 if it is not known of, otherwise above 0 up to 1
+     * @param prefix key as returned by prefixKey()
+     * @return the confidence that the prefix is cached: 0 if the prefix is unknown, otherwise above 0 and at most 1
      */
     double confidence(std::uint64_t prefix) const;
 
-    /** @return the number of the last event seen; the ones behind it are to be asked for. */
+    /** @return the number of the last applied event; later events are to be requested */
     std::uint64_t lastEventNumber() const;
 
     std::size_t size() const;
@@ -52,14 +53,14 @@
     void observe(const CacheEvent &event);
     void store(const CacheEvent &event);
 
-    /** The ones stored first are forgotten above this many. */
-    static constexpr std::size_t most = 4096;
+    /** Above this number of blocks the oldest ones are removed. */
+    static constexpr std::size_t maxBlocks = 4096;
 
-    /** The key of the prompt up to each block, by the endpoint's name for the block. */
+    /** Key of the prompt up to and including each block, by the endpoint's identifier of the block. */
     std::unordered_map<std::uint64_t, std::uint64_t> keyOfBlock;
-    /** The keys of all those blocks. */
-    std::unordered_set<std::uint64_t> known;
-    std::deque<std::uint64_t> order;
+    /** Keys of all those blocks. */
+    std::unordered_set<std::uint64_t> cachedPrefixes;
+    std::deque<std::uint64_t> insertionOrder;
     std::uint64_t lastNumber = 0;
     double trust = 1;
 };
--- a/Libraries/LibFleet/PrefixKey.cpp
+++ b/Libraries/LibFleet/PrefixKey.cpp
@@ -15,10 +15,10 @@
 std::uint64_t prefixKey(std::string_view prompt, std::size_t bytes)
 {
     std::uint64_t key = 0;
-    std::string_view rest = prompt.substr(0, bytes);
-    while (rest.size() >= prefixBlockBytes) {
-        key = extendPrefixKey(key, rest.substr(0, prefixBlockBytes));
-        rest.remove_prefix(prefixBlockBytes);
+    std::string_view remainder = prompt.substr(0, bytes);
+    while (remainder.size() >= prefixBlockBytes) {
+        key = extendPrefixKey(key, remainder.substr(0, prefixBlockBytes));
+        remainder.remove_prefix(prefixBlockBytes);
     }
     return key;
 }
--- a/Libraries/LibFleet/Replica.h
+++ b/Libraries/LibFleet/Replica.h
@@ -14,71 +14,74 @@
 namespace Dogwoodkeel
 {
 
-/** The other nodes' requests on a replica, as last told. */
-struct OthersLoad
+/** The other nodes' requests on a replica, from the last load report. */
+struct OtherNodesLoad
 {
     double inFlight = 0;
-    /** When that was so; the epoch if it was never told. */
+    /** Time to which the number applies; the epoch if none was reported. */
     SteadyTime at{};
-    /** Over the reports that came. */
+    /** Average over the load reports. */
     DecayingAverage average;
 };
 
-/** Whether a replica is kept out of the choice because it failed too often. */
+/** Whether a replica is excluded from the selection because of repeated failures. */
 struct Ejection
 {
     bool isEjected = false;
     SteadyTime until{};
-    /** Ejections since it last served well for a while. */
+    /** Ejections since the replica last recovered. */
     std::uint32_t times = 0;
 };
 
-/** What is known of one endpoint. */
+/** State of one endpoint as known to this node. */
 struct Replica
 {
     EndpointName name;
     Address address;
     FailureDomain failureDomain;
-    /** The model it serves, or the plain service it is a replica of. */
+    /** The model or plain service that the replica serves. */
     std::string serves;
     std::uint32_t capacity = 0;
-    /** Requests of this node that run there. Changed by FleetState alone. */
+    /** Requests of this node that run on the replica. Modified only by FleetState. */
     std::uint32_t inFlight = 0;
-    /** Failures since its last success. */
+    /** Failures since the last success. */
     std::uint32_t consecutiveFailures = 0;
-    /** Whether it is about to go; once seen, it stays so until another start of the endpoint reports. */
+    /**
+     * Whether the endpoint is leaving. Once set, it remains until another instance of the endpoint reports, or until
+     * its VM returns to the list after having been removed.
+     */
     bool isLeaving = false;
 
-    /** The VM it runs on. */
+    /** The VM that the endpoint runs on. */
     VmName vm;
     std::string generation;
-    /** Which start of the endpoint; empty if it does not say. */
+    /** Identifier of the running instance of the endpoint; empty if not reported. */
     std::string instance;
-    /** The start that was seen leaving. */
+    /** The instance that was reported as leaving. */
     std::string leavingInstance;
-    /** Whether it was leaving and its VM has since left the platform's list. */
-    bool isVmGone = false;
-    /** The model version it has loaded; empty if it is not known. */
+    /** Whether the endpoint was leaving and its VM has since been removed from the platform's list. */
+    bool isVmRemoved = false;
+    /** The model version that is loaded; empty if unknown. */
     std::string version;
     std::vector<std::string> adapters;
 
-    /** When this node last sent a request there. */
+    /** When this node last sent a request to the replica. */
     SteadyTime lastUsed{};
     InFlightHistory history;
-    OthersLoad others;
-    /** Of when the last whole report is: it may be older than the last word on the load. */
-    SteadyTime reported{};
+    OtherNodesLoad otherNodes;
+    /** Time of the last complete report; the load may have been updated later by a response. */
+    SteadyTime lastReported{};
     /** Share of attempts that failed. */
     DecayingAverage failures;
-    /** Time of service: per token for a stream, of the whole call for a plain service; in seconds. */
+    /** Service time in seconds: per token for a stream, per call for a plain service. */
     DecayingAverage serviceTime;
-    /** How long requests of this node last there, in seconds. */
+    /** Lifetime of this node's requests on the replica, in seconds. */
     DecayingAverage lifetime;
-    /** Request-seconds there since the last one ended. */
-    double occupied = 0;
-    SteadyTime occupiedUntil{};
+    /** Request-seconds accumulated since the last request ended. */
+    double requestSeconds = 0;
+    SteadyTime requestSecondsUntil{};
     Ejection ejection;
-    /** Since when it is being given more again, after it was new or ejected. */
+    /** Start of the slow start, after the replica was added, restarted or readmitted. */
     SteadyTime rampStart{};
     PrefixHints prefixes;
 };
--- a/Libraries/LibFleet/ReplicaTable.cpp
+++ b/Libraries/LibFleet/ReplicaTable.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** The role of endpoints that take requests of callers. */
+/** The role of endpoints that serve requests of callers. */
 constexpr const char *servingRole = "serve";
 
 } // namespace
@@ -20,10 +20,10 @@
 
 void ReplicaTable::update(const std::vector<EndpointSettings> &endpoints)
 {
-    std::list<Replica> before;
-    before.swap(this->replicas);
+    std::list<Replica> previous;
+    previous.swap(this->replicas);
     std::unordered_map<std::string, std::list<Replica>::iterator> known;
-    for (auto replica = before.begin(); replica != before.end(); ++replica) {
+    for (auto replica = previous.begin(); replica != previous.end(); ++replica) {
         known[replica->name.value()] = replica;
     }
     ++this->changes;
@@ -31,9 +31,9 @@
     this->byName.clear();
     for (const EndpointSettings &endpoint : endpoints) {
         const auto found = known.find(endpoint.name);
-        // Another address is another endpoint: what was learnt of the old one, and its load, do not hold for it.
+        // An endpoint with a new address is a new replica: state and load recorded for the old address do not apply.
         if (found != known.end() && found->second->address == endpoint.address) {
-            this->replicas.splice(this->replicas.end(), before, found->second);
+            this->replicas.splice(this->replicas.end(), previous, found->second);
             known.erase(found);
         } else {
             this->replicas.emplace_back();
@@ -51,7 +51,7 @@
         }
         this->byName.emplace(replica.name, &replica);
     }
-    this->removed.splice(this->removed.end(), before);
+    this->removed.splice(this->removed.end(), previous);
     this->removed.remove_if([](const Replica &replica) {
         return replica.inFlight == 0;
     });
--- a/Libraries/LibFleet/ReplicaTable.h
+++ b/Libraries/LibFleet/ReplicaTable.h
@@ -12,7 +12,7 @@
 namespace Dogwoodkeel
 {
 
-/** The endpoints of a site, by what they serve. */
+/** Holds the replicas of a site, indexed by name and by the model or plain service that they serve. */
 class ReplicaTable
 {
 public:
@@ -21,20 +21,23 @@
     ReplicaTable(const ReplicaTable &) = delete;
     ReplicaTable &operator=(const ReplicaTable &) = delete;
 
-    /** @return the replicas that take requests for a model or plain service, in settings order. */
+    /** @return the replicas that serve requests for a model or plain service, in the order of the settings */
     const std::vector<Replica *> &of(const std::string &serves) const;
 
-    /** @return a replica, or null. */
+    /** @return the replica with this name, or null */
     Replica *find(const EndpointName &name);
 
     std::list<Replica> &all();
 
-    /** @return a number that changes with every update(): what was derived from the table is to be renewed then. */
+    /**
+     * @return a number that changes with every update(); data derived from the table must be recomputed when it changes
+     */
     std::uint64_t version() const;
 
     /**
-     * Put other endpoints into force. What is known of a replica that stays is kept; one that was taken out is no longer
-     * found, and lives on until its last request has ended. Replicas never move, so pointers to them stay good.
+     * Replaces the endpoints. The state of a replica that stays is kept. A removed replica can no longer be found but
+     * remains valid until its last request has ended; it is freed by a later update(). Replicas are never moved in
+     * memory, so pointers to them remain valid.
      */
     void update(const std::vector<EndpointSettings> &endpoints);
 
--- a/Libraries/LibFleet/ReportSubscriptions.cpp
+++ b/Libraries/LibFleet/ReportSubscriptions.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-/** A report as a datagram carries it, with its share of the datagram's own bytes. */
+/** Size of a report in a datagram, including its share of the datagram's overhead. */
 constexpr std::size_t bytesPerReport = 100;
 constexpr int intervalsPerRenewal = 4;
-/** Two renewals may be lost before an interest ends. */
-constexpr int intervalsKept = 10;
+/** Lifetime of a subscription in report intervals; two renewals may be lost before it expires. */
+constexpr int intervalsPerSubscription = 10;
 
 } // namespace
 
@@ -24,7 +24,7 @@
     Subscriber &subscriber = this->subscribers[from];
     subscriber.interval = interval;
     for (const EndpointName &endpoint : endpoints) {
-        subscriber.until[endpoint] = now + interval * intervalsKept;
+        subscriber.until[endpoint] = now + interval * intervalsPerSubscription;
     }
 }
 
--- a/Libraries/LibFleet/ReportSubscriptions.h
+++ b/Libraries/LibFleet/ReportSubscriptions.h
@@ -12,36 +12,36 @@
 {
 
 /**
- * Which nodes want the load reports of the endpoints that this node polls. A node asks only for what it uses, says how
- * often it can take reports, and asks again before its interest ends; so what flows between nodes is bounded at the
- * receiver, and a lost node is forgotten.
+ * Tracks which nodes subscribe to the load reports of the endpoints that this node polls. A node subscribes only to
+ * endpoints that it uses, states the shortest interval at which it accepts reports, and renews before the subscription
+ * expires. So the traffic between nodes is bounded by the receiver, and subscriptions of a lost node expire.
  */
 class ReportSubscriptions
 {
 public:
-    /** Reports to send to one node. */
+    /** Reports that are due to be sent to one node. */
     struct Due
     {
         SessionNumber to;
         std::vector<EndpointName> endpoints;
     };
 
-    /** A node asked for reports, or asked again. @param interval how far apart they may come at the closest */
+    /** Adds or renews a subscription. @param interval shortest time between two reports */
     void
     renew(SessionNumber from, std::chrono::milliseconds interval, const std::vector<EndpointName> &endpoints, SteadyTime now);
 
-    /** @return what is to be sent now; it counts as sent. */
+    /** Returns the reports that are due and records them as sent. */
     std::vector<Due> due(SteadyTime now);
 
     /**
-     * @param replicas how many a node wants reports of
-     * @param bytesPerSecond what it can take
-     * @param poll how often there is a new report
-     * @return how far apart its reports have to be
+     * @param replicas number of replicas that a node subscribes to
+     * @param bytesPerSecond traffic that the node accepts
+     * @param poll interval at which new reports are available
+     * @return the interval between reports
      */
     static std::chrono::milliseconds interval(std::size_t replicas, std::size_t bytesPerSecond, std::chrono::milliseconds poll);
 
-    /** @return how often a node asks again: rarely enough that asking costs little beside the reports. */
+    /** @return the interval between renewals, which is long enough to keep their cost small compared to the reports */
     static std::chrono::milliseconds renewal(std::chrono::milliseconds interval);
 
 private:
@@ -49,7 +49,7 @@
     {
         std::chrono::milliseconds interval{0};
         SteadyTime sent{};
-        /** Until when each endpoint's reports are wanted. */
+        /** Expiry of the subscription to each endpoint. */
         std::map<EndpointName, SteadyTime> until;
     };
 
--- a/Libraries/LibRouting/DeadlineQueue.h
+++ b/Libraries/LibRouting/DeadlineQueue.h
@@ -15,78 +15,82 @@
 {
 
 /**
- * Requests that wait for a place at the replicas of one model or service: earliest deadline first, bounded, and without
- * those that cannot make it any more.
+ * Holds the requests that wait for a slot at the replicas of one model or service: earliest deadline first, bounded,
+ * and without requests that can no longer meet their deadlines.
  *
- * Without shedding, an overloaded earliest-deadline queue serves only requests that are about to miss, and finishes none
- * in time. So a request is refused as soon as the measured drain rate and service time say that it would be late: at its
- * arrival, or when the queue turns out slower than it was.
+ * Without load shedding, an overloaded earliest-deadline-first queue serves only requests that are about to miss their
+ * deadlines and finishes none in time. So a request is refused as soon as the measured drain rate and service time
+ * predict that it would be late: on arrival, or later if the queue drains more slowly than expected.
  */
 class DeadlineQueue
 {
 public:
     using Ticket = std::uint64_t;
 
-    /** Sizes and times. */
+    /** Size and averaging time of the queue. */
     struct Options
     {
-        /** Requests that wait at most. */
+        /** Maximum number of waiting requests. */
         std::size_t maxSize = 256;
-        /** How fast the measured rates forget. */
-        std::chrono::milliseconds memory{2000};
+        /** Time constant of the exponential decay of the measured rate. */
+        std::chrono::milliseconds decayTime{2000};
     };
 
-    /** What became of an offered request. */
+    /** Result of offering a request to the queue. */
     struct Offer
     {
         bool isQueued = false;
-        /** A request that had to give way to it, having more time. */
+        /** A request with a later deadline that was removed to make room in the full queue. */
         std::optional<Ticket> displaced;
     };
 
     DeadlineQueue(const Clock &clock, Options options);
 
-    /** @param ticket names the request, never used before */
+    /**
+     * Adds a request unless it is predicted to miss its deadline, or the queue is full of requests with earlier
+     * deadlines.
+     * @param ticket identifier of the request; must be unique
+     */
     Offer offer(Ticket ticket, SteadyTime deadline);
 
-    /** @return the most urgent request, taken out; nothing if none waits. */
+    /** Removes and returns the request with the earliest deadline; nothing if the queue is empty. */
     std::optional<Ticket> take();
 
-    /** Take out a request that no longer waits. */
+    /** Removes a request that no longer waits. */
     void remove(Ticket ticket);
 
-    /** @return the requests that cannot make their deadlines any more, taken out. */
+    /** Removes and returns the requests that can no longer meet their deadlines. */
     std::vector<Ticket> removeInfeasible();
 
-    /** A request got a place. */
+    /** Records that a request got a slot. */
     void recordPlacement();
 
-    /** A request left its place. @param service how long it had it */
+    /** Records that a request released its slot. @param service how long it occupied the slot */
     void recordServiceTime(std::chrono::microseconds service);
 
-    /** @return how long a request that comes now would wait; zero if no rate is known yet. */
+    /** @return the expected waiting time of a request that arrives now; zero if the rate is unknown */
     std::chrono::milliseconds expectedWait() const;
 
     std::size_t size() const;
 
 private:
-    using Place = std::pair<SteadyTime, Ticket>;
+    using Entry = std::pair<SteadyTime, Ticket>;
 
     double ratePerSecond() const;
-    std::chrono::milliseconds waitBehind(std::size_t others) const;
-    bool isHopeless(SteadyTime deadline, std::size_t others) const;
+    std::chrono::milliseconds waitBehind(std::size_t requestsAhead) const;
+    bool isInfeasible(SteadyTime deadline, std::size_t requestsAhead) const;
 
     const Clock &clock;
     Options options;
-    std::set<Place> places;
+    std::set<Entry> entries;
     std::unordered_map<Ticket, SteadyTime> deadlines;
-    /** Decaying number of places given in the memory time. */
-    double given = 0;
-    SteadyTime givenAt{};
+    /** Number of placements, decaying exponentially with the decay time. */
+    double recentPlacements = 0;
+    SteadyTime lastPlacement{};
     SteadyTime busySince{};
-    /** Decaying mean of the service time, in seconds. */
+    /** Exponentially weighted mean of the service time, in seconds. */
     double service = 0;
-    /** Decaying mean of how far service times are from it, in seconds. */
+    /** Exponentially weighted mean absolute deviation of the service time, in seconds. */
     double deviation = 0;
 };
 
--- a/Libraries/LibRouting/OutlierEjection.cpp
+++ b/Libraries/LibRouting/OutlierEjection.cpp
@@ -10,18 +10,18 @@
 namespace
 {
 
-constexpr std::uint32_t mostDoublings = 16;
+constexpr std::uint32_t maxDoublings = 16;
 
 std::chrono::milliseconds ejectionTime(std::uint32_t times, const FleetSettings &settings)
 {
-    const auto longer = settings.ejectTime * (std::int64_t(1) << std::min(times, mostDoublings));
-    return std::min<std::chrono::milliseconds>(longer, settings.ejectTimeMost);
+    const auto duration = settings.ejectTime * (std::int64_t(1) << std::min(times, maxDoublings));
+    return std::min<std::chrono::milliseconds>(duration, settings.ejectTimeMost);
 }
 
-void release(Replica &replica, SteadyTime now)
+void readmit(Replica &replica, SteadyTime now)
 {
     replica.ejection.isEjected = false;
-    // One more failure ejects it again; it need not fail as often as one of good standing.
+    // During the slow start a single failure ejects the replica again, without the usual number of failures.
     replica.consecutiveFailures = 0;
     replica.rampStart = now;
 }
@@ -42,19 +42,19 @@
 
 } // namespace
 
-void renewEjections(const std::vector<Replica *> &pool, SteadyTime now, const FleetSettings &settings)
+void updateEjections(const std::vector<Replica *> &pool, SteadyTime now, const FleetSettings &settings)
 {
-    auto left = static_cast<std::size_t>(settings.ejectShare * static_cast<double>(pool.size()));
+    auto remaining = static_cast<std::size_t>(settings.ejectShare * static_cast<double>(pool.size()));
     for (Replica *const replica : pool) {
         if (replica->ejection.isEjected && now >= replica->ejection.until) {
-            release(*replica, now);
+            readmit(*replica, now);
         }
-        const bool isReformed = replica->ejection.times > 0 && !replica->ejection.isEjected && replica->consecutiveFailures == 0
+        const bool isRecovered = replica->ejection.times > 0 && !replica->ejection.isEjected && replica->consecutiveFailures == 0
             && now - replica->rampStart >= settings.ejectTimeMost;
-        if (isReformed) {
+        if (isRecovered) {
             replica->ejection.times = 0;
         }
-        left -= replica->ejection.isEjected && left > 0 ? 1 : 0;
+        remaining -= replica->ejection.isEjected && remaining > 0 ? 1 : 0;
     }
     std::vector<Replica *> outliers;
     for (Replica *const replica : pool) {
@@ -62,9 +62,9 @@
             outliers.push_back(replica);
         }
     }
-    // Under the cap, those that fail the most go first.
+    // If the cap does not allow all ejections, the replicas with the most consecutive failures are ejected first.
     std::ranges::sort(outliers, std::ranges::greater(), &Replica::consecutiveFailures);
-    outliers.resize(std::min(outliers.size(), left));
+    outliers.resize(std::min(outliers.size(), remaining));
     for (Replica *const replica : outliers) {
         eject(*replica, now, settings);
     }
--- a/Libraries/LibRouting/OutlierEjection.h
+++ b/Libraries/LibRouting/OutlierEjection.h
@@ -9,13 +9,13 @@
 {
 
 /**
- * Keep replicas that fail again and again out of the choice for a while, each time twice as long, and let them back in
- * by a slow start.
+ * Excludes repeatedly failing replicas from the selection for a limited time, which doubles with each ejection, and
+ * readmits them with a slow start.
  *
- * Never more than the set share of a pool: when most replicas fail at once, the cause is more likely in what they are
- * sent or in what lies between, and ejecting them would send the whole load to the few that are left.
- * @param pool all replicas of a model or plain service; their ejections are renewed
+ * Never ejects more than the configured share of a pool: when most replicas fail at once, the cause is more likely the
+ * requests or the network, and ejecting them would direct the whole load to the few remaining replicas.
+ * @param pool all replicas of a model or plain service; their ejections are updated
  */
-void renewEjections(const std::vector<Replica *> &pool, SteadyTime now, const FleetSettings &settings);
+void updateEjections(const std::vector<Replica *> &pool, SteadyTime now, const FleetSettings &settings);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibRouting/PrefixRing.cpp
+++ b/Libraries/LibRouting/PrefixRing.cpp
@@ -27,10 +27,10 @@
     std::ranges::sort(this->points);
 }
 
-std::size_t PrefixRing::firstBehind(std::uint64_t prefix) const
+std::size_t PrefixRing::firstPointAtOrAfter(std::uint64_t prefix) const
 {
-    const auto place = std::ranges::lower_bound(this->points, prefix, {}, &std::pair<std::uint64_t, Replica *>::first);
-    return place == this->points.end() ? 0 : static_cast<std::size_t>(place - this->points.begin());
+    const auto position = std::ranges::lower_bound(this->points, prefix, {}, &std::pair<std::uint64_t, Replica *>::first);
+    return position == this->points.end() ? 0 : static_cast<std::size_t>(position - this->points.begin());
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibRouting/PrefixRing.h
+++ b/Libraries/LibRouting/PrefixRing.h
@@ -10,9 +10,9 @@
 {
 
 /**
- * Which replicas a prompt prefix belongs to, in order: consistent hashing on a ring, each replica with several points,
- * so that the prefixes of a lost replica spread over all the others. Every node has the same ring, so they agree
- * without talking, and a look-up does not depend on the number of replicas but for a binary search.
+ * Assigns prompt prefixes to replicas by consistent hashing. Each replica has several points on the ring, so that the
+ * prefixes of a lost replica are distributed over all others. All nodes compute the same ring and so agree without
+ * communication. A lookup costs a binary search.
  */
 class PrefixRing
 {
@@ -20,19 +20,19 @@
     explicit PrefixRing(const std::vector<Replica *> &pool);
 
     /**
-     * Walk the replicas of a prefix in order.
-     * @param visit told of each; ends the walk by returning true
-     * @param most how many different points to look at
+     * Visits the replicas of a prefix in ring order.
+     * @param visit called for each replica; returning true ends the walk
+     * @param maxPoints maximum number of points to check
      * @return the replica that ended the walk, or null
      */
     template <typename Visit>
-    Replica *walk(std::uint64_t prefix, std::size_t most, const Visit &visit) const
+    Replica *walk(std::uint64_t prefix, std::size_t maxPoints, const Visit &visit) const
     {
-        std::size_t place = this->firstBehind(prefix);
+        std::size_t position = this->firstPointAtOrAfter(prefix);
         Replica *last = nullptr;
-        for (std::size_t seen = 0; seen < most && seen < this->points.size(); ++seen) {
-            Replica *const replica = this->points[place].second;
-            place = (place + 1) % this->points.size();
+        for (std::size_t checked = 0; checked < maxPoints && checked < this->points.size(); ++checked) {
+            Replica *const replica = this->points[position].second;
+            position = (position + 1) % this->points.size();
             if (replica == last) {
                 continue;
             }
@@ -45,7 +45,7 @@
     }
 
 private:
-    std::size_t firstBehind(std::uint64_t prefix) const;
+    std::size_t firstPointAtOrAfter(std::uint64_t prefix) const;
 
     std::vector<std::pair<std::uint64_t, Replica *>> points;
 };
--- a/Libraries/LibRouting/Quarantine.cpp
+++ b/Libraries/LibRouting/Quarantine.cpp
@@ -61,7 +61,7 @@
 
 QuarantineStatus Quarantine::recordLoss(ContentFingerprint request, const CrashPoint &point)
 {
-    this->forgetOld();
+    this->removeExpired();
     if (this->find(request) == nullptr) {
         this->records[request] = {};
     }
@@ -72,7 +72,7 @@
     if (!isSameEvent) {
         record.points.push_back(point);
         record.until = this->clock.now() + this->options.duration;
-        this->ages.emplace_back(this->clock.now(), request);
+        this->insertionOrder.emplace_back(this->clock.now(), request);
     }
     return this->status(request);
 }
@@ -104,10 +104,10 @@
     return this->records.size();
 }
 
-void Quarantine::forgetOld()
+void Quarantine::removeExpired()
 {
-    while (!this->ages.empty()) {
-        const auto &[since, request] = this->ages.front();
+    while (!this->insertionOrder.empty()) {
+        const auto &[since, request] = this->insertionOrder.front();
         const auto found = this->records.find(request);
         const bool isStale = found == this->records.end() || found->second.until != since + this->options.duration;
         const bool isExpired = since + this->options.duration <= this->clock.now();
@@ -118,7 +118,7 @@
         if (!isStale) {
             this->records.erase(found);
         }
-        this->ages.pop_front();
+        this->insertionOrder.pop_front();
     }
 }
 
--- a/Libraries/LibRouting/Quarantine.h
+++ b/Libraries/LibRouting/Quarantine.h
@@ -15,82 +15,83 @@
 namespace Dogwoodkeel
 {
 
-/** Hash of what a request asks for, whatever id it carries and whoever sends it. */
+/** Hash of the content of a request, independent of its id and its sender. */
 using ContentFingerprint = StrongType<struct ContentFingerprintTag, std::uint64_t>;
 
 /**
  * @param serves the model or plain service
- * @param body the request; of a completion's JSON only the prompt or the messages count, so that a resend with another
- *             length, or as a batch item, is known again
+ * @param body the request; of a completion's JSON only the prompt or the messages are hashed, so that a resend with
+ *             another length, or as a batch item, has the same fingerprint
  */
 ContentFingerprint contentFingerprint(std::string_view serves, std::string_view body);
 
-/** An endpoint was lost while it ran a request. */
+/** The loss of an endpoint while it ran a request. */
 struct CrashPoint
 {
     EndpointName endpoint;
     FailureDomain failureDomain;
-    /** When the request was sent there. */
+    /** When the request was sent to the endpoint. */
     SteadyTime sent{};
-    /** When the loss was seen. */
+    /** When the loss was detected. */
     SteadyTime seen{};
 };
 
-/** How far a request is held to crash endpoints. */
+/** To what degree a request is suspected of crashing endpoints. */
 enum class QuarantineStatus {
     Clear,
-    /** It was running on one endpoint that was lost; it may be a bystander. */
+    /** It ran on an endpoint that was lost, possibly without causing the loss. */
     Suspect,
-    /** It runs nowhere until its quarantine ends. */
+    /** It is not run on any endpoint until its quarantine ends. */
     Quarantined,
 };
 
 /**
- * Which requests crash the endpoints that run them. One such request, sent again by its caller or by a retry, would take
- * down a site endpoint by endpoint; after two losses it is refused.
+ * Detects requests that crash the endpoints that run them. Such a request, resent by its caller or by a retry, would
+ * take down one endpoint of the site after the other; after two losses it is refused.
  *
- * What else ran on a lost endpoint is suspected as well, and cleared by its first success anywhere, or by time. Losses of
- * one failure domain that hit requests sent before the first of them was seen count as one: a rack that goes takes many
- * endpoints with it, and a popular request on two of them has done nothing. A request that is retried or resent after a
- * loss was seen never has that excuse, so it reaches two endpoints at most.
+ * Other requests that ran on a lost endpoint are suspected as well. They are cleared by their first success on any
+ * endpoint, or by timeout. Losses within one failure domain that affect requests sent before the first of these losses
+ * was detected count as one: the failure of a rack takes down many endpoints, and a popular request that ran on two of
+ * them is not the cause. A request that is retried or resent after a detected loss is not exempted this way, so it
+ * reaches two endpoints at most.
  *
- * Pure: told of losses and successes, here and on other nodes, in any order and more than once.
+ * Performs no I/O. Losses and successes, of this and other nodes, may be recorded in any order and repeatedly.
  */
 class Quarantine
 {
 public:
-    /** Times and sizes. */
+    /** Threshold, duration and size limit. */
     struct Options
     {
-        /** Losses after which a request runs no more. */
+        /** Number of losses after which a request is quarantined. */
         std::size_t losses = 2;
         /** How long a suspicion or a quarantine lasts after the last loss. */
         std::chrono::milliseconds duration{600000};
-        /** Requests remembered at most; the oldest suspicion goes first. */
+        /** Maximum number of recorded requests; the oldest record is removed first. */
         std::size_t remembered = 10000;
     };
 
     Quarantine(const Clock &clock, Options options);
 
-    /** Other times and sizes, for the losses from now on. */
+    /** Replaces the options for losses recorded from now on. */
     void setOptions(const Options &options);
 
-    /** @return how a request stands now. */
+    /** @return the current status of a request */
     QuarantineStatus status(ContentFingerprint request) const;
 
-    /** @return how long a quarantine still lasts; zero without one. */
+    /** @return the remaining time of a quarantine; zero if the request is not quarantined */
     std::chrono::milliseconds remaining(ContentFingerprint request) const;
 
-    /** An endpoint was lost while it ran the request. @return how the request stands after it */
+    /** Records the loss of an endpoint while it ran the request. @return the resulting status */
     QuarantineStatus recordLoss(ContentFingerprint request, const CrashPoint &point);
 
-    /** The request ran to its end somewhere: it is cleared. @return whether it had been suspected */
+    /** Clears the request because it completed on an endpoint. @return whether it had been suspected */
     bool recordSuccess(ContentFingerprint request);
 
-    /** @return what is held against a request. */
+    /** @return the losses recorded for a request */
     std::vector<CrashPoint> points(ContentFingerprint request) const;
 
-    /** @return the requests that are in quarantine now. */
+    /** @return the requests that are currently quarantined */
     std::vector<ContentFingerprint> quarantined() const;
 
     std::size_t size() const;
@@ -103,13 +104,13 @@
     };
 
     const Record *find(ContentFingerprint request) const;
-    void forgetOld();
+    void removeExpired();
 
     const Clock &clock;
     Options options;
     std::unordered_map<ContentFingerprint, Record> records;
-    /** When each record came, to drop the oldest. A record that was renewed stands here more than once. */
-    std::deque<std::pair<SteadyTime, ContentFingerprint>> ages;
+    /** Creation time of each record, used to remove the oldest. A renewed record has more than one entry. */
+    std::deque<std::pair<SteadyTime, ContentFingerprint>> insertionOrder;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibRouting/ReplicaSelector.cpp
+++ b/Libraries/LibRouting/ReplicaSelector.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 
-/** How long what was learnt by a look at a whole pool is used. */
-constexpr std::chrono::milliseconds renewInterval{50};
-/** Draws before a pool is looked through, because most of it cannot serve the request. */
-constexpr int mostDraws = 12;
-/** Points of the ring that are looked at for a replica with room. */
-constexpr std::size_t mostPoints = 64;
+/** Interval at which data that depends on the whole pool is refreshed. */
+constexpr std::chrono::milliseconds refreshInterval{50};
+/** Maximum number of random draws. If none finds an eligible replica, the whole pool is searched. */
+constexpr int maxDraws = 12;
+/** Maximum number of ring points that are checked for a replica with capacity. */
+constexpr std::size_t maxRingPoints = 64;
 
 bool wasTried(const Replica &replica, const SelectionQuery &query)
 {
@@ -30,17 +30,17 @@
     return query.adapter.empty() || std::ranges::find(replica.adapters, query.adapter) != replica.adapters.end();
 }
 
-/** @return whether it can serve the request at all. */
+/** @return whether the replica can serve the request at all */
 bool canServe(const Replica &replica, const SelectionQuery &query)
 {
     return !replica.isLeaving && hasAdapter(replica, query) && !wasTried(replica, query);
 }
 
-/** @return whether nothing speaks against it. */
-bool isGood(const Replica &replica, const SelectionQuery &query)
+/** @return whether the replica can serve, is not ejected and is outside the domain to avoid */
+bool isPreferred(const Replica &replica, const SelectionQuery &query)
 {
-    const bool isElsewhere = query.avoidDomain.value().empty() || replica.failureDomain != query.avoidDomain;
-    return canServe(replica, query) && !replica.ejection.isEjected && isElsewhere;
+    const bool isInOtherDomain = query.avoidDomain.value().empty() || replica.failureDomain != query.avoidDomain;
+    return canServe(replica, query) && !replica.ejection.isEjected && isInOtherDomain;
 }
 
 } // namespace
@@ -83,13 +83,13 @@
     }
 }
 
-void ReplicaSelector::renew(Pool &pool, SteadyTime now)
+void ReplicaSelector::refresh(Pool &pool, SteadyTime now)
 {
-    if (now - pool.renewed < renewInterval) {
+    if (now - pool.lastRefresh < refreshInterval) {
         return;
     }
-    pool.renewed = now;
-    renewEjections(pool.all, now, this->settings->fleet);
+    pool.lastRefresh = now;
+    updateEjections(pool.all, now, this->settings->fleet);
     pool.usable.clear();
     pool.usableByVersion.clear();
     for (Replica *const replica : pool.all) {
@@ -107,14 +107,14 @@
         return query.version;
     }
     double sum = 0;
-    for (const VersionWeight &part : pool.rollout) {
-        sum += pool.usableByVersion.contains(part.version) ? part.weight : 0;
-    }
-    double place = std::uniform_real_distribution<double>(0, sum)(this->random);
-    for (const VersionWeight &part : pool.rollout) {
-        place -= pool.usableByVersion.contains(part.version) ? part.weight : 0;
-        if (place < 0) {
-            return part.version;
+    for (const VersionWeight &share : pool.rollout) {
+        sum += pool.usableByVersion.contains(share.version) ? share.weight : 0;
+    }
+    double position = std::uniform_real_distribution<double>(0, sum)(this->random);
+    for (const VersionWeight &share : pool.rollout) {
+        position -= pool.usableByVersion.contains(share.version) ? share.weight : 0;
+        if (position < 0) {
+            return share.version;
         }
     }
     return {};
@@ -127,7 +127,7 @@
         return nullptr;
     }
     const SteadyTime now = this->clock.now();
-    this->renew(*pool, now);
+    this->refresh(*pool, now);
     const std::string version = this->versionFor(*pool, query);
     const auto ofVersion = pool->usableByVersion.find(version);
     if (!query.version.empty() && ofVersion == pool->usableByVersion.end()) {
@@ -136,27 +136,27 @@
     const bool anyVersion = version.empty() || ofVersion == pool->usableByVersion.end();
     const Draw draw{*pool, anyVersion ? pool->usable : ofVersion->second, query, now};
     if (query.prefix != 0) {
-        if (Replica *const replica = this->byPrefix(draw, anyVersion ? std::string() : version)) {
+        if (Replica *const replica = this->selectByPrefix(draw, anyVersion ? std::string() : version)) {
             return replica;
         }
     }
-    return this->cheaperOfTwo(draw);
+    return this->selectCheaperOfTwo(draw);
 }
 
-Replica *ReplicaSelector::byPrefix(const Draw &draw, const std::string &version) const
+Replica *ReplicaSelector::selectByPrefix(const Draw &draw, const std::string &version) const
 {
-    return draw.pool.ring.walk(draw.query.prefix, mostPoints, [&](const Replica &replica) {
+    return draw.pool.ring.walk(draw.query.prefix, maxRingPoints, [&](const Replica &replica) {
         const bool isOfVersion = version.empty() || replica.version == version;
-        return isOfVersion && isGood(replica, draw.query) && this->hasRoom(replica, draw);
+        return isOfVersion && isPreferred(replica, draw.query) && this->hasCapacity(replica, draw);
     });
 }
 
-bool ReplicaSelector::hasRoom(const Replica &replica, const Draw &draw) const
+bool ReplicaSelector::hasCapacity(const Replica &replica, const Draw &draw) const
 {
     const FleetSettings &fleet = this->settings->fleet;
-    const double onePlace = 1 / std::max(1.0, static_cast<double>(replica.capacity));
-    const double busy = busyness(replica, draw.pool.means, 1, draw.now, fleet);
-    return busy <= fleet.prefixLoadBound * (draw.pool.means.busyness + onePlace);
+    const double oneSlot = 1 / std::max(1.0, static_cast<double>(replica.capacity));
+    const double load = utilization(replica, draw.pool.means, 1, draw.now, fleet);
+    return load <= fleet.prefixLoadBound * (draw.pool.means.utilization + oneSlot);
 }
 
 double ReplicaSelector::cost(const Replica &replica, const Draw &draw) const
@@ -164,37 +164,37 @@
     return replicaCost(replica, draw.pool.means, draw.query.ownDomain, draw.query.prefix, draw.now, this->settings->fleet);
 }
 
-Replica *ReplicaSelector::cheaperOfTwo(const Draw &draw)
+Replica *ReplicaSelector::selectCheaperOfTwo(const Draw &draw)
 {
-    Replica *const first = this->drawOne(draw, nullptr);
+    Replica *const first = this->drawCandidate(draw, nullptr);
     if (first == nullptr) {
-        return this->lastResort(draw);
+        return this->selectFallback(draw);
     }
-    Replica *const second = this->drawOne(draw, first);
+    Replica *const second = this->drawCandidate(draw, first);
     return second == nullptr || this->cost(*first, draw) <= this->cost(*second, draw) ? first : second;
 }
 
-Replica *ReplicaSelector::drawOne(const Draw &draw, const Replica *other)
+Replica *ReplicaSelector::drawCandidate(const Draw &draw, const Replica *other)
 {
     if (draw.candidates.empty()) {
         return nullptr;
     }
-    std::uniform_int_distribution<std::size_t> place(0, draw.candidates.size() - 1);
-    for (int tries = 0; tries < mostDraws; ++tries) {
-        Replica *const replica = draw.candidates[place(this->random)];
-        if (replica != other && isGood(*replica, draw.query)) {
+    std::uniform_int_distribution<std::size_t> position(0, draw.candidates.size() - 1);
+    for (int tries = 0; tries < maxDraws; ++tries) {
+        Replica *const replica = draw.candidates[position(this->random)];
+        if (replica != other && isPreferred(*replica, draw.query)) {
             return replica;
         }
     }
     return nullptr;
 }
 
-Replica *ReplicaSelector::lastResort(const Draw &draw)
+Replica *ReplicaSelector::selectFallback(const Draw &draw)
 {
-    // Few can serve, so all are looked at: those against which nothing speaks first, then those in the domain that just
-    // failed, then those that were ejected. A try there may fail; refusing without one is sure to.
+    // Few replicas can serve, so all are checked, in this order: preferred ones, those in the failure domain that just
+    // failed, ejected ones. An attempt there may fail, but refusing the request fails it for certain.
     const auto rank = [&draw](const Replica &replica) {
-        return isGood(replica, draw.query) ? 0 : replica.ejection.isEjected ? 2 : 1;
+        return isPreferred(replica, draw.query) ? 0 : replica.ejection.isEjected ? 2 : 1;
     };
     std::vector<Replica *> best;
     int bestRank = 3;
@@ -212,9 +212,9 @@
     if (best.empty()) {
         return nullptr;
     }
-    std::uniform_int_distribution<std::size_t> place(0, best.size() - 1);
-    Replica *const first = best[place(this->random)];
-    Replica *const second = best[place(this->random)];
+    std::uniform_int_distribution<std::size_t> position(0, best.size() - 1);
+    Replica *const first = best[position(this->random)];
+    Replica *const second = best[position(this->random)];
     return this->cost(*first, draw) <= this->cost(*second, draw) ? first : second;
 }
 
--- a/Libraries/LibRouting/ReplicaSelector.h
+++ b/Libraries/LibRouting/ReplicaSelector.h
@@ -14,24 +14,24 @@
 namespace Dogwoodkeel
 {
 
-/** What a choice of a replica has to respect. */
+/** Constraints and preferences for the selection of a replica. */
 struct SelectionQuery
 {
-    /** Where the choosing node is: a replica there is a little better. */
+    /** The selecting node's failure domain; replicas in it are slightly preferred. */
     FailureDomain ownDomain;
     /** Replicas already tried for this request. */
     std::vector<EndpointName> avoid;
-    /** The failure domain that just failed it: used only if no other can serve. */
+    /** The failure domain in which the request just failed; used only if no other can serve. */
     FailureDomain avoidDomain;
-    /** Key of the prompt's first bytes, for replicas that have them in their cache; 0 for none. */
+    /** Key of the prompt's first bytes, used to select a replica that has them in its cache; 0 for none. */
     std::uint64_t prefix = 0;
-    /** The model version it has to be; empty: by the rollout's weights. */
+    /** The required model version; if empty, selected by the rollout's weights. */
     std::string version;
-    /** The adapter that has to be loaded; empty for none. */
+    /** The adapter that must be loaded; empty for none. */
     std::string adapter;
 };
 
-/** A model version's part in a gradual rollout. */
+/** A model version's weight in a gradual rollout. */
 struct VersionWeight
 {
     std::string version;
@@ -39,11 +39,12 @@
 };
 
 /**
- * Chooses replicas: the one that has the prompt's prefix, unless it is too full; otherwise the cheaper of two drawn at
- * random (Mitzenmacher, 2001).
+ * Selects replicas: the one to which the prompt's prefix is assigned, unless its load is too high; otherwise the
+ * cheaper of two drawn at random (Mitzenmacher, 2001).
  *
- * A choice looks at a few replicas only. What needs a look at all of a pool (means, ejections) is renewed at intervals.
- * The load bound on the prefix (Mirrokni, Thorup, Zadimoghaddam, 2018) keeps a popular prefix from filling one replica.
+ * A selection examines only a few replicas. Data that depends on the whole pool (means, ejections) is refreshed at
+ * intervals. The load bound on prefix affinity (Mirrokni, Thorup, Zadimoghaddam, 2018) prevents a popular prefix from
+ * overloading one replica.
  */
 class ReplicaSelector
 {
@@ -52,15 +53,15 @@
 
     /**
      * @param serves the model or plain service
-     * @param query what to respect
-     * @return the choice, or null if no replica is eligible
+     * @param query constraints and preferences
+     * @return the selected replica, or null if none is eligible
      */
     Replica *select(const std::string &serves, const SelectionQuery &query);
 
     /**
-     * Set the parts that versions of a model get of the requests that name none. A version that is not listed gets
-     * none while a listed one can serve.
-     * @param weights empty: the versions are not told apart
+     * Sets how requests that name no version are distributed over a model's versions. An unlisted version gets none as
+     * long as a listed one can serve.
+     * @param weights empty: versions are not distinguished
      */
     void setRollout(const std::string &model, std::vector<VersionWeight> weights);
 
@@ -70,18 +71,18 @@
         Pool(std::vector<Replica *> replicas, std::uint64_t tableVersion);
 
         std::vector<Replica *> all;
-        /** Of the table it was made from. */
+        /** Version of the replica table that the pool was built from. */
         std::uint64_t tableVersion;
-        /** Not leaving and not ejected, as of the last renewal. */
+        /** Replicas that were neither leaving nor ejected at the last refresh. */
         std::vector<Replica *> usable;
         std::unordered_map<std::string, std::vector<Replica *>> usableByVersion;
         PrefixRing ring;
         PoolMeans means;
         std::vector<VersionWeight> rollout;
-        SteadyTime renewed{};
+        SteadyTime lastRefresh{};
     };
 
-    /** Drawn from for one choice. */
+    /** Input of one selection. */
     struct Draw
     {
         Pool &pool;
@@ -91,13 +92,13 @@
     };
 
     Pool *poolOf(const std::string &serves);
-    void renew(Pool &pool, SteadyTime now);
+    void refresh(Pool &pool, SteadyTime now);
     std::string versionFor(const Pool &pool, const SelectionQuery &query);
-    Replica *byPrefix(const Draw &draw, const std::string &version) const;
-    bool hasRoom(const Replica &replica, const Draw &draw) const;
-    Replica *cheaperOfTwo(const Draw &draw);
-    Replica *drawOne(const Draw &draw, const Replica *other);
-    Replica *lastResort(const Draw &draw);
+    Replica *selectByPrefix(const Draw &draw, const std::string &version) const;
+    bool hasCapacity(const Replica &replica, const Draw &draw) const;
+    Replica *selectCheaperOfTwo(const Draw &draw);
+    Replica *drawCandidate(const Draw &draw, const Replica *other);
+    Replica *selectFallback(const Draw &draw);
     double cost(const Replica &replica, const Draw &draw) const;
 
     const Clock &clock;
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -10,39 +10,46 @@
 {
 
 /**
- * Bounds the retries of a tenant and towards an endpoint. Without it, an outage turns each request into as many attempts
- * as are allowed, which keeps the endpoints that come back from coming back.
+ * Limits the retries per tenant and per endpoint. Without it, an outage multiplies each request by the number of
+ * allowed attempts, which prevents recovering endpoints from becoming available.
  *
- * A success pays for a share of a retry, so that retries stay a share of the traffic that works; a small allowance by
- * time serves tenants with little traffic. In a total outage nothing succeeds, and retries fall to that allowance.
+ * Each success adds a fraction of a retry, so that retries remain a fixed share of the successful traffic. A small
+ * allowance per second covers tenants with little traffic. In a total outage nothing succeeds, and retries fall to that
+ * allowance.
  */
 class RetryBudget
 {
 public:
-    /** Sizes. */
+    /** Rates and sizes of the token buckets. */
     struct Options
     {
-        /** Retries that one success pays for. */
+        /** Retries that each success adds. */
         double perSuccess = 0.2;
-        /** Retries a second that are free. */
+        /** Retries a second that are added regardless of successes. */
         double perSecond = 1;
-        /** Retries that may be saved up: as many requests of one tenant as a node may lose with one endpoint. */
+        /**
+         * Maximum number of accumulated retries: the requests of one tenant that a node may lose together with one
+         * endpoint.
+         */
         double burst = 20;
-        /** Buckets kept at most; past it the whole map starts anew, which errs by one full bucket for each. */
+        /**
+         * Maximum number of buckets. Beyond it the whole map is cleared, which grants each tenant or endpoint one extra
+         * full bucket.
+         */
         std::size_t buckets = 100000;
     };
 
     RetryBudget(const Clock &clock, Options options);
 
-    /** Other sizes from now on; what was saved up stays, up to the new bound. */
+    /** Replaces the options; accumulated retries remain, up to the new maximum. */
     void setOptions(const Options &options);
 
-    /** An attempt succeeded. */
+    /** Records a successful attempt. */
     void recordSuccess(const WorkspaceName &tenant, const EndpointName &endpoint);
 
     /**
-     * Take a retry out of both budgets, or out of none.
-     * @param endpoint where the retry is to go
+     * Consumes a retry from both budgets, or from none.
+     * @param endpoint the endpoint that the retry is sent to
      * @return whether the retry may be made
      */
     bool tryConsume(const WorkspaceName &tenant, const EndpointName &endpoint);
--- a/Libraries/LibRouting/TenantLimits.cpp
+++ b/Libraries/LibRouting/TenantLimits.cpp
@@ -8,63 +8,64 @@
 namespace
 {
 
-/** A demand is told once it is this much of an even share: below, the even share does. */
-constexpr double tellFrom = 0.5;
-/** How long to come back after, when it is not known which of the running requests ends first. */
-constexpr std::chrono::milliseconds concurrencyPause{1000};
+/** Share of the even share from which a demand is reported. Below it the even share is sufficient. */
+constexpr double reportThreshold = 0.5;
+/** Retry delay when the concurrency limit is reached, because it is unknown which running request ends first. */
+constexpr std::chrono::milliseconds concurrencyRetryAfter{1000};
 
-/** @return the most that each may get so that all together get no more than there is (max-min fairness). */
-double fairLevel(std::vector<double> wanted, double available)
+/** @return the highest equal bound under which the total does not exceed what is available (max-min fairness) */
+double maxMinFairLevel(std::vector<double> wanted, double available)
 {
     std::ranges::sort(wanted);
-    double left = available;
+    double remaining = available;
     for (std::size_t i = 0; i < wanted.size(); ++i) {
-        const double even = left / static_cast<double>(wanted.size() - i);
+        const double even = remaining / static_cast<double>(wanted.size() - i);
         if (wanted[i] >= even) {
             return even;
         }
-        left -= wanted[i];
+        remaining -= wanted[i];
     }
     return available;
 }
 
-double partOf(const std::vector<double> &wanted, double own, double limit)
+double shareOfDemand(const std::vector<double> &wanted, double own, double limit)
 {
     double sum = 0;
     for (const double one : wanted) {
         sum += one;
     }
     const double spare = std::max(0.0, limit - sum) / static_cast<double>(wanted.size());
-    return std::min(own, fairLevel(wanted, limit)) + spare;
+    return std::min(own, maxMinFairLevel(wanted, limit)) + spare;
 }
 
 } // namespace
 
-LimitSplitter::LimitSplitter(const Clock &clock, std::chrono::milliseconds memory) : clock(clock), memory(memory)
+LimitSplitter::LimitSplitter(const Clock &clock, std::chrono::milliseconds demandLifetime)
+    : clock(clock), demandLifetime(demandLifetime)
 {
 }
 
 RequestLimit LimitSplitter::split(SessionNumber node, const TenantDemand &demand, const RequestLimit &limit)
 {
     const SteadyTime now = this->clock.now();
-    // What other tenants' nodes no longer ask for goes as new demands come, one look at the map for each.
-    std::map<SessionNumber, Known> &known = this->demands[{demand.tenant, demand.kind}];
-    known[node] = {demand.wanted, now};
-    std::erase_if(known, [&](const auto &entry) {
-        return now - entry.second.at > this->memory;
+    // Expired demands for this tenant's limit are removed whenever a new one arrives, in one pass over the map.
+    std::map<SessionNumber, NodeDemand> &nodeDemands = this->demands[{demand.tenant, demand.kind}];
+    nodeDemands[node] = {demand.wanted, now};
+    std::erase_if(nodeDemands, [&](const auto &entry) {
+        return now - entry.second.at > this->demandLifetime;
     });
     std::vector<double> rates;
-    std::vector<double> places;
-    for (const auto &[session, one] : known) {
+    std::vector<double> concurrencies;
+    for (const auto &[session, one] : nodeDemands) {
         rates.push_back(one.wanted.perSecond);
-        places.push_back(one.wanted.concurrency);
+        concurrencies.push_back(one.wanted.concurrency);
     }
-    return {partOf(rates, demand.wanted.perSecond, limit.perSecond),
-            partOf(places, demand.wanted.concurrency, limit.concurrency)};
+    return {shareOfDemand(rates, demand.wanted.perSecond, limit.perSecond),
+            shareOfDemand(concurrencies, demand.wanted.concurrency, limit.concurrency)};
 }
 
-TenantLimits::TenantLimits(const Clock &clock, std::chrono::milliseconds grantLife, LimitOf limitOf)
-    : clock(clock), grantLife(grantLife), limitOf(std::move(limitOf)), reported(clock.now())
+TenantLimits::TenantLimits(const Clock &clock, std::chrono::milliseconds grantLifetime, LimitOf limitOf)
+    : clock(clock), grantLifetime(grantLifetime), limitOf(std::move(limitOf)), lastReport(clock.now())
 {
 }
 
@@ -75,10 +76,11 @@
 
 RequestLimit TenantLimits::shareOf(const Use &use, const RequestLimit &limit) const
 {
-    const bool isGranted = use.grantedAt && this->clock.now() - *use.grantedAt <= this->grantLife;
+    const bool isGranted = use.grantedAt && this->clock.now() - *use.grantedAt <= this->grantLifetime;
     const RequestLimit even{limit.perSecond / this->nodes, limit.concurrency / this->nodes};
     const RequestLimit share = isGranted ? use.granted : even;
-    // With more nodes than the limit has places, each still takes one request: a tenant is never shut out for good.
+    // If there are more nodes than allowed concurrent requests, each node still accepts one, so that a tenant is never
+    // blocked completely.
     return {share.perSecond, std::max(1.0, share.concurrency)};
 }
 
@@ -91,11 +93,11 @@
     Use &use = this->uses[{tenant, kind}];
     const RequestLimit share = this->shareOf(use, *limit);
     const SteadyTime now = this->clock.now();
-    const double most = std::max(1.0, share.perSecond);
-    const std::chrono::duration<double> passed = now - use.filled;
-    use.tokens = use.isNew ? most : std::min(most, use.tokens + passed.count() * share.perSecond);
+    const double burst = std::max(1.0, share.perSecond);
+    const std::chrono::duration<double> passed = now - use.lastRefill;
+    use.tokens = use.isNew ? burst : std::min(burst, use.tokens + passed.count() * share.perSecond);
     use.isNew = false;
-    use.filled = now;
+    use.lastRefill = now;
     ++use.arrived;
     use.peak = std::max(use.peak, use.inUse + 1);
     if (use.tokens < 1) {
@@ -104,7 +106,7 @@
     }
     if (use.inUse + 1 > share.concurrency) {
         ++use.peak;
-        return concurrencyPause;
+        return concurrencyRetryAfter;
     }
     --use.tokens;
     ++use.inUse;
@@ -131,26 +133,26 @@
 std::vector<TenantDemand> TenantLimits::demands()
 {
     const SteadyTime now = this->clock.now();
-    const double seconds = std::max(0.001, std::chrono::duration<double>(now - this->reported).count());
-    this->reported = now;
-    std::vector<TenantDemand> told;
+    const double seconds = std::max(0.001, std::chrono::duration<double>(now - this->lastReport).count());
+    this->lastReport = now;
+    std::vector<TenantDemand> nearLimit;
     for (auto &[key, use] : this->uses) {
         const auto limit = this->limitOf(key.first, key.second);
         const RequestLimit wanted{use.arrived / seconds, use.peak};
         const bool isNear = limit
-            && (wanted.perSecond > tellFrom * limit->perSecond / this->nodes
-                || wanted.concurrency > tellFrom * limit->concurrency / this->nodes);
+            && (wanted.perSecond > reportThreshold * limit->perSecond / this->nodes
+                || wanted.concurrency > reportThreshold * limit->concurrency / this->nodes);
         if (isNear) {
-            told.push_back({key.first, key.second, wanted});
+            nearLimit.push_back({key.first, key.second, wanted});
         }
         use.arrived = 0;
         use.peak = use.inUse;
     }
     std::erase_if(this->uses, [&](const auto &entry) {
         const Use &use = entry.second;
-        return use.inUse == 0 && now - use.filled > this->grantLife;
+        return use.inUse == 0 && now - use.lastRefill > this->grantLifetime;
     });
-    return told;
+    return nearLimit;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibRouting/TenantLimits.h
+++ b/Libraries/LibRouting/TenantLimits.h
@@ -15,20 +15,20 @@
 namespace Dogwoodkeel
 {
 
-/** What kind of request a limit is for. */
+/** Kind of request that a limit applies to. */
 enum class LimitClass {
     Online,
     Lookup,
 };
 
-/** A limit, or a part of one, or the demand for one. */
+/** A limit, a share of a limit, or the demand for one. */
 struct RequestLimit
 {
     double perSecond = 0;
     double concurrency = 0;
 };
 
-/** How much of a tenant's limit a node could use. */
+/** The part of a tenant's limit that a node could use. */
 struct TenantDemand
 {
     WorkspaceName tenant;
@@ -37,20 +37,21 @@
 };
 
 /**
- * Splits limits over the nodes that want them: each gets what it wants while there is enough, else as much as the others
- * (max-min fairness); what nobody wants is spread over those that asked, so that they can grow at once.
+ * Splits limits over the nodes that demand them. Each node gets its full demand while the limit suffices, otherwise the
+ * shares follow max-min fairness. Capacity that no node demands is divided equally among the demanding nodes, so that
+ * they can grow at once.
  */
 class LimitSplitter
 {
 public:
-    /** @param memory how long a node's demand counts */
-    LimitSplitter(const Clock &clock, std::chrono::milliseconds memory);
+    /** @param demandLifetime how long a node's demand remains valid */
+    LimitSplitter(const Clock &clock, std::chrono::milliseconds demandLifetime);
 
-    /** @return the part of the limit that the asking node may use. */
+    /** @return the share of the limit that the requesting node may use */
     RequestLimit split(SessionNumber node, const TenantDemand &demand, const RequestLimit &limit);
 
 private:
-    struct Known
+    struct NodeDemand
     {
         RequestLimit wanted;
         SteadyTime at{};
@@ -59,50 +60,51 @@
     using Key = std::pair<WorkspaceName, LimitClass>;
 
     const Clock &clock;
-    std::chrono::milliseconds memory;
-    std::map<Key, std::map<SessionNumber, Known>> demands;
+    std::chrono::milliseconds demandLifetime;
+    std::map<Key, std::map<SessionNumber, NodeDemand>> demands;
 };
 
 /**
- * Enforces limits of tenants at one node: its share of each, which is the limit by the number of nodes until the node
- * that splits this tenant's limits has granted another.
+ * Enforces the limits of tenants at one node. The node's share is the limit divided by the number of nodes, until the
+ * node that splits this tenant's limits has granted another share.
  */
 class TenantLimits
 {
 public:
-    /** @return a tenant's limits in the whole site, or nothing if it has none. */
+    /** @return a tenant's limits for the whole site, or nothing if it has none */
     using LimitOf = std::function<std::optional<RequestLimit>(const WorkspaceName &tenant, LimitClass kind)>;
 
-    /** @param grantLife how long a granted share counts */
-    TenantLimits(const Clock &clock, std::chrono::milliseconds grantLife, LimitOf limitOf);
+    /** @param grantLifetime how long a granted share remains valid */
+    TenantLimits(const Clock &clock, std::chrono::milliseconds grantLifetime, LimitOf limitOf);
 
     void setNodes(std::size_t count);
 
     /**
-     * Take a request in, if the share allows.
-     * @return nothing if it is taken, to be given back by release(); else when there is room again
+     * Admits a request if the share allows it.
+     * @return nothing if the request was admitted, which requires a later release(); otherwise the time after which to
+     * retry
      */
     std::optional<std::chrono::milliseconds> admit(const WorkspaceName &tenant, LimitClass kind);
 
-    /** A request that was taken in is over. */
+    /** Records the end of an admitted request. */
     void release(const WorkspaceName &tenant, LimitClass kind);
 
-    /** The share that was granted to this node. */
+    /** Sets the share that was granted to this node. */
     void grant(const WorkspaceName &tenant, LimitClass kind, const RequestLimit &share);
 
-    /** @return what this node could use since the last call, of limits that it comes near to. */
+    /** Returns the demand of this node since the last call, for each limit that it is close to. */
     std::vector<TenantDemand> demands();
 
 private:
     struct Use
     {
         double inUse = 0;
-        /** Since the last report: the most in use, and what was refused on top. */
+        /** Maximum number in use since the last report, plus requests refused at that maximum. */
         double peak = 0;
         double arrived = 0;
-        /** Requests that may come at once. */
+        /** Requests that may be admitted at once. */
         double tokens = 0;
-        SteadyTime filled{};
+        SteadyTime lastRefill{};
         bool isNew = true;
         RequestLimit granted;
         std::optional<SteadyTime> grantedAt;
@@ -113,10 +115,10 @@
     RequestLimit shareOf(const Use &use, const RequestLimit &limit) const;
 
     const Clock &clock;
-    std::chrono::milliseconds grantLife;
+    std::chrono::milliseconds grantLifetime;
     LimitOf limitOf;
     double nodes = 1;
-    SteadyTime reported;
+    SteadyTime lastReport;
     std::map<Key, Use> uses;
 };
 
--- a/Tests/LibFleet/TestEngineEvent.cpp
+++ b/Tests/LibFleet/TestEngineEvent.cpp
@@ -15,7 +15,7 @@
     CHECK(whole->finishReason == "stop");
 }
 
-TEST_CASE("text elsewhere in an event is not taken for the answer")
+TEST_CASE("text outside the first choice of an event is ignored")
 {
     const auto event = EngineEvent::parse(
         R"({"text":"no","usage":{"x":{"content":"no"}},"choices":[{"logprobs":{"content":"no"},"text":"yes"},{"text":"second"}],"extra":[{"text":"no"}]})");
@@ -23,7 +23,7 @@
     CHECK(event->text == "yes");
 }
 
-TEST_CASE("an event without a choice, or that is no JSON, is nothing")
+TEST_CASE("an event without a choice, or with invalid JSON, is rejected")
 {
     CHECK_FALSE(EngineEvent::parse(R"({"choices":[]})").has_value());
     CHECK_FALSE(EngineEvent::parse(R"({"error":{"message":"x"}})").has_value());
@@ -31,7 +31,7 @@
     CHECK_FALSE(EngineEvent::parse("").has_value());
 }
 
-TEST_CASE("any text survives, and any bytes are taken without harm")
+TEST_CASE("any text is preserved, and arbitrary bytes are parsed safely")
 {
     CHECK(rc::check([](const std::vector<std::uint16_t> &letters) {
         std::string text;
--- a/Tests/LibFleet/TestFleetState.cpp
+++ b/Tests/LibFleet/TestFleetState.cpp
@@ -54,10 +54,11 @@
 
 } // namespace
 
-TEST_CASE("a late load report counts the others' requests, not this node's burst since")
+TEST_CASE("a delayed load report is compared with this node's count at that time, not with its later burst")
 {
-    // The report says 5 as of a second ago, when this node had 2 there. It has since sent 4 more. Taking its 6 of now
-    // off the 5 would say that the others have none, and the next request would pile on a replica with 9.
+    // The report states 5 requests a second ago, when this node had 2 there. It has since sent 4 more. Subtracting its
+    // current 6 from the 5 would estimate zero requests of the other nodes, and further requests would be sent to a
+    // replica that has 9.
     Fixture fixture;
     fixture.state->begin(fixture.replica());
     fixture.state->begin(fixture.replica());
@@ -66,11 +67,11 @@
         fixture.state->begin(fixture.replica());
     }
     fixture.state->observe(fixture.report(5, 900ms));
-    CHECK(fixture.replica().others.inFlight == doctest::Approx(3));
+    CHECK(fixture.replica().otherNodes.inFlight == doctest::Approx(3));
     CHECK(fixture.estimate(3) == doctest::Approx(9));
 }
 
-TEST_CASE("a load report fades as the requests it counted end, into the average and then into the pool's mean")
+TEST_CASE("the estimate moves from the last load report to the average of reports and then to the pool's mean")
 {
     Fixture fixture;
     for (int i = 0; i < 200; ++i) {
@@ -89,7 +90,7 @@
     CHECK(fixture.estimate(2) == doctest::Approx(2).epsilon(0.01));
 }
 
-TEST_CASE("how long requests last is learnt from how many there are and how many end")
+TEST_CASE("the mean request lifetime is derived from the requests in flight and the requests that end")
 {
     Fixture fixture;
     for (int i = 0; i < 50; ++i) {
@@ -107,18 +108,18 @@
     Fixture fixture;
     fixture.state->observe(fixture.report(8, 100ms));
     fixture.state->observe(fixture.report(1, 300ms));
-    CHECK(fixture.replica().others.inFlight == doctest::Approx(8));
+    CHECK(fixture.replica().otherNodes.inFlight == doctest::Approx(8));
 }
 
-TEST_CASE("leaving is sticky: a lagging VM list or an old report does not bring the endpoint back")
+TEST_CASE("a lagging VM list or a delayed report does not clear the leaving state")
 {
-    // The endpoint says itself that it is about to go. The platform's list still has it live, and a report that was
-    // delayed on its way says the same. Believing either would send it requests that are cut when it goes.
+    // The endpoint reports that it is leaving. The platform's list still shows it as live, and so does a delayed
+    // report. Accepting either would send it requests that are cut off when it stops.
     Fixture fixture;
-    ReplicaReport word = fixture.report(0, 0ms);
-    word.isLeaving = true;
-    CHECK(fixture.state->observe(word));
-    CHECK_FALSE(fixture.state->observe(word));
+    ReplicaReport leavingReport = fixture.report(0, 0ms);
+    leavingReport.isLeaving = true;
+    CHECK(fixture.state->observe(leavingReport));
+    CHECK_FALSE(fixture.state->observe(leavingReport));
     fixture.state->observe({{VmName("vm-a"), false}});
     fixture.clock.advance(1000ms);
     fixture.state->observe(fixture.report(0, 0ms));
@@ -130,7 +131,7 @@
     CHECK(fixture.replica().rampStart == fixture.clock.now());
 }
 
-TEST_CASE("news of a former start's leaving, late by gossip, does not touch the next start")
+TEST_CASE("a delayed leaving notice of an earlier instance does not affect the next instance")
 {
     Fixture fixture;
     fixture.state->observe(fixture.report(0, 0ms));
@@ -141,7 +142,7 @@
     CHECK_FALSE(fixture.replica().isLeaving);
 }
 
-TEST_CASE("an endpoint that tells no instance is back when its VM left the list and came again")
+TEST_CASE("an endpoint without an instance id returns when its VM is removed from the list and listed again")
 {
     Fixture fixture;
     CHECK(fixture.state->observe({{VmName("vm-a"), true}}).size() == 1);
@@ -155,8 +156,8 @@
 
 TEST_CASE("a gap in the cache events lowers the trust in hints, and events without gaps restore it")
 {
-    // The events lost may have been evictions. Trusting the hints as before would send requests where their prefix is
-    // gone; forgetting them all would give up the cache for one lost event.
+    // The lost events may have been evictions. Full trust in the hints would send requests to replicas that no longer
+    // cache their prefix; dropping all hints would lose the benefit of the cache because of one lost event.
     const std::string block(prefixBlockBytes, 'x');
     const std::string other(prefixBlockBytes, 'y');
     PrefixHints hints;
@@ -173,7 +174,7 @@
     CHECK(hints.confidence(prefixKey(block + other, 1000)) == 0);
 }
 
-TEST_CASE("an endpoint's next start has an empty cache")
+TEST_CASE("a new instance of an endpoint starts with an empty cache")
 {
     Fixture fixture;
     const std::string block(prefixBlockBytes, 'x');
--- a/Tests/LibFleet/TestReplicaTable.cpp
+++ b/Tests/LibFleet/TestReplicaTable.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("a new configuration keeps what is known of the replicas that stay")
+TEST_CASE("a new configuration keeps the state of replicas that remain")
 {
     ReplicaTable table({endpoint("a", "127.0.0.1:1", "m"), endpoint("b", "127.0.0.1:2", "m")});
     Replica *const kept = table.find(EndpointName("a"));
@@ -35,10 +35,10 @@
     CHECK(table.find(EndpointName("b")) == nullptr);
 }
 
-TEST_CASE("a replica that is taken out stays valid until its last request has ended")
+TEST_CASE("a removed replica stays valid until its last request has ended")
 {
-    // A caller's stream runs at an endpoint while an operator takes the endpoint out of the configuration. The stream
-    // holds a pointer to the replica and counts itself off at its end; freed memory there would corrupt the entry.
+    // A stream runs at an endpoint while an operator removes the endpoint from the configuration. The stream holds a
+    // pointer to the replica and decrements its count at the end, which would corrupt memory if the replica were freed.
     ReplicaTable table({endpoint("a", "127.0.0.1:1", "m")});
     Replica *const removed = table.find(EndpointName("a"));
     removed->inFlight = 1;
@@ -64,7 +64,7 @@
     CHECK(table.all().size() == 1);
 }
 
-TEST_CASE("an endpoint of another role is known, and gets no requests of callers")
+TEST_CASE("an endpoint of another role can be found but serves no requests of callers")
 {
     EndpointSettings spare = endpoint("b", "127.0.0.1:2", "m");
     spare.role = "prefill";
--- a/Tests/LibFleet/TestReportSubscriptions.cpp
+++ b/Tests/LibFleet/TestReportSubscriptions.cpp
@@ -6,7 +6,7 @@
 using namespace Dogwoodkeel;
 using namespace std::chrono_literals;
 
-TEST_CASE("reports come no closer than their taker wants, and end when it asks no more")
+TEST_CASE("reports respect the interval of the subscriber and end when the subscription expires")
 {
     ManualClock clock;
     ReportSubscriptions subscriptions;
@@ -22,7 +22,7 @@
     CHECK(subscriptions.due(clock.now()).empty());
 }
 
-TEST_CASE("the more replicas a node uses, the rarer their reports, so that the bytes stay the same")
+TEST_CASE("the report interval grows with the number of replicas, so that the traffic stays bounded")
 {
     CHECK(ReportSubscriptions::interval(12, 4096, 500ms) == 500ms);
     CHECK(ReportSubscriptions::interval(1800, 4096, 500ms) > 40s);
--- a/Tests/LibRouting/TestDeadlineQueue.cpp
+++ b/Tests/LibRouting/TestDeadlineQueue.cpp
@@ -9,7 +9,7 @@
 using namespace Dogwoodkeel;
 using std::chrono::milliseconds;
 
-TEST_CASE("the most urgent request gets the next place")
+TEST_CASE("the request with the earliest deadline is removed first")
 {
     ManualClock clock;
     DeadlineQueue queue(clock, {});
@@ -22,7 +22,7 @@
     CHECK(queue.take() == std::nullopt);
 }
 
-TEST_CASE("a full queue lets the request with the most time go")
+TEST_CASE("a full queue drops the request with the latest deadline")
 {
     ManualClock clock;
     DeadlineQueue queue(clock, {.maxSize = 2});
@@ -34,9 +34,9 @@
     CHECK(urgent.displaced == 1);
 }
 
-TEST_CASE("a request that would be late is refused when it comes, with the time after which there is room")
+TEST_CASE("a request that would miss its deadline is refused on arrival, and the expected wait is known")
 {
-    // 100 places a second; 20 wait. A request with 100 ms left would get its place in 200 ms.
+    // 100 placements a second with 20 requests waiting: the next request waits about 200 ms.
     ManualClock clock;
     DeadlineQueue queue(clock, {});
     for (int i = 0; i < 1000; ++i) {
@@ -54,7 +54,7 @@
     CHECK_FALSE(queue.offer(23, clock.now() + milliseconds(15)).isQueued);
 }
 
-TEST_CASE("requests that can no longer make it are taken out when the replicas get slower")
+TEST_CASE("requests that can no longer meet their deadlines are removed when the replicas get slower")
 {
     ManualClock clock;
     DeadlineQueue queue(clock, {});
@@ -77,7 +77,7 @@
 namespace
 {
 
-/** One server that takes 10 ms a request, offered a number of requests a second with a deadline of 200 ms. */
+/** Simulates one server with 10 ms a request and a deadline of 200 ms. @return the requests that finish in time */
 int finishedInTime(int perSecond, bool isShedding)
 {
     ManualClock clock;
@@ -87,10 +87,10 @@
     constexpr milliseconds service{10};
     SteadyTime idleFrom = clock.now();
     int finished = 0;
-    int owed = 0;
+    int arrivalCredit = 0;
     DeadlineQueue::Ticket ticket = 0;
     for (int tick = 0; tick < 10000; ++tick) {
-        for (owed += perSecond; owed >= 1000; owed -= 1000) {
+        for (arrivalCredit += perSecond; arrivalCredit >= 1000; arrivalCredit -= 1000) {
             const SteadyTime deadline = clock.now() + milliseconds(200);
             if (!isShedding) {
                 plain.push_back(deadline);
@@ -123,9 +123,9 @@
 
 } // namespace
 
-TEST_CASE("at twice and five times what can be served, nearly all that is served is in time")
+TEST_CASE("at two and five times the capacity, nearly all served requests finish in time")
 {
-    // 10 s at 100 a second. Without shedding the queue grows until each request is late when its turn comes.
+    // 10 s at 100 requests a second. Without shedding the queue grows until every request is late when it is served.
     const int best = 1000;
     CHECK(finishedInTime(90, true) >= 890);
     CHECK(finishedInTime(200, true) >= best * 9 / 10);
--- a/Tests/LibRouting/TestQuarantine.cpp
+++ b/Tests/LibRouting/TestQuarantine.cpp
@@ -20,10 +20,10 @@
 
 } // namespace
 
-TEST_CASE("a request that is sent again after each loss reaches two endpoints and no third")
+TEST_CASE("a request that is resent after each loss reaches at most two endpoints")
 {
-    // The caller sees its request refused instead of a site without endpoints. The first endpoint is lost, the retry
-    // goes to another one and takes that down as well; the caller's resend under a new id has the same content.
+    // The first endpoint is lost, and the retry takes down another one. The caller resends the request under a new id
+    // with the same content; it is refused instead of taking down further endpoints.
     ManualClock clock;
     Quarantine quarantine(clock, {});
     CHECK(quarantine.recordLoss(poison, lossAt("a", "one", clock.now(), clock.now())) == QuarantineStatus::Suspect);
@@ -34,7 +34,7 @@
     CHECK(quarantine.status(poison) == QuarantineStatus::Clear);
 }
 
-TEST_CASE("the same loss told again by other nodes counts once")
+TEST_CASE("a loss reported repeatedly by other nodes counts once")
 {
     ManualClock clock;
     Quarantine quarantine(clock, {});
@@ -55,7 +55,7 @@
     CHECK(quarantine.recordLoss(bystander, lossAt("b", "one", sent, clock.now())) == QuarantineStatus::Suspect);
 }
 
-TEST_CASE("a bystander is cleared by its first success, and a later loss starts from nothing")
+TEST_CASE("a suspected request is cleared by its first success, and a later loss counts as the first")
 {
     ManualClock clock;
     Quarantine quarantine(clock, {});
@@ -65,7 +65,7 @@
     CHECK(quarantine.recordLoss(bystander, lossAt("b", "two", clock.now(), clock.now())) == QuarantineStatus::Suspect);
 }
 
-TEST_CASE("a suspicion ends by itself, and the number of records is bounded")
+TEST_CASE("a suspicion expires, and the number of records is bounded")
 {
     ManualClock clock;
     Quarantine quarantine(clock, {.remembered = 3});
@@ -79,7 +79,7 @@
     CHECK(quarantine.status(ContentFingerprint(19)) == QuarantineStatus::Clear);
 }
 
-TEST_CASE("the content is known again under another length or as a batch item, and not for another model")
+TEST_CASE("the fingerprint is independent of length and batch form but depends on the model")
 {
     const std::string online = R"({"model":"m","prompt":"a trail","stream":true})";
     const std::string item = R"({"prompt":"a trail","max_tokens":5})";
--- a/Tests/LibRouting/TestReplicaSelector.cpp
+++ b/Tests/LibRouting/TestReplicaSelector.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/** A pool in three failure domains, and a node that chooses from it. */
+/** A pool of replicas in three failure domains, and the selector of one node. */
 struct Fixture
 {
     explicit Fixture(std::size_t count)
@@ -29,7 +29,7 @@
         }
         this->table.emplace(this->endpoints);
         this->state.emplace(this->clock, this->handle, *this->table);
-        this->chooser.emplace(this->clock, this->handle, *this->table, this->random);
+        this->selector.emplace(this->clock, this->handle, *this->table, this->random);
     }
 
     Replica &replica(std::size_t index)
@@ -37,19 +37,19 @@
         return *this->table->find(EndpointName("r" + std::to_string(index)));
     }
 
-    Replica *choose(const SelectionQuery &query = {})
+    Replica *select(const SelectionQuery &query = {})
     {
-        return this->chooser->select("m", query);
+        return this->selector->select("m", query);
     }
 
-    /** @return how often each replica was chosen, each choice staying in flight. */
+    /** @return how often each replica was selected; all requests stay in flight */
     std::map<std::string, int> fill(int requests, const SelectionQuery &query = {})
     {
         std::map<std::string, int> counts;
         for (int i = 0; i < requests; ++i) {
-            Replica *const chosen = this->choose(query);
-            this->state->begin(*chosen);
-            ++counts[chosen->name.value()];
+            Replica *const selected = this->select(query);
+            this->state->begin(*selected);
+            ++counts[selected->name.value()];
         }
         return counts;
     }
@@ -76,42 +76,42 @@
     std::mt19937_64 random{7};
     std::optional<ReplicaTable> table;
     std::optional<FleetState> state;
-    std::optional<ReplicaSelector> chooser;
+    std::optional<ReplicaSelector> selector;
 };
 
 } // namespace
 
-TEST_CASE("a leaving replica is not chosen, from the very next choice on")
+TEST_CASE("a leaving replica is excluded from the next selection on")
 {
     Fixture fixture(2);
-    fixture.choose();
+    fixture.select();
     fixture.state->markLeaving(fixture.replica(0));
     for (int i = 0; i < 100; ++i) {
-        CHECK(fixture.choose() == &fixture.replica(1));
+        CHECK(fixture.select() == &fixture.replica(1));
     }
     fixture.state->markLeaving(fixture.replica(1));
-    CHECK(fixture.choose() == nullptr);
+    CHECK(fixture.select() == nullptr);
 }
 
-TEST_CASE("after a failure the other failure domains come first, and the failed one still serves if it is all there is")
+TEST_CASE("after a failure other failure domains are preferred, and the failed one serves only as a fallback")
 {
     Fixture fixture(9);
     SelectionQuery query;
     query.avoid = {EndpointName("r0")};
     query.avoidDomain = FailureDomain("d0");
     for (int i = 0; i < 100; ++i) {
-        CHECK(fixture.choose(query)->failureDomain != query.avoidDomain);
+        CHECK(fixture.select(query)->failureDomain != query.avoidDomain);
     }
     for (const std::size_t index : {1U, 2U, 4U, 5U, 7U, 8U}) {
         fixture.state->markLeaving(fixture.replica(index));
     }
-    Replica *const chosen = fixture.choose(query);
-    REQUIRE(chosen != nullptr);
-    CHECK(chosen->failureDomain == query.avoidDomain);
-    CHECK(chosen->name != EndpointName("r0"));
+    Replica *const selected = fixture.select(query);
+    REQUIRE(selected != nullptr);
+    CHECK(selected->failureDomain == query.avoidDomain);
+    CHECK(selected->name != EndpointName("r0"));
 }
 
-TEST_CASE("an old accelerator that takes twice as long gets about half as many requests")
+TEST_CASE("an accelerator that takes twice as long gets about half as many requests")
 {
     Fixture fixture(6);
     for (std::size_t i = 0; i < 6; ++i) {
@@ -119,106 +119,106 @@
     }
     fixture.clock.advance(100ms);
     std::map<std::string, int> counts = fixture.fill(90);
-    const int young = counts["r0"] + counts["r1"] + counts["r2"];
-    CHECK(young >= 54);
-    CHECK(young <= 66);
+    const int fastTotal = counts["r0"] + counts["r1"] + counts["r2"];
+    CHECK(fastTotal >= 54);
+    CHECK(fastTotal <= 66);
 }
 
-TEST_CASE("requests that share a prefix share a replica until it is too full")
+TEST_CASE("requests with the same prefix go to the same replica until its load bound is reached")
 {
-    // One prompt template is suddenly behind every request. Sending all of them where its prefix is cached would queue
-    // them on one replica while the others idle.
+    // Every request suddenly uses the same prompt template. Sending all of them to the replica that caches its prefix
+    // would queue them there while the other replicas idle.
     Fixture fixture(9);
     SelectionQuery query;
     query.prefix = 42;
-    Replica *const home = fixture.choose(query);
-    fixture.state->begin(*home);
-    fixture.state->end(*home, {AttemptOutcome::Succeeded, {}});
-    CHECK(fixture.choose(query) == home);
+    Replica *const preferred = fixture.select(query);
+    fixture.state->begin(*preferred);
+    fixture.state->end(*preferred, {AttemptOutcome::Succeeded, {}});
+    CHECK(fixture.select(query) == preferred);
     const std::map<std::string, int> counts = fixture.fill(45, query);
-    int most = 0;
+    int maxCount = 0;
     for (const auto &[name, count] : counts) {
-        most = std::max(most, count);
+        maxCount = std::max(maxCount, count);
     }
     CHECK(counts.size() >= 6);
-    CHECK(most <= 8);
+    CHECK(maxCount <= 8);
 }
 
-TEST_CASE("losing a replica moves only the prefixes it had, and spreads them")
+TEST_CASE("the loss of a replica reassigns only its own prefixes, distributed over the others")
 {
     Fixture fixture(9);
-    std::map<std::uint64_t, Replica *> homes;
+    std::map<std::uint64_t, Replica *> assigned;
     for (std::uint64_t i = 1; i <= 400; ++i) {
         SelectionQuery query;
         query.prefix = stableHash(std::to_string(i));
-        homes[query.prefix] = fixture.choose(query);
+        assigned[query.prefix] = fixture.select(query);
     }
     fixture.state->markLeaving(fixture.replica(4));
-    std::set<Replica *> heirs;
-    for (const auto &[prefix, home] : homes) {
+    std::set<Replica *> newReplicas;
+    for (const auto &[prefix, preferred] : assigned) {
         SelectionQuery query;
         query.prefix = prefix;
-        Replica *const now = fixture.choose(query);
-        if (home == &fixture.replica(4)) {
-            heirs.insert(now);
+        Replica *const now = fixture.select(query);
+        if (preferred == &fixture.replica(4)) {
+            newReplicas.insert(now);
         } else {
-            CHECK(now == home);
+            CHECK(now == preferred);
         }
     }
-    CHECK(heirs.size() >= 4);
+    CHECK(newReplicas.size() >= 4);
 }
 
-TEST_CASE("a replica that keeps failing is ejected, for longer each time, and comes back slowly")
+TEST_CASE("a repeatedly failing replica is ejected for increasing times and readmitted with a slow start")
 {
     Fixture fixture(3);
-    fixture.choose();
+    fixture.select();
     fixture.fail(0, 3);
     for (int i = 0; i < 100; ++i) {
-        CHECK(fixture.choose() != &fixture.replica(0));
+        CHECK(fixture.select() != &fixture.replica(0));
     }
     fixture.clock.advance(fixture.settings.ejectTime);
     std::map<std::string, int> counts = fixture.fill(60);
     CHECK(counts["r0"] > 0);
     CHECK(counts["r0"] < counts["r1"]);
 
-    // On probation one failure is enough, and lasts twice as long.
+    // During the slow start one failure is enough, and the ejection lasts twice as long.
     fixture.fail(0, 1);
-    fixture.choose();
+    fixture.select();
     CHECK(fixture.replica(0).ejection.isEjected);
     fixture.clock.advance(fixture.settings.ejectTime);
-    fixture.choose();
+    fixture.select();
     CHECK(fixture.replica(0).ejection.isEjected);
     fixture.clock.advance(fixture.settings.ejectTime);
-    fixture.choose();
+    fixture.select();
     CHECK_FALSE(fixture.replica(0).ejection.isEjected);
 }
 
-TEST_CASE("when all replicas fail, no more than the set share is ejected")
+TEST_CASE("when all replicas fail, no more than the configured share is ejected")
 {
-    // A bad prompt template or a cut link makes every attempt fail. Ejecting one after the other would leave the last
-    // replica with the whole load, which then fails for that reason.
+    // A faulty prompt template or a network failure makes every attempt fail. Ejecting all replicas but one would
+    // direct the whole load to the last one and overload it.
     Fixture fixture(9);
-    fixture.choose();
+    fixture.select();
     for (std::size_t i = 0; i < 9; ++i) {
         fixture.fail(i, 5);
-        fixture.choose();
+        fixture.select();
     }
     int ejected = 0;
     for (const Replica &replica : fixture.table->all()) {
         ejected += replica.ejection.isEjected ? 1 : 0;
     }
     CHECK(ejected == 4);
-    CHECK(fixture.choose() != nullptr);
+    CHECK(fixture.select() != nullptr);
 }
 
-TEST_CASE("the loss of a whole failure domain spreads its load over all the others")
+TEST_CASE("the load of a lost failure domain is distributed over all others")
 {
     Fixture fixture(9);
-    fixture.choose();
+    fixture.select();
     for (const std::size_t index : {0U, 3U, 6U}) {
         fixture.fail(index, 3);
     }
-    fixture.choose();
+    fixture.select();
     std::map<std::string, int> counts = fixture.fill(36);
     CHECK(counts.size() == 6);
     for (const auto &[name, count] : counts) {
@@ -227,7 +227,7 @@
     }
 }
 
-TEST_CASE("versions get their parts of a rollout, and a wish for one or for an adapter is kept")
+TEST_CASE("versions get their rollout weights, and a requested version or adapter is respected")
 {
     Fixture fixture(9);
     for (std::size_t i = 0; i < 9; ++i) {
@@ -235,32 +235,32 @@
     }
     fixture.replica(8).adapters = {"notes"};
     fixture.clock.advance(100ms);
-    fixture.chooser->setRollout("m", {{"1", 90}, {"2", 10}});
+    fixture.selector->setRollout("m", {{"1", 90}, {"2", 10}});
     int second = 0;
     for (int i = 0; i < 1000; ++i) {
-        second += fixture.choose()->version == "2" ? 1 : 0;
+        second += fixture.select()->version == "2" ? 1 : 0;
     }
     CHECK(second > 60);
     CHECK(second < 150);
 
     SelectionQuery query;
     query.version = "2";
-    CHECK(fixture.choose(query)->version == "2");
+    CHECK(fixture.select(query)->version == "2");
     query.version = "3";
-    CHECK(fixture.choose(query) == nullptr);
+    CHECK(fixture.select(query) == nullptr);
     query = {};
     query.adapter = "notes";
-    CHECK(fixture.choose(query) == &fixture.replica(8));
+    CHECK(fixture.select(query) == &fixture.replica(8));
     query.adapter = "other";
-    CHECK(fixture.choose(query) == nullptr);
+    CHECK(fixture.select(query) == nullptr);
 }
 
-TEST_CASE("a replica that a new configuration takes out is not chosen, and one that it adds is")
+TEST_CASE("a replica removed by a new configuration is not selected, and an added one is")
 {
     Fixture fixture(3);
     SelectionQuery query;
     query.prefix = 5;
-    fixture.choose(query);
+    fixture.select(query);
     fixture.endpoints.erase(fixture.endpoints.begin(), fixture.endpoints.begin() + 2);
     fixture.endpoints.push_back(fixture.endpoints.front());
     fixture.endpoints.back().name = "new";
@@ -268,5 +268,5 @@
     const std::map<std::string, int> counts = fixture.fill(20);
     CHECK(counts.size() == 2);
     CHECK(counts.contains("new"));
-    CHECK(fixture.choose(query) != nullptr);
+    CHECK(fixture.select(query) != nullptr);
 }
--- a/Tests/LibRouting/TestRetryBudget.cpp
+++ b/Tests/LibRouting/TestRetryBudget.cpp
@@ -7,9 +7,9 @@
 
 using namespace Dogwoodkeel;
 
-TEST_CASE("in a total outage retries fall to a small allowance, however many requests come")
+TEST_CASE("in a total outage retries fall to the allowance per second, regardless of the request rate")
 {
-    // Callers see refusals at once. Every attempt fails; without a budget 10,000 requests would make 20,000 retries.
+    // Every attempt fails. Without a budget 10,000 requests would cause 20,000 retries.
     ManualClock clock;
     RetryBudget budget(clock, {});
     int retries = 0;
@@ -23,30 +23,30 @@
     CHECK(retries >= 25);
 }
 
-TEST_CASE("retries of one tenant leave the others theirs")
+TEST_CASE("retries of one tenant do not consume the budget of others")
 {
     ManualClock clock;
     RetryBudget budget(clock, {});
-    int taken = 0;
+    int consumed = 0;
     for (int i = 0; i < 100; ++i) {
-        taken += budget.tryConsume(WorkspaceName("failing"), EndpointName(std::to_string(i))) ? 1 : 0;
+        consumed += budget.tryConsume(WorkspaceName("failing"), EndpointName(std::to_string(i))) ? 1 : 0;
     }
-    CHECK(taken == 20);
+    CHECK(consumed == 20);
     CHECK(budget.tryConsume(WorkspaceName("other"), EndpointName("1")));
 }
 
-TEST_CASE("an endpoint that gets many retries gets no more, whichever tenants they are from")
+TEST_CASE("retries to one endpoint are limited across all tenants")
 {
     ManualClock clock;
     RetryBudget budget(clock, {});
-    int taken = 0;
+    int consumed = 0;
     for (int i = 0; i < 100; ++i) {
-        taken += budget.tryConsume(WorkspaceName(std::to_string(i)), EndpointName("last")) ? 1 : 0;
+        consumed += budget.tryConsume(WorkspaceName(std::to_string(i)), EndpointName("last")) ? 1 : 0;
     }
-    CHECK(taken == 20);
+    CHECK(consumed == 20);
 }
 
-TEST_CASE("successes pay for retries: a tenth of failing attempts is retried for ever")
+TEST_CASE("successes refill the budget, so that a steady failure rate of 10% can always be retried")
 {
     ManualClock clock;
     RetryBudget budget(clock, {.perSecond = 0});
--- a/Tests/LibRouting/TestTenantLimits.cpp
+++ b/Tests/LibRouting/TestTenantLimits.cpp
@@ -21,7 +21,7 @@
     };
 }
 
-/** A site of nodes whose demands are told every half second, and one node that splits. */
+/** A site of nodes that report their demands every half second, and the splitter that grants their shares. */
 struct Site
 {
     Site(std::size_t count, double perSecond) : splitter(clock, milliseconds(2000)), limit{perSecond, 100000}
@@ -32,15 +32,15 @@
         }
     }
 
-    /** @return requests taken in a second's time, with so many a second sent to each node */
+    /** @return requests admitted within a second, given the number of requests a second sent to each node */
     int second(const std::vector<int> &perNode)
     {
-        int taken = 0;
+        int admitted = 0;
         for (int tick = 0; tick < 1000; ++tick) {
             for (std::size_t i = 0; i < perNode.size(); ++i) {
                 if (perNode[i] > 0 && tick % (1000 / perNode[i]) == 0 && !this->nodes[i]->admit(tenant, LimitClass::Online)) {
                     this->nodes[i]->release(tenant, LimitClass::Online);
-                    ++taken;
+                    ++admitted;
                 }
             }
             if (tick % 500 == 0) {
@@ -48,7 +48,7 @@
             }
             this->clock.advance(milliseconds(1));
         }
-        return taken;
+        return admitted;
     }
 
     void exchange()
@@ -69,32 +69,33 @@
 
 } // namespace
 
-TEST_CASE("a tenant whose callers use three of eleven nodes gets its whole limit, and not more")
+TEST_CASE("a tenant whose callers use three of eleven nodes gets its full limit and no more")
 {
-    // With even shares it would get 27 of its 100 a second: its callers keep their entry answers and stay on three nodes.
+    // With even shares the tenant would get 27 of its 100 requests a second, because its callers stay connected to
+    // three nodes.
     Site site(11, 100);
     const std::vector<int> load{100, 50, 20};
     for (int i = 0; i < 5; ++i) {
         site.second(load);
     }
-    const int taken = site.second(load) + site.second(load) + site.second(load);
-    CHECK(taken >= 270);
-    CHECK(taken <= 330);
+    const int admitted = site.second(load) + site.second(load) + site.second(load);
+    CHECK(admitted >= 270);
+    CHECK(admitted <= 330);
 }
 
-TEST_CASE("without the node that splits, the even shares hold the limit")
+TEST_CASE("without a splitter, even shares enforce the limit")
 {
     Site site(4, 40);
-    int taken = 0;
+    int admitted = 0;
     for (std::size_t i = 0; i < 4; ++i) {
         for (int request = 0; request < 100; ++request) {
-            taken += site.nodes[i]->admit(tenant, LimitClass::Online) ? 0 : 1;
+            admitted += site.nodes[i]->admit(tenant, LimitClass::Online) ? 0 : 1;
         }
     }
-    CHECK(taken == 40);
+    CHECK(admitted == 40);
 }
 
-TEST_CASE("concurrency is bounded, and a refusal says when to come back")
+TEST_CASE("concurrency is bounded, and a refusal returns a retry delay")
 {
     ManualClock clock;
     TenantLimits limits(clock, milliseconds(3000), fixedLimit(1000, 2));
@@ -106,7 +107,7 @@
     CHECK_FALSE(limits.admit(tenant, LimitClass::Online));
 }
 
-TEST_CASE("a rate refusal tells after which time the next request is taken")
+TEST_CASE("a rate refusal returns the time after which the next request is admitted")
 {
     ManualClock clock;
     TenantLimits limits(clock, milliseconds(3000), fixedLimit(2, 100));
@@ -118,7 +119,7 @@
     CHECK_FALSE(limits.admit(tenant, LimitClass::Online));
 }
 
-TEST_CASE("nodes far from a limit tell nothing of it")
+TEST_CASE("nodes far below a limit report no demand")
 {
     ManualClock clock;
     TenantLimits limits(clock, milliseconds(3000), fixedLimit(1000, 1000));
