--- a/Libraries/LibRouting/DeadlineQueue.cpp
+++ b/Libraries/LibRouting/DeadlineQueue.cpp
@@ -52,7 +52,7 @@
     return offer;
 }
 
-std::optional<DeadlineQueue::Ticket> DeadlineQueue::take()
+std::optional<DeadlineQueue::Ticket> DeadlineQueue::pop()
 {
     if (this->entries.empty()) {
         return std::nullopt;
--- a/Libraries/LibRouting/DeadlineQueue.h
+++ b/Libraries/LibRouting/DeadlineQueue.h
@@ -54,7 +54,7 @@
     Offer offer(Ticket ticket, SteadyTime deadline);
 
     /** Removes and returns the request with the earliest deadline; nothing if the queue is empty. */
-    std::optional<Ticket> take();
+    std::optional<Ticket> pop();
 
     /** Removes a request that no longer waits. */
     void remove(Ticket ticket);
--- a/Libraries/LibRouting/Quarantine.cpp
+++ b/Libraries/LibRouting/Quarantine.cpp
@@ -59,14 +59,14 @@
     return std::chrono::ceil<std::chrono::milliseconds>(this->find(request)->until - this->clock.now());
 }
 
-QuarantineStatus Quarantine::recordLoss(ContentFingerprint request, const CrashPoint &point)
+QuarantineStatus Quarantine::recordLoss(ContentFingerprint request, const EndpointLoss &point)
 {
     this->removeExpired();
     if (this->find(request) == nullptr) {
         this->records[request] = {};
     }
     Record &record = this->records[request];
-    const bool isSameEvent = std::ranges::any_of(record.points, [&point](const CrashPoint &known) {
+    const bool isSameEvent = std::ranges::any_of(record.points, [&point](const EndpointLoss &known) {
         return known.failureDomain == point.failureDomain && point.sent <= known.seen;
     });
     if (!isSameEvent) {
@@ -82,10 +82,10 @@
     return this->records.erase(request) > 0;
 }
 
-std::vector<CrashPoint> Quarantine::points(ContentFingerprint request) const
+std::vector<EndpointLoss> Quarantine::recordedLosses(ContentFingerprint request) const
 {
     const Record *const record = this->find(request);
-    return record != nullptr ? record->points : std::vector<CrashPoint>();
+    return record != nullptr ? record->points : std::vector<EndpointLoss>();
 }
 
 std::vector<ContentFingerprint> Quarantine::quarantined() const
--- a/Libraries/LibRouting/Quarantine.h
+++ b/Libraries/LibRouting/Quarantine.h
@@ -26,7 +26,7 @@
 ContentFingerprint contentFingerprint(std::string_view serves, std::string_view body);
 
 /** The loss of an endpoint while it ran a request. */
-struct CrashPoint
+struct EndpointLoss
 {
     EndpointName endpoint;
     FailureDomain failureDomain;
@@ -83,13 +83,13 @@
     std::chrono::milliseconds remaining(ContentFingerprint request) const;
 
     /** Records the loss of an endpoint while it ran the request. @return the resulting status */
-    QuarantineStatus recordLoss(ContentFingerprint request, const CrashPoint &point);
+    QuarantineStatus recordLoss(ContentFingerprint request, const EndpointLoss &point);
 
     /** Clears the request because it completed on an endpoint. @return whether it had been suspected */
     bool recordSuccess(ContentFingerprint request);
 
     /** @return the losses recorded for a request */
-    std::vector<CrashPoint> points(ContentFingerprint request) const;
+    std::vector<EndpointLoss> recordedLosses(ContentFingerprint request) const;
 
     /** @return the requests that are currently quarantined */
     std::vector<ContentFingerprint> quarantined() const;
@@ -99,7 +99,7 @@
 private:
     struct Record
     {
-        std::vector<CrashPoint> points;
+        std::vector<EndpointLoss> points;
         SteadyTime until{};
     };
 
--- a/Services/Entry/Admission.cpp
+++ b/Services/Entry/Admission.cpp
@@ -140,7 +140,7 @@
         this->refuse(pool, ticket);
     }
     while (pool.queue.size() > 0 && this->hasRoom(serves, pool)) {
-        const auto hooks = pool.hooks.extract(*pool.queue.take());
+        const auto hooks = pool.hooks.extract(*pool.queue.pop());
         --pool.room;
         pool.queue.recordPlacement();
         hooks.mapped().run();
--- a/Services/Entry/SuspectNotices.cpp
+++ b/Services/Entry/SuspectNotices.cpp
@@ -59,7 +59,7 @@
     this->held.setOptions(options);
 }
 
-void SuspectNotices::lost(ContentFingerprint request, const CrashPoint &point)
+void SuspectNotices::lost(ContentFingerprint request, const EndpointLoss &point)
 {
     if (this->held.recordLoss(request, point) == QuarantineStatus::Quarantined) {
         log(LogLevel::Warning,
--- a/Services/Entry/SuspectNotices.h
+++ b/Services/Entry/SuspectNotices.h
@@ -30,7 +30,7 @@
     const Quarantine &quarantine() const;
 
     /** A request was lost with the endpoint it ran on. */
-    void lost(ContentFingerprint request, const CrashPoint &point);
+    void lost(ContentFingerprint request, const EndpointLoss &point);
 
     /** A request ran to its end. */
     void succeeded(ContentFingerprint request);
@@ -42,7 +42,7 @@
     struct Loss
     {
         ContentFingerprint request;
-        CrashPoint point;
+        EndpointLoss point;
     };
 
     void tellSoon();
--- a/Tests/LibRouting/TestDeadlineQueue.cpp
+++ b/Tests/LibRouting/TestDeadlineQueue.cpp
@@ -16,10 +16,10 @@
     queue.offer(1, clock.now() + milliseconds(300));
     queue.offer(2, clock.now() + milliseconds(100));
     queue.offer(3, clock.now() + milliseconds(200));
-    CHECK(queue.take() == 2);
+    CHECK(queue.pop() == 2);
     queue.remove(3);
-    CHECK(queue.take() == 1);
-    CHECK(queue.take() == std::nullopt);
+    CHECK(queue.pop() == 1);
+    CHECK(queue.pop() == std::nullopt);
 }
 
 TEST_CASE("a full queue drops the request with the latest deadline")
@@ -105,7 +105,7 @@
                 plain.pop_front();
             } else if (isShedding) {
                 queue.removeInfeasible();
-                if (const auto taken = queue.take()) {
+                if (const auto taken = queue.pop()) {
                     queue.recordPlacement();
                     queue.recordServiceTime(service);
                     next = deadlines[*taken];
--- a/Tests/LibRouting/TestQuarantine.cpp
+++ b/Tests/LibRouting/TestQuarantine.cpp
@@ -13,7 +13,7 @@
 const ContentFingerprint poison(1);
 const ContentFingerprint bystander(2);
 
-CrashPoint lossAt(const char *endpoint, const char *domain, SteadyTime sent, SteadyTime seen)
+EndpointLoss lossAt(const char *endpoint, const char *domain, SteadyTime sent, SteadyTime seen)
 {
     return {EndpointName(endpoint), FailureDomain(domain), sent, seen};
 }
@@ -38,7 +38,7 @@
 {
     ManualClock clock;
     Quarantine quarantine(clock, {});
-    const CrashPoint loss = lossAt("a", "one", clock.now(), clock.now() + std::chrono::milliseconds(5));
+    const EndpointLoss loss = lossAt("a", "one", clock.now(), clock.now() + std::chrono::milliseconds(5));
     CHECK(quarantine.recordLoss(poison, loss) == QuarantineStatus::Suspect);
     clock.advance(std::chrono::milliseconds(100));
     CHECK(quarantine.recordLoss(poison, loss) == QuarantineStatus::Suspect);
