--- a/Libraries/LibFleet/Replica.h
+++ b/Libraries/LibFleet/Replica.h
@@ -81,7 +81,7 @@
     double requestSeconds = 0;
     SteadyTime requestSecondsUntil{};
     Ejection ejection;
-    /** Start of the slow start, after the replica was added, restarted or readmitted. */
+    /** Beginning of the slow start, after a restart of the endpoint or the end of an ejection. */
     SteadyTime rampStart{};
     PrefixHints prefixes;
 };
--- a/Libraries/LibRouting/Quarantine.cpp
+++ b/Libraries/LibRouting/Quarantine.cpp
@@ -48,7 +48,7 @@
     if (record == nullptr) {
         return QuarantineStatus::Clear;
     }
-    return record->points.size() >= this->options.losses ? QuarantineStatus::Quarantined : QuarantineStatus::Suspect;
+    return record->losses.size() >= this->options.losses ? QuarantineStatus::Quarantined : QuarantineStatus::Suspect;
 }
 
 std::chrono::milliseconds Quarantine::remaining(ContentFingerprint request) const
@@ -59,18 +59,18 @@
     return std::chrono::ceil<std::chrono::milliseconds>(this->find(request)->until - this->clock.now());
 }
 
-QuarantineStatus Quarantine::recordLoss(ContentFingerprint request, const EndpointLoss &point)
+QuarantineStatus Quarantine::recordLoss(ContentFingerprint request, const EndpointLoss &loss)
 {
     this->removeExpired();
     if (this->find(request) == nullptr) {
         this->records[request] = {};
     }
     Record &record = this->records[request];
-    const bool isSameEvent = std::ranges::any_of(record.points, [&point](const EndpointLoss &known) {
-        return known.failureDomain == point.failureDomain && point.sent <= known.seen;
+    const bool isSameEvent = std::ranges::any_of(record.losses, [&loss](const EndpointLoss &known) {
+        return known.failureDomain == loss.failureDomain && loss.sent <= known.seen;
     });
     if (!isSameEvent) {
-        record.points.push_back(point);
+        record.losses.push_back(loss);
         record.until = this->clock.now() + this->options.duration;
         this->insertionOrder.emplace_back(this->clock.now(), request);
     }
@@ -85,7 +85,7 @@
 std::vector<EndpointLoss> Quarantine::recordedLosses(ContentFingerprint request) const
 {
     const Record *const record = this->find(request);
-    return record != nullptr ? record->points : std::vector<EndpointLoss>();
+    return record != nullptr ? record->losses : std::vector<EndpointLoss>();
 }
 
 std::vector<ContentFingerprint> Quarantine::quarantined() const
@@ -111,7 +111,7 @@
         const auto found = this->records.find(request);
         const bool isStale = found == this->records.end() || found->second.until != since + this->options.duration;
         const bool isExpired = since + this->options.duration <= this->clock.now();
-        const bool isFull = this->records.size() >= this->options.remembered;
+        const bool isFull = this->records.size() >= this->options.maxRecords;
         if (!isStale && !isExpired && !isFull) {
             return;
         }
--- a/Libraries/LibRouting/Quarantine.h
+++ b/Libraries/LibRouting/Quarantine.h
@@ -68,7 +68,7 @@
         /** How long a suspicion or a quarantine lasts after the last loss. */
         std::chrono::milliseconds duration{600000};
         /** Maximum number of recorded requests; the oldest record is removed first. */
-        std::size_t remembered = 10000;
+        std::size_t maxRecords = 10000;
     };
 
     Quarantine(const Clock &clock, Options options);
@@ -83,7 +83,7 @@
     std::chrono::milliseconds remaining(ContentFingerprint request) const;
 
     /** Records the loss of an endpoint while it ran the request. @return the resulting status */
-    QuarantineStatus recordLoss(ContentFingerprint request, const EndpointLoss &point);
+    QuarantineStatus recordLoss(ContentFingerprint request, const EndpointLoss &loss);
 
     /** Clears the request because it completed on an endpoint. @return whether it had been suspected */
     bool recordSuccess(ContentFingerprint request);
@@ -99,7 +99,7 @@
 private:
     struct Record
     {
-        std::vector<EndpointLoss> points;
+        std::vector<EndpointLoss> losses;
         SteadyTime until{};
     };
 
--- a/Libraries/LibRouting/ReplicaScore.h
+++ b/Libraries/LibRouting/ReplicaScore.h
@@ -31,8 +31,8 @@
 double estimatedRequests(const Replica &replica, const PoolMeans &means, SteadyTime now, const FleetSettings &settings);
 
 /**
- * @return the share of its capacity that a replica may use during its slow start: small when it is new or readmitted, 1
- * at the end
+ * @return the share of its capacity that a replica may use during its slow start: small after a restart or an
+ * ejection, 1 at the end
  */
 double rampShare(const Replica &replica, SteadyTime now, std::chrono::milliseconds slowStart);
 
--- a/Libraries/LibRouting/TenantLimits.cpp
+++ b/Libraries/LibRouting/TenantLimits.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Share of the even share from which a demand is reported. Below it the even share is sufficient. */
+/** A demand is reported from this fraction of the even share on; below it the even share is sufficient. */
 constexpr double reportThreshold = 0.5;
 /** Retry delay when the concurrency limit is reached, because it is unknown which running request ends first. */
 constexpr std::chrono::milliseconds concurrencyRetryAfter{1000};
--- a/Tests/LibRouting/TestQuarantine.cpp
+++ b/Tests/LibRouting/TestQuarantine.cpp
@@ -68,7 +68,7 @@
 TEST_CASE("a suspicion expires, and the number of records is bounded")
 {
     ManualClock clock;
-    Quarantine quarantine(clock, {.remembered = 3});
+    Quarantine quarantine(clock, {.maxRecords = 3});
     for (std::uint64_t i = 10; i < 20; ++i) {
         quarantine.recordLoss(ContentFingerprint(i), lossAt("a", "one", clock.now(), clock.now()));
         clock.advance(std::chrono::milliseconds(1));
--- a/Tests/LibRouting/TestRetryBudget.cpp
+++ b/Tests/LibRouting/TestRetryBudget.cpp
@@ -9,7 +9,8 @@
 
 TEST_CASE("in a total outage retries fall to the allowance per second, regardless of the request rate")
 {
-    // Every attempt fails. Without a budget 10,000 requests would cause 20,000 retries.
+    // Every attempt fails. Without a budget 10,000 requests would cause 20,000 retries; with it callers are refused at
+    // once.
     ManualClock clock;
     RetryBudget budget(clock, {});
     int retries = 0;
--- a/Tests/LibRouting/TestTenantLimits.cpp
+++ b/Tests/LibRouting/TestTenantLimits.cpp
@@ -71,8 +71,8 @@
 
 TEST_CASE("a tenant whose callers use three of eleven nodes gets its full limit and no more")
 {
-    // With even shares the tenant would get 27 of its 100 requests a second, because its callers stay connected to
-    // three nodes.
+    // With even shares the tenant would get 27 of its 100 requests a second, because its callers
+    // keep the entry addresses and stay on three nodes.
     Site site(11, 100);
     const std::vector<int> load{100, 50, 20};
     for (int i = 0; i < 5; ++i) {
