--- a/Benchmarks/Measure/Decisions.cpp
+++ b/Benchmarks/Measure/Decisions.cpp
@@ -70,7 +70,7 @@
         printFigure("decisions.route_scan_of_all." + name,
                     this->time([this](std::uint64_t) {
                         return *std::ranges::min_element(this->table.of(model), {}, [](const Replica *replica) {
-                            return replica->inFlight + replica->others.inFlight;
+                            return replica->inFlight + replica->otherNodes.inFlight;
                         });
                     }),
                     "ns");
--- a/Benchmarks/Measure/Routing.cpp
+++ b/Benchmarks/Measure/Routing.cpp
@@ -149,7 +149,7 @@
 
 double reportedLoad(const Replica *replica)
 {
-    return replica->inFlight + replica->others.inFlight;
+    return replica->inFlight + replica->otherNodes.inFlight;
 }
 
 Replica *drawOne(Node &node)
--- a/Tests/ServiceEntry/TestFleetWatch.cpp
+++ b/Tests/ServiceEntry/TestFleetWatch.cpp
@@ -143,11 +143,11 @@
 {
     Fixture fixture;
     CHECK(fixture.reached([](Watcher &watcher) {
-        return watcher.replica().version == "7" && watcher.replica().others.inFlight > 0;
+        return watcher.replica().version == "7" && watcher.replica().otherNodes.inFlight > 0;
     }));
     for (const auto &watcher : fixture.watchers) {
         CHECK(watcher->replica().adapters == std::vector<std::string>{"notes"});
-        CHECK(watcher->replica().others.inFlight == doctest::Approx(3));
+        CHECK(watcher->replica().otherNodes.inFlight == doctest::Approx(3));
     }
 }
 
@@ -160,7 +160,7 @@
         watcher->watch.setItems(EndpointName("engine"), 2);
     }
     CHECK(fixture.reached([](Watcher &watcher) {
-        return watcher.replica().others.at > SteadyTime() && watcher.replica().others.inFlight < 1.5;
+        return watcher.replica().otherNodes.at > SteadyTime() && watcher.replica().otherNodes.inFlight < 1.5;
     }));
 }
 
