--- a/Benchmarks/Measure/Decisions.cpp
+++ b/Benchmarks/Measure/Decisions.cpp
@@ -59,18 +59,18 @@
     {
         printFigure("decisions.route_two_choices." + name,
                     this->time([this](std::uint64_t) {
-                        return this->chooser.choose(model, {});
+                        return this->chooser.select(model, {});
                     }),
                     "ns");
         printFigure("decisions.route_prefix." + name,
                     this->time([this](std::uint64_t number) {
-                        return this->chooser.choose(model, {.prefix = rendezvousWeight(1, number % prefixes)});
+                        return this->chooser.select(model, {.prefix = rendezvousWeight(1, number % prefixes)});
                     }),
                     "ns");
         printFigure("decisions.route_scan_of_all." + name,
                     this->time([this](std::uint64_t) {
                         return *std::ranges::min_element(this->table.of(model), {}, [](const Replica *replica) {
-                            return replica->inFlight + replica->others.inFlight;
+                            return replica->inFlight + replica->otherNodes.inFlight;
                         });
                     }),
                     "ns");
@@ -92,7 +92,7 @@
     std::mt19937_64 random{1};
     ReplicaTable table;
     FleetState state{this->clock, this->settings, this->table};
-    ReplicaChooser chooser{this->clock, this->settings, this->table, this->random};
+    ReplicaSelector chooser{this->clock, this->settings, this->table, this->random};
     std::deque<Replica *> open;
 };
 
--- a/Benchmarks/Measure/Routing.cpp
+++ b/Benchmarks/Measure/Routing.cpp
@@ -142,14 +142,14 @@
     std::mt19937_64 random;
     ReplicaTable table;
     FleetState state;
-    ReplicaChooser chooser;
+    ReplicaSelector chooser;
 };
 
 using Choose = std::function<Replica *(Node &node, std::uint64_t prefix)>;
 
 double reportedLoad(const Replica *replica)
 {
-    return replica->inFlight + replica->others.inFlight;
+    return replica->inFlight + replica->otherNodes.inFlight;
 }
 
 Replica *drawOne(Node &node)
@@ -175,11 +175,11 @@
      }},
     {"ours_without_prefix",
      [](Node &node, std::uint64_t) {
-         return node.chooser.choose(model, {});
+         return node.chooser.select(model, {});
      }},
     {"ours",
      [](Node &node, std::uint64_t prefix) {
-         return node.chooser.choose(model, {.prefix = prefix});
+         return node.chooser.select(model, {.prefix = prefix});
      }},
 }};
 
--- a/Libraries/LibRouting/Quarantine.cpp
+++ b/Libraries/LibRouting/Quarantine.cpp
@@ -42,57 +42,57 @@
     this->options = options;
 }
 
-Standing Quarantine::standing(ContentFingerprint request) const
+QuarantineStatus Quarantine::status(ContentFingerprint request) const
 {
     const Record *const record = this->find(request);
     if (record == nullptr) {
-        return Standing::Clear;
+        return QuarantineStatus::Clear;
     }
-    return record->points.size() >= this->options.losses ? Standing::Quarantined : Standing::Suspect;
+    return record->losses.size() >= this->options.losses ? QuarantineStatus::Quarantined : QuarantineStatus::Suspect;
 }
 
 std::chrono::milliseconds Quarantine::remaining(ContentFingerprint request) const
 {
-    if (this->standing(request) != Standing::Quarantined) {
+    if (this->status(request) != QuarantineStatus::Quarantined) {
         return std::chrono::milliseconds(0);
     }
     return std::chrono::ceil<std::chrono::milliseconds>(this->find(request)->until - this->clock.now());
 }
 
-Standing Quarantine::lost(ContentFingerprint request, const CrashPoint &point)
+QuarantineStatus Quarantine::recordLoss(ContentFingerprint request, const EndpointLoss &loss)
 {
-    this->forgetOld();
+    this->removeExpired();
     if (this->find(request) == nullptr) {
         this->records[request] = {};
     }
     Record &record = this->records[request];
-    const bool isSameEvent = std::ranges::any_of(record.points, [&point](const CrashPoint &known) {
-        return known.failureDomain == point.failureDomain && point.sent <= known.seen;
+    const bool isSameEvent = std::ranges::any_of(record.losses, [&loss](const EndpointLoss &known) {
+        return known.failureDomain == loss.failureDomain && loss.sent <= known.seen;
     });
     if (!isSameEvent) {
-        record.points.push_back(point);
+        record.losses.push_back(loss);
         record.until = this->clock.now() + this->options.duration;
-        this->ages.emplace_back(this->clock.now(), request);
+        this->insertionOrder.emplace_back(this->clock.now(), request);
     }
-    return this->standing(request);
+    return this->status(request);
 }
 
-bool Quarantine::succeeded(ContentFingerprint request)
+bool Quarantine::recordSuccess(ContentFingerprint request)
 {
     return this->records.erase(request) > 0;
 }
 
-std::vector<CrashPoint> Quarantine::points(ContentFingerprint request) const
+std::vector<EndpointLoss> Quarantine::recordedLosses(ContentFingerprint request) const
 {
     const Record *const record = this->find(request);
-    return record != nullptr ? record->points : std::vector<CrashPoint>();
+    return record != nullptr ? record->losses : std::vector<EndpointLoss>();
 }
 
 std::vector<ContentFingerprint> Quarantine::quarantined() const
 {
     std::vector<ContentFingerprint> found;
     for (const auto &[request, record] : this->records) {
-        if (this->standing(request) == Standing::Quarantined) {
+        if (this->status(request) == QuarantineStatus::Quarantined) {
             found.push_back(request);
         }
     }
@@ -104,21 +104,21 @@
     return this->records.size();
 }
 
-void Quarantine::forgetOld()
+void Quarantine::removeExpired()
 {
-    while (!this->ages.empty()) {
-        const auto &[since, request] = this->ages.front();
+    while (!this->insertionOrder.empty()) {
+        const auto &[since, request] = this->insertionOrder.front();
         const auto found = this->records.find(request);
         const bool isStale = found == this->records.end() || found->second.until != since + this->options.duration;
         const bool isExpired = since + this->options.duration <= this->clock.now();
-        const bool isFull = this->records.size() >= this->options.remembered;
+        const bool isFull = this->records.size() >= this->options.maxRecords;
         if (!isStale && !isExpired && !isFull) {
             return;
         }
         if (!isStale) {
             this->records.erase(found);
         }
-        this->ages.pop_front();
+        this->insertionOrder.pop_front();
     }
 }
 
--- a/Services/Entry/EntryContext.h
+++ b/Services/Entry/EntryContext.h
@@ -41,7 +41,7 @@
     Admission &admission;
     LimitSharing &limits;
     FleetState &fleet;
-    ReplicaChooser &chooser;
+    ReplicaSelector &chooser;
     FleetWatch &watch;
     /** Takes operators' requests to the control task. */
     OperatorGateway operators;
--- a/Tests/LibRouting/TestDeadlineQueue.cpp
+++ b/Tests/LibRouting/TestDeadlineQueue.cpp
@@ -9,23 +9,23 @@
 using namespace Dogwoodkeel;
 using std::chrono::milliseconds;
 
-TEST_CASE("the most urgent request gets the next place")
+TEST_CASE("the request with the earliest deadline is removed first")
 {
     ManualClock clock;
     DeadlineQueue queue(clock, {});
     queue.offer(1, clock.now() + milliseconds(300));
     queue.offer(2, clock.now() + milliseconds(100));
     queue.offer(3, clock.now() + milliseconds(200));
-    CHECK(queue.take() == 2);
+    CHECK(queue.pop() == 2);
     queue.remove(3);
-    CHECK(queue.take() == 1);
-    CHECK(queue.take() == std::nullopt);
+    CHECK(queue.pop() == 1);
+    CHECK(queue.pop() == std::nullopt);
 }
 
-TEST_CASE("a full queue lets the request with the most time go")
+TEST_CASE("a full queue drops the request with the latest deadline")
 {
     ManualClock clock;
-    DeadlineQueue queue(clock, {.most = 2});
+    DeadlineQueue queue(clock, {.maxSize = 2});
     queue.offer(1, clock.now() + milliseconds(300));
     queue.offer(2, clock.now() + milliseconds(100));
     CHECK_FALSE(queue.offer(3, clock.now() + milliseconds(400)).isQueued);
@@ -34,14 +34,14 @@
     CHECK(urgent.displaced == 1);
 }
 
-TEST_CASE("a request that would be late is refused when it comes, with the time after which there is room")
+TEST_CASE("a request that would miss its deadline is refused on arrival, and the expected wait is known")
 {
-    // 100 places a second; 20 wait. A request with 100 ms left would get its place in 200 ms.
+    // 100 placements a second with 20 requests waiting: the next request waits about 200 ms.
     ManualClock clock;
     DeadlineQueue queue(clock, {});
     for (int i = 0; i < 1000; ++i) {
-        queue.placed();
-        queue.served(std::chrono::milliseconds(20));
+        queue.recordPlacement();
+        queue.recordServiceTime(std::chrono::milliseconds(20));
         clock.advance(milliseconds(10));
     }
     for (DeadlineQueue::Ticket ticket = 1; ticket <= 20; ++ticket) {
@@ -54,21 +54,21 @@
     CHECK_FALSE(queue.offer(23, clock.now() + milliseconds(15)).isQueued);
 }
 
-TEST_CASE("requests that can no longer make it are taken out when the replicas get slower")
+TEST_CASE("requests that can no longer meet their deadlines are removed when the replicas get slower")
 {
     ManualClock clock;
     DeadlineQueue queue(clock, {});
     for (int i = 0; i < 500; ++i) {
-        queue.placed();
-        queue.served(std::chrono::milliseconds(20));
+        queue.recordPlacement();
+        queue.recordServiceTime(std::chrono::milliseconds(20));
         clock.advance(milliseconds(10));
     }
     for (DeadlineQueue::Ticket ticket = 1; ticket <= 50; ++ticket) {
         REQUIRE(queue.offer(ticket, clock.now() + milliseconds(800)).isQueued);
     }
-    CHECK(queue.takeHopeless().empty());
+    CHECK(queue.removeInfeasible().empty());
     clock.advance(milliseconds(500));
-    const std::size_t late = queue.takeHopeless().size();
+    const std::size_t late = queue.removeInfeasible().size();
     CHECK(late > 10);
     CHECK(late < 50);
     CHECK(queue.size() == 50 - late);
@@ -77,20 +77,20 @@
 namespace
 {
 
-/** One server that takes 10 ms a request, offered a number of requests a second with a deadline of 200 ms. */
+/** Simulates one server with 10 ms a request and a deadline of 200 ms. @return the requests that finish in time */
 int finishedInTime(int perSecond, bool isShedding)
 {
     ManualClock clock;
-    DeadlineQueue queue(clock, {.most = isShedding ? std::size_t(256) : std::size_t(1000000)});
+    DeadlineQueue queue(clock, {.maxSize = isShedding ? std::size_t(256) : std::size_t(1000000)});
     std::deque<SteadyTime> plain;
     std::unordered_map<DeadlineQueue::Ticket, SteadyTime> deadlines;
     constexpr milliseconds service{10};
     SteadyTime idleFrom = clock.now();
     int finished = 0;
-    int owed = 0;
+    int arrivalCredit = 0;
     DeadlineQueue::Ticket ticket = 0;
     for (int tick = 0; tick < 10000; ++tick) {
-        for (owed += perSecond; owed >= 1000; owed -= 1000) {
+        for (arrivalCredit += perSecond; arrivalCredit >= 1000; arrivalCredit -= 1000) {
             const SteadyTime deadline = clock.now() + milliseconds(200);
             if (!isShedding) {
                 plain.push_back(deadline);
@@ -104,10 +104,10 @@
                 next = plain.front();
                 plain.pop_front();
             } else if (isShedding) {
-                queue.takeHopeless();
-                if (const auto taken = queue.take()) {
-                    queue.placed();
-                    queue.served(service);
+                queue.removeInfeasible();
+                if (const auto taken = queue.pop()) {
+                    queue.recordPlacement();
+                    queue.recordServiceTime(service);
                     next = deadlines[*taken];
                 }
             }
@@ -123,9 +123,9 @@
 
 } // namespace
 
-TEST_CASE("at twice and five times what can be served, nearly all that is served is in time")
+TEST_CASE("at two and five times the capacity, nearly all served requests finish in time")
 {
-    // 10 s at 100 a second. Without shedding the queue grows until each request is late when its turn comes.
+    // 10 s at 100 requests a second. Without shedding the queue grows until every request is late when it is served.
     const int best = 1000;
     CHECK(finishedInTime(90, true) >= 890);
     CHECK(finishedInTime(200, true) >= best * 9 / 10);
--- a/Tests/LibRouting/TestRetryBudget.cpp
+++ b/Tests/LibRouting/TestRetryBudget.cpp
@@ -7,54 +7,55 @@
 
 using namespace Dogwoodkeel;
 
-TEST_CASE("in a total outage retries fall to a small allowance, however many requests come")
+TEST_CASE("in a total outage retries fall to the allowance per second, regardless of the request rate")
 {
-    // Callers see refusals at once. Every attempt fails; without a budget 10,000 requests would make 20,000 retries.
+    // Every attempt fails. Without a budget 10,000 requests would cause 20,000 retries; with it callers are refused at
+    // once.
     ManualClock clock;
     RetryBudget budget(clock, {});
     int retries = 0;
     for (int i = 0; i < 10000; ++i) {
         clock.advance(std::chrono::milliseconds(1));
         for (int attempt = 0; attempt < 2; ++attempt) {
-            retries += budget.take(WorkspaceName("t"), EndpointName("e" + std::to_string(i % 9))) ? 1 : 0;
+            retries += budget.tryConsume(WorkspaceName("t"), EndpointName("e" + std::to_string(i % 9))) ? 1 : 0;
         }
     }
     CHECK(retries <= 31);
     CHECK(retries >= 25);
 }
 
-TEST_CASE("retries of one tenant leave the others theirs")
+TEST_CASE("retries of one tenant do not consume the budget of others")
 {
     ManualClock clock;
     RetryBudget budget(clock, {});
-    int taken = 0;
+    int consumed = 0;
     for (int i = 0; i < 100; ++i) {
-        taken += budget.take(WorkspaceName("failing"), EndpointName(std::to_string(i))) ? 1 : 0;
+        consumed += budget.tryConsume(WorkspaceName("failing"), EndpointName(std::to_string(i))) ? 1 : 0;
     }
-    CHECK(taken == 20);
-    CHECK(budget.take(WorkspaceName("other"), EndpointName("1")));
+    CHECK(consumed == 20);
+    CHECK(budget.tryConsume(WorkspaceName("other"), EndpointName("1")));
 }
 
-TEST_CASE("an endpoint that gets many retries gets no more, whichever tenants they are from")
+TEST_CASE("retries to one endpoint are limited across all tenants")
 {
     ManualClock clock;
     RetryBudget budget(clock, {});
-    int taken = 0;
+    int consumed = 0;
     for (int i = 0; i < 100; ++i) {
-        taken += budget.take(WorkspaceName(std::to_string(i)), EndpointName("last")) ? 1 : 0;
+        consumed += budget.tryConsume(WorkspaceName(std::to_string(i)), EndpointName("last")) ? 1 : 0;
     }
-    CHECK(taken == 20);
+    CHECK(consumed == 20);
 }
 
-TEST_CASE("successes pay for retries: a tenth of failing attempts is retried for ever")
+TEST_CASE("successes refill the budget, so that a steady failure rate of 10% can always be retried")
 {
     ManualClock clock;
     RetryBudget budget(clock, {.perSecond = 0});
     for (int i = 0; i < 10000; ++i) {
         if (i % 10 == 0) {
-            REQUIRE(budget.take(WorkspaceName("t"), EndpointName("e")));
+            REQUIRE(budget.tryConsume(WorkspaceName("t"), EndpointName("e")));
         } else {
-            budget.succeeded(WorkspaceName("t"), EndpointName("e"));
+            budget.recordSuccess(WorkspaceName("t"), EndpointName("e"));
         }
     }
 }
