--- a/Tests/Soak/PeerCut.cpp
+++ b/Tests/Soak/PeerPartition.cpp
@@ -1,4 +1,4 @@
-#include <Tests/Soak/PeerCut.h>
+#include <Tests/Soak/PeerPartition.h>
 
 #include <LibBase/Address.h>
 #include <LibTask/Sockets.h>
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -4,7 +4,7 @@
 #include <Benchmarks/Support/LocalFleet.h>
 #include <LibTask/TaskHost.h>
 #include <Tests/Soak/Disturbances.h>
-#include <Tests/Soak/PeerCut.h>
+#include <Tests/Soak/PeerPartition.h>
 #include <Tests/Soak/SoakCaller.h>
 #include <Tests/Soak/SoakWorld.h>
 
