--- a/Fuzz/FuzzDecoders.cpp
+++ b/Fuzz/FuzzDecoders.cpp
@@ -1,4 +1,4 @@
-// Bytes from outside through each decoder; the first byte chooses which.
+// Passes fuzzed input to the decoders of untrusted data; the first byte selects the decoder.
 #include <LibBase/Findings.h>
 #include <LibHttp/HttpTypes.h>
 #include <LibHttp/ServerSentEvents.h>
@@ -23,7 +23,7 @@
 namespace
 {
 
-constexpr std::size_t limit = 65536;
+constexpr std::size_t maxBytes = 65536;
 
 void readCompletion(const std::string &text)
 {
@@ -45,14 +45,14 @@
 
 void readEvents(const std::string &text)
 {
-    ServerSentEvents events(limit);
+    ServerSentEvents events(maxBytes);
     events.feed(text);
     queryValue(text, "key");
 }
 
 void readFrames(const std::string &text)
 {
-    FrameReader reader(MessageKey("key"), limit);
+    FrameReader reader(MessageKey("key"), maxBytes);
     reader.feed(text);
     while (reader.next()) { }
 }
@@ -81,7 +81,7 @@
     loadSettings({{"fuzz", text}}, findings);
 }
 
-/** Rows of the users' platform that other programs may write as well. */
+/** Decodes rows of the users' platform that other programs may write as well. */
 void readSharedRows(const std::string &text)
 {
     decodeReplica("key", text);
@@ -99,7 +99,7 @@
 
 } // namespace
 
-// The name is libFuzzer's.
+// libFuzzer prescribes the name.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) // NOLINT(readability-identifier-naming)
 {
     if (size > 0) {
--- a/Tests/Soak/CrashRecord.h
+++ b/Tests/Soak/CrashRecord.h
@@ -11,25 +11,26 @@
 namespace Dogwoodkeel
 {
 
-/** Requests that crash the replicas that run them, by their content, and what became of them. Used from all threads. */
+/** Records, by content, how often requests that crash replicas were run and how often they crashed one. Thread-safe. */
 class CrashRecord
 {
 public:
-    /** A request with this content reached a replica. */
-    void noteRun(const std::string &content);
+    /** Records that a request with this content reached a replica. */
+    void recordRun(const std::string &content);
 
-    /** A replica has ended while it ran requests with these contents. */
-    void noteEnd(const std::set<std::string> &contents);
+    /** Records that a replica crashed while it ran requests with these contents. */
+    void recordCrash(const std::set<std::string> &contents);
 
     /**
-     * @param crashes after which a content must not reach replicas any more
-     * @param settling how long nodes may take to know
-     * @param most how many runs may come later all the same
-     * @return what reached replicas more often
+     * @param crashes number of crashes after which a content must not reach replicas any more
+     * @param settling how long all nodes may take to learn of the last of these crashes
+     * @param most number of runs that are still allowed after that
+     * @return a description of each content that reached replicas more often
      */
-    std::vector<std::string> excesses(std::size_t crashes, std::chrono::milliseconds settling, std::size_t most) const;
+    std::vector<std::string>
+    excessRuns(std::size_t crashes, std::chrono::milliseconds propagationTime, std::size_t maxLaterRuns) const;
 
-    /** @return counts, for the report. */
+    /** @return counts for the report. */
     std::string summary() const;
 
 private:
@@ -37,7 +38,7 @@
 
     mutable std::mutex mutex;
     std::map<std::string, std::vector<Time>> runs;
-    std::map<std::string, std::vector<Time>> ends;
+    std::map<std::string, std::vector<Time>> crashTimes;
 };
 
 } // namespace Dogwoodkeel
--- a/Tests/Soak/Disturbances.cpp
+++ b/Tests/Soak/Disturbances.cpp
@@ -5,14 +5,14 @@
 namespace Dogwoodkeel
 {
 
-void Disturbances::note(const std::string &party, Time from, Time until)
+void Disturbances::add(const std::string &component, Time from, Time until)
 {
-    this->spans[party].emplace_back(from, until);
+    this->spans[component].emplace_back(from, until);
 }
 
-bool Disturbances::isIn(const std::string &party, Time from, Time until) const
+bool Disturbances::overlaps(const std::string &component, Time from, Time until) const
 {
-    const auto found = this->spans.find(party);
+    const auto found = this->spans.find(component);
     return found != this->spans.end() && std::ranges::any_of(found->second, [&](const auto &span) {
                return span.first <= until && span.second >= from;
            });
--- a/Tests/Soak/Disturbances.h
+++ b/Tests/Soak/Disturbances.h
@@ -9,16 +9,17 @@
 namespace Dogwoodkeel
 {
 
-/** When which node, or the store, was disturbed in such a way that promises with a time bound don't hold for it. */
+/** Records the periods in which a node or the store was disturbed by faults. Guarantees with a time bound don't apply then. */
 class Disturbances
 {
 public:
     using Time = std::chrono::steady_clock::time_point;
 
-    void note(const std::string &party, Time from, Time until);
+    /** Records that a component, a node or the store, was disturbed in a period. */
+    void add(const std::string &component, Time from, Time until);
 
-    /** @return whether it was disturbed at any moment between. */
-    bool isIn(const std::string &party, Time from, Time until) const;
+    /** @return whether the component was disturbed at any time in the period. */
+    bool overlaps(const std::string &component, Time from, Time until) const;
 
 private:
     std::map<std::string, std::vector<std::pair<Time, Time>>> spans;
--- a/Tests/Soak/FaultProxy.cpp
+++ b/Tests/Soak/FaultProxy.cpp
@@ -24,16 +24,16 @@
 
 constexpr int backlog = 256;
 
-/** Closing the descriptor then sends a reset instead of an orderly end. */
+/** Makes the later close of the descriptor send a reset (RST) instead of an orderly end (FIN). */
 void resetOnClose(int descriptor)
 {
-    const linger hard{1, 0};
-    setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
+    const linger abortive{1, 0};
+    setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &abortive, sizeof(abortive));
 }
 
 } // namespace
 
-/** A connection of a client and the one to the target that goes with it. */
+/** The connection of a client and the matching connection to the target. */
 class FaultProxy::Link : public std::enable_shared_from_this<Link>
 {
 public:
@@ -68,7 +68,7 @@
 private:
     static void onRead(bufferevent *from, void *self)
     {
-        static_cast<Link *>(self)->pass(from);
+        static_cast<Link *>(self)->forward(from);
     }
 
     static void onEvent(bufferevent *from, short what, void *self)
@@ -78,52 +78,53 @@
         }
     }
 
-    bool isLost(const bufferevent *from) const
+    bool isDropped(const bufferevent *from) const
     {
         const bool isFromClient = from == this->client;
-        return this->proxy.mode == Mode::Silent || (this->proxy.mode == Mode::OneWay && isFromClient);
+        return this->proxy.mode == Mode::Blackhole || (this->proxy.mode == Mode::OneWay && isFromClient);
     }
 
-    bufferevent *otherOf(const bufferevent *from) const
+    bufferevent *otherSide(const bufferevent *from) const
     {
         return from == this->client ? this->server : this->client;
     }
 
-    void pass(bufferevent *from)
+    void forward(bufferevent *from)
     {
         evbuffer *const input = bufferevent_get_input(from);
-        if (this->isLost(from)) {
+        if (this->isDropped(from)) {
             evbuffer_drain(input, evbuffer_get_length(input));
             return;
         }
-        this->watchRequest(from);
-        const bool isDelayed = this->proxy.mode == Mode::Delay || (this->isHeld && from == this->server);
-        if (!isDelayed && this->delayed.empty()) {
-            bufferevent_write_buffer(this->otherOf(from), input);
+        this->detectDelayedRequest(from);
+        const bool isDelayed = this->proxy.mode == Mode::Delay || (this->isResponseDelayed && from == this->server);
+        if (!isDelayed && this->delayedActions.empty()) {
+            bufferevent_write_buffer(this->otherSide(from), input);
             return;
         }
         std::string bytes(evbuffer_get_length(input), '\0');
         evbuffer_remove(input, bytes.data(), bytes.size());
-        // Later parts wait for those that are delayed, so that the order stays.
-        const std::chrono::milliseconds hold = isDelayed && this->isHeld ? this->proxy.holdTime : std::chrono::milliseconds(0);
-        this->delayed.push_back([bytes = std::move(bytes), to = this->otherOf(from)] {
+        // Later chunks queue behind the delayed ones, so that the order is preserved.
+        const std::chrono::milliseconds extraDelay
+            = isDelayed && this->isResponseDelayed ? this->proxy.responseDelay : std::chrono::milliseconds(0);
+        this->delayedActions.push_back([bytes = std::move(bytes), to = this->otherSide(from)] {
             bufferevent_write(to, bytes.data(), bytes.size());
         });
-        // Timers that end close to each other may come in another order than they were set.
-        this->later(
+        // Timers that expire close to each other may fire in another order than they were set, so each runs the oldest action.
+        this->scheduleAction(
             [](Link &link) {
-                if (link.delayed.empty()) {
+                if (link.delayedActions.empty()) {
                     return;
                 }
-                const std::function<void()> first = std::move(link.delayed.front());
-                link.delayed.pop_front();
-                first();
+                const std::function<void()> oldest = std::move(link.delayedActions.front());
+                link.delayedActions.pop_front();
+                oldest();
             },
-            hold);
+            extraDelay);
     }
 
-    /** Whether the answers to come are those that are held back. */
-    void watchRequest(const bufferevent *from)
+    /** Updates whether the following responses are delayed, if the client's data begins with a request line. */
+    void detectDelayedRequest(const bufferevent *from)
     {
         if (from != this->client) {
             return;
@@ -133,37 +134,38 @@
         if (line.pos < 0) {
             return;
         }
-        std::string first(static_cast<std::size_t>(line.pos), '\0');
-        evbuffer_copyout(input, first.data(), first.size());
-        if (first.ends_with(" HTTP/1.1")) {
-            this->isHeld = !this->proxy.heldText.empty() && first.find(this->proxy.heldText) != std::string::npos;
+        std::string firstLine(static_cast<std::size_t>(line.pos), '\0');
+        evbuffer_copyout(input, firstLine.data(), firstLine.size());
+        if (firstLine.ends_with(" HTTP/1.1")) {
+            this->isResponseDelayed
+                = !this->proxy.delayedRequestText.empty() && firstLine.find(this->proxy.delayedRequestText) != std::string::npos;
         }
     }
 
     void end(const bufferevent *from, bool isReset)
     {
-        if (this->isLost(from)) {
+        if (this->isDropped(from)) {
             return;
         }
         if (isReset) {
             this->reset();
         }
-        // What was passed on before leaves first: a moment is enough on loopback.
-        this->later([](Link &link) {
-            for (const std::function<void()> &part : std::exchange(link.delayed, {})) {
-                part();
+        // Data that was forwarded before is sent first: the minimum delay is enough on loopback.
+        this->scheduleAction([](Link &link) {
+            for (const std::function<void()> &action : std::exchange(link.delayedActions, {})) {
+                action();
             }
-            link.later([](Link &over) {
-                over.proxy.links.erase(over.shared_from_this());
+            link.scheduleAction([](Link &closing) {
+                closing.proxy.links.erase(closing.shared_from_this());
             });
         });
     }
 
-    void later(std::function<void(Link &)> action, std::chrono::milliseconds hold = std::chrono::milliseconds(0))
+    void scheduleAction(std::function<void(Link &)> action, std::chrono::milliseconds extraDelay = std::chrono::milliseconds(0))
     {
-        constexpr std::chrono::milliseconds moment{5};
+        constexpr std::chrono::milliseconds minDelay{5};
         const auto now = std::chrono::steady_clock::now();
-        this->due = std::max(this->due + std::chrono::milliseconds(1), now + this->proxy.delay + hold + moment);
+        this->due = std::max(this->due + std::chrono::milliseconds(1), now + this->proxy.delay + extraDelay + minDelay);
         const auto delay = std::chrono::ceil<std::chrono::milliseconds>(this->due - now);
         this->proxy.loop.schedule(delay, [weak = this->weak_from_this(), action = std::move(action)] {
             if (const std::shared_ptr<Link> link = weak.lock()) {
@@ -175,15 +177,15 @@
     FaultProxy &proxy;
     bufferevent *client = nullptr;
     bufferevent *server = nullptr;
-    std::deque<std::function<void()>> delayed;
-    bool isHeld = false;
+    std::deque<std::function<void()>> delayedActions;
+    bool isResponseDelayed = false;
     std::chrono::steady_clock::time_point due;
 };
 
 FaultProxy::FaultProxy(EventLoop &loop, const Address &target) : loop(loop), target(target)
 {
     if (!this->listen({"127.0.0.1", 0})) {
-        throw std::runtime_error("no port for a proxy");
+        throw std::runtime_error("cannot listen on a port for a fault proxy");
     }
 }
 
@@ -203,7 +205,7 @@
     sockaddr_in bound{};
     socklen_t size = sizeof(bound);
     getsockname(evconnlistener_get_fd(this->listener), reinterpret_cast<sockaddr *>(&bound), &size);
-    this->own = {"127.0.0.1", ntohs(bound.sin_port)};
+    this->listenAddress = {"127.0.0.1", ntohs(bound.sin_port)};
     return true;
 }
 
@@ -223,14 +225,14 @@
 
 void FaultProxy::resume()
 {
-    if (this->listener == nullptr && !this->listen(this->own) && !this->listen({"127.0.0.1", 0})) {
-        throw std::runtime_error("no port for a proxy");
+    if (this->listener == nullptr && !this->listen(this->listenAddress) && !this->listen({"127.0.0.1", 0})) {
+        throw std::runtime_error("cannot listen on a port for a fault proxy");
     }
 }
 
 const Address &FaultProxy::address() const
 {
-    return this->own;
+    return this->listenAddress;
 }
 
 void FaultProxy::setMode(Mode mode, std::chrono::milliseconds delay)
@@ -250,10 +252,10 @@
     this->links.clear();
 }
 
-void FaultProxy::holdBack(const std::string &text, std::chrono::milliseconds delay)
+void FaultProxy::delayResponses(const std::string &text, std::chrono::milliseconds delay)
 {
-    this->heldText = text;
-    this->holdTime = delay;
+    this->delayedRequestText = text;
+    this->responseDelay = delay;
 }
 
 void FaultProxy::onAccept(evconnlistener *, int descriptor, sockaddr *, int, void *self)
--- a/Tests/Soak/FaultProxy.h
+++ b/Tests/Soak/FaultProxy.h
@@ -15,21 +15,21 @@
 namespace Dogwoodkeel
 {
 
-/** Stands between a process and what it connects to, and does to the connections what a bad network does. */
+/** Forwards TCP connections to a target and injects network faults: delays, resets, lost data and refused connections. */
 class FaultProxy
 {
 public:
-    /** What becomes of bytes. */
+    /** What happens to the data that passes through the proxy. */
     enum class Mode {
         Pass,
-        /** They come later. */
+        /** Data is forwarded after a delay. */
         Delay,
-        /** Connections are reset, now and when they are made. */
+        /** Open connections are reset, and new ones as soon as they are accepted. */
         Reset,
-        /** What the client sends is lost; what the server sends arrives. */
+        /** Data from the client is dropped; data from the server is forwarded. */
         OneWay,
-        /** Nothing arrives, and nobody is told. */
-        Silent,
+        /** Data in both directions is dropped, and connections are neither closed nor reset. */
+        Blackhole,
     };
 
     FaultProxy(EventLoop &loop, const Address &target);
@@ -37,20 +37,23 @@
     FaultProxy(const FaultProxy &) = delete;
     FaultProxy &operator=(const FaultProxy &) = delete;
 
-    /** @return where to connect instead. */
+    /** @return the address that clients connect to instead of the target. */
     const Address &address() const;
 
-    /** @param delay of each part, with Delay */
+    /** @param delay of each chunk of data in mode Delay */
     void setMode(Mode mode, std::chrono::milliseconds delay = std::chrono::milliseconds(0));
 
-    /** The process behind it ends: connections are reset, and new ones refused. */
+    /** Simulates the end of the target process: resets all connections and refuses new ones. */
     void stop();
 
-    /** It is there again, at the same address if that is free. */
+    /** Accepts connections again, at the same address if that is free, otherwise at another port. */
     void resume();
 
-    /** Bring answers to requests that name this text in their first line so much later. @param text none if empty */
-    void holdBack(const std::string &text, std::chrono::milliseconds delay);
+    /**
+     * Delays responses to HTTP requests whose request line contains a text.
+     * @param text delays none if empty
+     */
+    void delayResponses(const std::string &text, std::chrono::milliseconds delay);
 
 private:
     class Link;
@@ -61,11 +64,11 @@
 
     EventLoop &loop;
     Address target;
-    Address own;
+    Address listenAddress;
     Mode mode = Mode::Pass;
     std::chrono::milliseconds delay{0};
-    std::string heldText;
-    std::chrono::milliseconds holdTime{0};
+    std::string delayedRequestText;
+    std::chrono::milliseconds responseDelay{0};
     evconnlistener *listener = nullptr;
     std::set<std::shared_ptr<Link>> links;
 };
--- a/Tests/Soak/PeerCut.cpp
+++ b/Tests/Soak/PeerPartition.cpp
@@ -1,4 +1,4 @@
-#include <Tests/Soak/PeerCut.h>
+#include <Tests/Soak/PeerPartition.h>
 
 #include <LibBase/Address.h>
 #include <LibTask/Sockets.h>
@@ -24,25 +24,25 @@
 namespace
 {
 
-/** Where an IPv4 header has the address of the sender. */
-constexpr std::uint32_t senderPlace = static_cast<std::uint32_t>(SKF_NET_OFF) + 12;
+/** Offset of the source address in an IPv4 header. */
+constexpr std::uint32_t senderAddressOffset = static_cast<std::uint32_t>(SKF_NET_OFF) + 12;
 
-std::uint32_t numberOf(const std::string &ip)
+std::uint32_t toHostOrder(const std::string &ip)
 {
     return ntohl(socketAddress({ip, 0}).sin_addr.s_addr);
 }
 
 } // namespace
 
-/** A second descriptor of a socket of another process. */
-class PeerCut::Socket
+/** A duplicate of a socket descriptor of another process. */
+class PeerPartition::Socket
 {
 public:
     explicit Socket(int descriptor) : descriptor(descriptor)
     {
         socklen_t size = sizeof(this->type);
         getsockopt(descriptor, SOL_SOCKET, SO_TYPE, &this->type, &size);
-        this->own = boundAddress(descriptor);
+        this->local = boundAddress(descriptor);
         sockaddr_in remote{};
         size = sizeof(remote);
         if (getpeername(descriptor, reinterpret_cast<sockaddr *>(&remote), &size) == 0 && remote.sin_family == AF_INET) {
@@ -58,7 +58,7 @@
     Socket(const Socket &) = delete;
     Socket &operator=(const Socket &) = delete;
 
-    /** @return the sockets of a process, as far as they still are there. */
+    /** @return the sockets of a process; those that are closed meanwhile are skipped. */
     static std::deque<Socket> of(pid_t pid)
     {
         std::deque<Socket> sockets;
@@ -79,7 +79,7 @@
             } else if (errno != EBADF && errno != ESRCH) {
                 const int error = errno;
                 close(process);
-                throw std::system_error(error, std::generic_category(), "cannot reach the sockets of a node");
+                throw std::system_error(error, std::generic_category(), "cannot duplicate a socket of a node");
             }
         }
         close(process);
@@ -91,88 +91,88 @@
         return this->type == SOCK_DGRAM;
     }
 
-    const Address &ownAddress() const
+    const Address &localAddress() const
     {
-        return this->own;
+        return this->local;
     }
 
-    /** @return the other end, if it is connected. */
+    /** @return the remote address, if the socket is connected. */
     const std::optional<Address> &remoteAddress() const
     {
         return this->remote;
     }
 
-    /** Drop what comes from these addresses; with none, let all through. */
+    /** Drops packets from these addresses; an empty list drops nothing. */
     void dropFrom(const std::vector<std::uint32_t> &senders) const
     {
         std::vector<sock_filter> program;
         for (const std::uint32_t sender : senders) {
-            program.push_back(BPF_STMT(BPF_LD | BPF_W | BPF_ABS, senderPlace));
+            program.push_back(BPF_STMT(BPF_LD | BPF_W | BPF_ABS, senderAddressOffset));
             program.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, sender, 0, 1));
             program.push_back(BPF_STMT(BPF_RET | BPF_K, 0));
         }
         program.push_back(BPF_STMT(BPF_RET | BPF_K, UINT32_MAX));
-        this->filter(std::move(program));
+        this->attachFilter(std::move(program));
     }
 
     void dropAll() const
     {
-        this->filter({BPF_STMT(BPF_RET | BPF_K, 0)});
+        this->attachFilter({BPF_STMT(BPF_RET | BPF_K, 0)});
     }
 
-    void pass() const
+    void removeFilter() const
     {
         const int none = 0;
         setsockopt(this->descriptor, SOL_SOCKET, SO_DETACH_FILTER, &none, sizeof(none));
     }
 
 private:
-    void filter(std::vector<sock_filter> program) const
+    void attachFilter(std::vector<sock_filter> program) const
     {
         const sock_fprog attached{static_cast<unsigned short>(program.size()), program.data()};
         if (setsockopt(this->descriptor, SOL_SOCKET, SO_ATTACH_FILTER, &attached, sizeof(attached)) != 0) {
-            throw std::system_error(errno, std::generic_category(), "no filter for a node's socket");
+            throw std::system_error(errno, std::generic_category(), "cannot attach a filter to a socket of a node");
         }
     }
 
     int descriptor;
     int type = 0;
-    Address own;
+    Address local;
     std::optional<Address> remote;
 };
 
-PeerCut::PeerCut(std::uint16_t port) : port(port)
+PeerPartition::PeerPartition(std::uint16_t port) : port(port)
 {
 }
 
-void PeerCut::apply(const std::vector<Peer> &peers, const std::set<Pair> &pairs)
+void PeerPartition::apply(const std::vector<Peer> &peers, const std::set<Pair> &pairs)
 {
-    std::set<std::size_t> concerned = std::exchange(this->filtered, {});
+    std::set<std::size_t> affected = std::exchange(this->filteredReceivers, {});
     for (const auto &[sender, receiver] : pairs) {
-        concerned.insert({sender, receiver});
-        this->filtered.insert(receiver);
+        affected.insert({sender, receiver});
+        this->filteredReceivers.insert(receiver);
     }
     std::map<std::size_t, std::deque<Socket>> sockets;
-    // A connection's first end has an address of its own choice; only its port tells the second end who that is.
-    std::map<std::uint16_t, std::size_t> opened;
-    for (const std::size_t peer : concerned) {
+    // The opener of a connection uses an ephemeral port, so the accepting side identifies the opener by that port.
+    std::map<std::uint16_t, std::size_t> openers;
+    for (const std::size_t peer : affected) {
         if (peers[peer].pid <= 0) {
             continue;
         }
         for (const Socket &socket : sockets[peer] = Socket::of(peers[peer].pid)) {
             if (!socket.isDatagram() && socket.remoteAddress() && socket.remoteAddress()->port == this->port) {
-                opened[socket.ownAddress().port] = peer;
+                openers[socket.localAddress().port] = peer;
             }
         }
     }
     for (const auto &each : sockets) {
         const std::size_t receiver = each.first;
         std::vector<std::size_t> senders;
-        std::vector<std::uint32_t> numbers;
+        std::vector<std::uint32_t> senderNumbers;
         for (const auto &[sender, to] : pairs) {
             if (to == receiver) {
                 senders.push_back(sender);
-                numbers.push_back(numberOf(peers[sender].ip));
+                senderNumbers.push_back(toHostOrder(peers[sender].ip));
             }
         }
         const auto isFrom = [&](const Socket &socket, std::size_t sender) {
@@ -180,17 +180,17 @@
             if (remote.port == this->port) {
                 return remote.ip == peers[sender].ip;
             }
-            const auto opener = opened.find(remote.port);
-            return socket.ownAddress().port == this->port && opener != opened.end() && opener->second == sender;
+            const auto opener = openers.find(remote.port);
+            return socket.localAddress().port == this->port && opener != openers.end() && opener->second == sender;
         };
         for (const Socket &socket : each.second) {
-            if (socket.isDatagram() && socket.ownAddress().port == this->port) {
-                numbers.empty() ? socket.pass() : socket.dropFrom(numbers);
+            if (socket.isDatagram() && socket.localAddress().port == this->port) {
+                senderNumbers.empty() ? socket.removeFilter() : socket.dropFrom(senderNumbers);
             } else if (!socket.isDatagram() && socket.remoteAddress()) {
-                const bool isCut = std::ranges::any_of(senders, [&](std::size_t sender) {
+                const bool isDropped = std::ranges::any_of(senders, [&](std::size_t sender) {
                     return isFrom(socket, sender);
                 });
-                isCut ? socket.dropAll() : socket.pass();
+                isDropped ? socket.dropAll() : socket.removeFilter();
             }
         }
     }
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -1,10 +1,10 @@
-// Runs nodes as processes of their own, injects faults from outside them as a seed says, and holds what callers and replicas
-// see against what was promised to them.
+// Runs nodes as separate processes, injects faults from outside in an order determined by a seed, and checks what callers and
+// replicas observe against the guarantees of the software.
 
 #include <Benchmarks/Support/LocalFleet.h>
 #include <LibTask/TaskHost.h>
 #include <Tests/Soak/Disturbances.h>
-#include <Tests/Soak/PeerCut.h>
+#include <Tests/Soak/PeerPartition.h>
 #include <Tests/Soak/SoakCaller.h>
 #include <Tests/Soak/SoakWorld.h>
 
@@ -34,17 +34,18 @@
 #include <nlohmann/json.hpp>
 
 DEFINE_string(programs, "build", "folder with the build's programs");
-DEFINE_uint32(seed, 1, "what faults come, and when");
-DEFINE_uint32(seconds, 20, "how long faults come");
-DEFINE_uint32(nodes, 4, "node processes");
-DEFINE_uint32(replicas, 6, "stand-in replicas; one in three is a plain service");
-DEFINE_uint32(callers, 12, "callers at once");
-DEFINE_uint32(enders, 3, "callers that submit large jobs and end most of them; with all kinds of faults only");
-DEFINE_uint32(crashers,
-              0,
-              "callers whose requests crash what runs them, two with the same; only replicas meet other faults then");
-DEFINE_bool(upgrade_in_place, false, "replicas that start again under their names have another version of their software");
-DEFINE_uint32(kinds, 26, "kinds of faults; a seed that was found with fewer of them is played with as many as then");
+DEFINE_uint32(seed, 1, "seed of the random faults and their times");
+DEFINE_uint32(seconds, 20, "duration of the fault injection in seconds");
+DEFINE_uint32(nodes, 4, "number of node processes");
+DEFINE_uint32(replicas, 6, "number of stand-in replicas; one in three is a plain service");
+DEFINE_uint32(callers, 12, "number of concurrent callers");
+DEFINE_uint32(enders, 3, "number of callers that submit large jobs and end most of them; only with more than 14 kinds of faults");
+DEFINE_uint32(
+    crashers,
+    0,
+    "number of callers whose requests crash the replicas; two each share a content; other faults affect only replicas then");
+DEFINE_bool(upgrade_in_place, false, "restart replicas with the other version of their software");
+DEFINE_uint32(kinds, 26, "number of kinds of faults; a seed found with fewer kinds is reproduced only with that number");
 
 using namespace Dogwoodkeel;
 
@@ -53,49 +54,50 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds shortestFault{100};
-constexpr std::chrono::milliseconds longestFault{3500};
-constexpr std::chrono::milliseconds longestPause{900};
-/** Everything is back this long after the last fault; what callers were promised holds from then on. */
-constexpr std::chrono::seconds recovery{12};
+constexpr std::chrono::milliseconds minFaultTime{100};
+constexpr std::chrono::milliseconds maxFaultTime{3500};
+constexpr std::chrono::milliseconds maxPause{900};
+/** All components have recovered this long after the last fault; all guarantees to callers hold from then on. */
+constexpr std::chrono::seconds recoveryTime{12};
 constexpr std::chrono::seconds jobTimeout{60};
-/** A node ends by itself this long after SIGTERM: the grace of its settings, and a busy machine. */
+/** Limit for a node to exit after SIGTERM: the grace period of its settings, plus time for a busy machine. */
 constexpr std::chrono::seconds stopTimeout{20};
-/** Items of a job may reach replicas for so long after its end was acknowledged. */
+/** Items of a job may still reach replicas for this long after the end of the job was acknowledged. */
 constexpr std::chrono::seconds jobEndBound{3};
-/** A disturbance counts for so long after its end. */
-constexpr std::chrono::seconds disturbedFor{4};
-constexpr std::chrono::milliseconds shortestCut{4000};
-constexpr std::chrono::milliseconds longestCut{12000};
-/** With fewer kinds of faults there are no callers that end large jobs. */
+/** A disturbance is considered effective for this long after its end. */
+constexpr std::chrono::seconds disturbanceMargin{4};
+constexpr std::chrono::milliseconds minPartitionTime{4000};
+constexpr std::chrono::milliseconds maxPartitionTime{12000};
+/** Up to this number of kinds of faults there are no callers that end large jobs. */
 constexpr std::uint32_t kindsWithoutEnders = 14;
-/** After so many crashes, and so long for all nodes to know, a content may reach replicas so many times more. */
+/** After this number of crashes, and the time for all nodes to learn of them, a content may reach replicas a few more times. */
 constexpr std::size_t crashesToRefuse = 3;
-constexpr std::chrono::seconds crashesSettle{3};
-constexpr std::size_t runsAfterwards = 3;
-/** The kinds of faults that only replicas meet: nodes and store are then undisturbed all the while. */
+constexpr std::chrono::seconds crashPropagationTime{3};
+constexpr std::size_t maxRunsAfterRefusal = 3;
+/** Kinds of faults that affect only replicas; nodes and the store stay undisturbed. */
 constexpr std::array replicaFaults{6u, 10u, 12u, 13u, 21u};
-constexpr std::size_t mostPeersCut = 8;
-constexpr const char *storeParty = "store";
-constexpr double servedAfter = 0.9;
-constexpr int probes = 40;
+constexpr std::size_t maxPeersCut = 8;
+constexpr const char *storeComponent = "store";
+constexpr double minServedShare = 0.9;
+constexpr int probeCount = 40;
 constexpr std::uint16_t peerPort = 7601;
 constexpr std::uint16_t readyPort = 7602;
 
-/** @return a time as the nodes' logs have it, up to the microseconds. */
+/** @return a time in the format of the nodes' logs, with microseconds. */
 std::string logTime(std::chrono::system_clock::time_point time)
 {
     const auto second = std::chrono::floor<std::chrono::seconds>(time);
-    const auto rest = std::chrono::floor<std::chrono::microseconds>(time - second);
+    const auto fraction = std::chrono::floor<std::chrono::microseconds>(time - second);
     const std::time_t whole = std::chrono::system_clock::to_time_t(second);
     std::tm parts{};
     localtime_r(&whole, &parts);
     std::array<char, 40> text{};
     const std::size_t size = std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S.", &parts);
-    std::snprintf(text.data() + size, text.size() - size, "%06lld", static_cast<long long>(rest.count()));
+    std::snprintf(text.data() + size, text.size() - size, "%06lld", static_cast<long long>(fraction.count()));
     return text.data();
 }
 
+/** One run: starts nodes, callers and replicas, injects faults, and checks the guarantees afterwards. */
 class Soak
 {
 public:
@@ -103,7 +105,7 @@
         : fleet(FLAGS_programs)
         , world("world", this->record, this->crashes, FLAGS_nodes, FLAGS_replicas)
         , random(FLAGS_seed)
-        , cut(peerPort)
+        , peerPartition(peerPort)
     {
         for (std::uint32_t node = 0; node < FLAGS_nodes; ++node) {
             this->addresses.push_back(this->fleet.nextAddress());
@@ -113,7 +115,7 @@
         }
     }
 
-    /** @return whether all promises were kept. */
+    /** @return whether no guarantee was violated. */
     bool run()
     {
         std::vector<std::thread> threads;
@@ -132,20 +134,21 @@
         for (std::uint32_t number = 0; number < FLAGS_crashers; ++number) {
             threads.emplace_back([this, number] {
                 SoakCaller(this->record, this->addresses, "x" + std::to_string(number), FLAGS_seed * 1000 + 700 + number)
-                    .runCrashing(std::string(crashMark) + " " + std::to_string(FLAGS_seed) + "." + std::to_string(number / 2),
-                                 this->isStopped);
+                    .sendCrashingRequests(std::string(crashPrefix) + " " + std::to_string(FLAGS_seed) + "."
+                                              + std::to_string(number / 2),
+                                          this->isStopped);
             });
         }
-        this->passTime(Clock::now() + std::chrono::seconds(2));
+        this->runUntil(Clock::now() + std::chrono::seconds(2));
         const auto end = Clock::now() + std::chrono::seconds(FLAGS_seconds);
         while (Clock::now() < end) {
             this->injectFault();
-            this->passTime(Clock::now() + this->randomTime(std::chrono::milliseconds(0), longestPause));
+            this->runUntil(Clock::now() + this->randomTime(std::chrono::milliseconds(0), maxPause));
         }
         while (!this->pending.empty()) {
-            this->passTime(Clock::now() + longestPause);
+            this->runUntil(Clock::now() + maxPause);
         }
-        this->passTime(Clock::now() + recovery);
+        this->runUntil(Clock::now() + recoveryTime);
         this->isStopped = true;
         for (std::thread &thread : threads) {
             thread.join();
@@ -156,7 +159,7 @@
 
     void report() const
     {
-        std::printf("seed %u: %s; %u items late after the end of their jobs beside a disturbance; %s\n",
+        std::printf("seed %u: %s; %u items that reached replicas late after the end of their jobs during a disturbance; %s\n",
                     FLAGS_seed,
                     this->record.summary().c_str(),
                     this->allowedAfterEnd,
@@ -169,7 +172,7 @@
             for (const std::string &fault : this->faults) {
                 std::printf("    %s\n", fault.c_str());
             }
-            std::printf("  logs: %s and beside it\n", this->fleet.process(0).logFile.c_str());
+            std::printf("  logs: %s and other files in its folder\n", this->fleet.process(0).logFile.c_str());
         }
     }
 
@@ -183,7 +186,7 @@
         const Address &own = this->addresses[node];
         const std::string name = "node-" + std::to_string(node);
         const Address store = this->world.ask<Address>([node](SoakWorld &world) {
-            return world.storeWay(node).address();
+            return world.storeProxy(node).address();
         });
         const std::string peer = Address{own.ip, peerPort}.toString();
         const std::string settings = "[node]\nvm = \"" + name + "\"\nfailure_domain = \"z" + std::to_string(node % 3)
@@ -195,24 +198,24 @@
         this->processes.push_back(
             this->fleet.start(name, {FLAGS_programs + "/Programs/dogwoodkeel", "gateway", "--settings=" + file}, own));
         this->isDisturbed.push_back(false);
-        this->noteNode(node);
+        this->recordNodeDisturbance(node);
     }
 
-    std::chrono::milliseconds randomTime(std::chrono::milliseconds least, std::chrono::milliseconds most)
+    std::chrono::milliseconds randomTime(std::chrono::milliseconds min, std::chrono::milliseconds max)
     {
-        std::uniform_int_distribution<std::int64_t> spread(least.count(), most.count());
+        std::uniform_int_distribution<std::int64_t> spread(min.count(), max.count());
         return std::chrono::milliseconds(spread(this->random));
     }
 
-    void later(std::chrono::milliseconds delay, std::function<void()> action)
+    void scheduleAction(std::chrono::milliseconds delay, std::function<void()> action)
     {
         this->pending.emplace(Clock::now() + delay, std::move(action));
     }
 
-    /** Do what is due until then. */
-    void passTime(Clock::time_point until)
+    /** Runs the scheduled actions that fall due until a time, and applies the partitions. */
+    void runUntil(Clock::time_point until)
     {
-        constexpr std::chrono::milliseconds look{5};
+        constexpr std::chrono::milliseconds pollInterval{5};
         while (Clock::now() < until) {
             while (!this->pending.empty() && this->pending.begin()->first <= Clock::now()) {
                 const std::function<void()> action = this->pending.begin()->second;
@@ -220,25 +223,25 @@
                 action();
             }
             for (const std::string &ended : this->fleet.takeEnded()) {
-                this->record.violate(ended);
+                this->record.recordViolation(ended);
             }
-            this->renewCuts();
-            std::this_thread::sleep_for(look);
+            this->applyPartitions();
+            std::this_thread::sleep_for(pollInterval);
         }
     }
 
-    static std::string partyOf(std::uint32_t node)
+    static std::string nodeName(std::uint32_t node)
     {
         return "node-" + std::to_string(node);
     }
 
-    /** A node is disturbed, for this long from now on. */
-    void noteNode(std::uint32_t node, std::chrono::milliseconds length = std::chrono::milliseconds(0))
+    /** Records that a node is disturbed for this long from now on. */
+    void recordNodeDisturbance(std::uint32_t node, std::chrono::milliseconds length = std::chrono::milliseconds(0))
     {
-        this->disturbances.note(partyOf(node), Clock::now(), Clock::now() + length);
+        this->disturbances.add(nodeName(node), Clock::now(), Clock::now() + length);
     }
 
-    void note(const std::string &fault)
+    void recordFault(const std::string &fault)
     {
         const auto since = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - this->started);
         this->faults.push_back(std::to_string(since.count()) + " ms: " + fault);
@@ -246,7 +249,7 @@
 
     void injectFault()
     {
-        const std::chrono::milliseconds length = this->randomTime(shortestFault, longestFault);
+        const std::chrono::milliseconds length = this->randomTime(minFaultTime, maxFaultTime);
         switch (FLAGS_crashers > 0 ? replicaFaults[this->random() % replicaFaults.size()] : this->random() % FLAGS_kinds) {
         case 0:
             this->disturbNode(SIGKILL, length);
@@ -258,15 +261,15 @@
             this->disturbNode(SIGTERM, length);
             return;
         case 3:
-            this->hangUp();
+            this->sendHangUp();
             return;
         case 4:
         case 5:
-            this->disturbWay("store way", this->random() % FLAGS_nodes, length, &SoakWorld::storeWay);
+            this->disturbProxy("store proxy", this->random() % FLAGS_nodes, length, &SoakWorld::storeProxy);
             return;
         case 6:
         case 7:
-            this->disturbWay("replica way", this->random() % FLAGS_replicas, length, &SoakWorld::replicaWay);
+            this->disturbProxy("replica proxy", this->random() % FLAGS_replicas, length, &SoakWorld::replicaProxy);
             return;
         case 8:
             this->disturbStore(length);
@@ -281,32 +284,32 @@
             this->restartReplica();
             return;
         case 13:
-            this->spoilEntry(length);
+            this->corruptEntry(length);
             return;
         case 14:
         case 15:
         case 16:
-            this->cutPeers();
+            this->partitionPeers();
             return;
         case 17:
         case 18:
-            this->holdTableBack();
+            this->delayTableUpdates();
             return;
         case 19:
         case 20:
-            this->forgetHistory();
+            this->dropHistoryRepeatedly();
             return;
         case 21:
         case 22:
-            this->slowReplicas();
+            this->slowDownReplicas();
             return;
         case 23:
         case 24:
         case 25:
-            this->injectSeries();
+            this->injectSeveralFaults();
             return;
         default:
-            this->changeAll(length);
+            this->changeConfiguration(length);
             return;
         }
     }
@@ -317,90 +320,91 @@
         if (std::exchange(this->isDisturbed[node], true)) {
             return;
         }
-        this->note("signal " + std::to_string(signal) + " to node " + std::to_string(node) + " for "
-                   + std::to_string(length.count()) + " ms");
-        this->noteNode(node, length);
+        this->recordFault("signal " + std::to_string(signal) + " to node " + std::to_string(node) + " for "
+                          + std::to_string(length.count()) + " ms");
+        this->recordNodeDisturbance(node, length);
         this->fleet.signal(this->processes[node], signal);
         if (signal == SIGTERM) {
             this->awaitStop(node, Clock::now() + stopTimeout);
             return;
         }
-        this->later(length, [this, node, signal] {
+        this->scheduleAction(length, [this, node, signal] {
             if (signal == SIGSTOP) {
                 this->fleet.signal(this->processes[node], SIGCONT);
             } else {
                 this->fleet.restart(this->processes[node]);
             }
-            this->noteNode(node);
+            this->recordNodeDisturbance(node);
             this->isDisturbed[node] = false;
         });
     }
 
     void awaitStop(std::uint32_t node, Clock::time_point until)
     {
-        constexpr std::chrono::milliseconds look{30};
+        constexpr std::chrono::milliseconds pollInterval{30};
         const int status = this->fleet.waitEnd(this->processes[node], std::chrono::milliseconds(1));
-        this->noteNode(node);
+        this->recordNodeDisturbance(node);
         if (this->fleet.process(this->processes[node]).pid > 0 && Clock::now() < until) {
-            this->later(look, [this, node, until] {
+            this->scheduleAction(pollInterval, [this, node, until] {
                 this->awaitStop(node, until);
             });
             return;
         }
         if (status != 0) {
-            this->record.violate("node " + std::to_string(node) + " did not stop as planned");
+            this->record.recordViolation("node " + std::to_string(node) + " did not stop cleanly");
             this->fleet.signal(this->processes[node], SIGKILL);
         }
         this->fleet.restart(this->processes[node]);
         this->isDisturbed[node] = false;
     }
 
-    void hangUp()
+    void sendHangUp()
     {
         const std::uint32_t node = this->random() % FLAGS_nodes;
-        this->note("SIGHUP to node " + std::to_string(node));
+        this->recordFault("SIGHUP to node " + std::to_string(node));
         this->fleet.signal(this->processes[node], SIGHUP);
     }
 
-    void disturbWay(const std::string &what,
-                    std::uint32_t number,
-                    std::chrono::milliseconds length,
-                    FaultProxy &(SoakWorld::*way)(std::size_t))
+    void disturbProxy(const std::string &what,
+                      std::uint32_t number,
+                      std::chrono::milliseconds length,
+                      FaultProxy &(SoakWorld::*proxy)(std::size_t))
     {
         static constexpr FaultProxy::Mode modes[]
-            = {FaultProxy::Mode::Delay, FaultProxy::Mode::Reset, FaultProxy::Mode::OneWay, FaultProxy::Mode::Silent};
+            = {FaultProxy::Mode::Delay, FaultProxy::Mode::Reset, FaultProxy::Mode::OneWay, FaultProxy::Mode::Blackhole};
         const std::size_t kind = this->random() % std::size(modes);
         const std::chrono::milliseconds delay = this->randomTime(std::chrono::milliseconds(5), std::chrono::milliseconds(400));
-        this->note(what + ' ' + std::to_string(number) + " in mode " + std::to_string(kind + 1) + " for "
-                   + std::to_string(length.count()) + " ms");
-        if (way == &SoakWorld::storeWay) {
-            this->noteNode(number, length);
+        this->recordFault(what + ' ' + std::to_string(number) + " in mode " + std::to_string(kind + 1) + " for "
+                          + std::to_string(length.count()) + " ms");
+        if (proxy == &SoakWorld::storeProxy) {
+            this->recordNodeDisturbance(number, length);
         }
-        this->world.post([way, number, mode = modes[kind], delay](SoakWorld &world) {
-            (world.*way)(number).setMode(mode, delay);
+        this->world.post([proxy, number, mode = modes[kind], delay](SoakWorld &world) {
+            (world.*proxy)(number).setMode(mode, delay);
         });
-        this->later(length, [this, way, number] {
-            if (way == &SoakWorld::storeWay) {
-                this->noteNode(number);
+        this->scheduleAction(length, [this, proxy, number] {
+            if (proxy == &SoakWorld::storeProxy) {
+                this->recordNodeDisturbance(number);
             }
-            this->world.post([way, number](SoakWorld &world) {
-                // Connections over which bytes were lost are of no use any more: the network tells so in the end.
-                (world.*way)(number).setMode(FaultProxy::Mode::Reset);
-                (world.*way)(number).setMode(FaultProxy::Mode::Pass);
+            this->world.post([proxy, number](SoakWorld &world) {
+                // A connection that lost data can't be used any more, so it is reset, as a network would in the end.
+                (world.*proxy)(number).setMode(FaultProxy::Mode::Reset);
+                (world.*proxy)(number).setMode(FaultProxy::Mode::Pass);
             });
         });
     }
 
     void disturbStore(std::chrono::milliseconds length)
     {
-        const bool isSilent = this->random() % 2 == 0;
-        this->note(std::string("store ") + (isSilent ? "silent" : "busy") + " for " + std::to_string(length.count()) + " ms");
-        this->world.post([isSilent](SoakWorld &world) {
-            world.platform().setMood(isSilent ? StandInStore::Mood::Silent : StandInStore::Mood::Busy);
+        const bool isUnresponsive = this->random() % 2 == 0;
+        this->recordFault(std::string("store ") + (isUnresponsive ? "unresponsive" : "busy") + " for "
+                          + std::to_string(length.count()) + " ms");
+        this->world.post([isUnresponsive](SoakWorld &world) {
+            world.platform().setMood(isUnresponsive ? StandInStore::Mood::Silent : StandInStore::Mood::Busy);
         });
-        this->disturbances.note(storeParty, Clock::now(), Clock::now() + length);
-        this->later(length, [this] {
-            this->disturbances.note(storeParty, Clock::now(), Clock::now());
+        this->disturbances.add(storeComponent, Clock::now(), Clock::now() + length);
+        this->scheduleAction(length, [this] {
+            this->disturbances.add(storeComponent, Clock::now(), Clock::now());
             this->world.post([](SoakWorld &world) {
                 world.platform().setMood(StandInStore::Mood::Serving);
             });
@@ -410,9 +414,9 @@
     void disturbWrites()
     {
         const std::size_t count = 1 + this->random() % 8;
-        const std::chrono::milliseconds delay = this->randomTime(std::chrono::milliseconds(50), longestFault);
+        const std::chrono::milliseconds delay = this->randomTime(std::chrono::milliseconds(50), maxFaultTime);
         const unsigned kind = this->random() % 3;
-        this->note("kind " + std::to_string(kind) + " of disturbed writes, " + std::to_string(count));
+        this->recordFault("kind " + std::to_string(kind) + " of disturbed writes, " + std::to_string(count));
         this->world.post([count, delay, kind](SoakWorld &world) {
             if (kind == 0) {
                 world.platform().rows().loseAnswers(count);
@@ -427,11 +431,11 @@
     void drainReplica(std::chrono::milliseconds length)
     {
         const std::uint32_t replica = this->random() % FLAGS_replicas;
-        this->note("replica " + std::to_string(replica) + " leaves for " + std::to_string(length.count()) + " ms");
+        this->recordFault("replica " + std::to_string(replica) + " is draining for " + std::to_string(length.count()) + " ms");
         this->world.post([replica](SoakWorld &world) {
             world.registerReplica(replica, "draining");
         });
-        this->later(length, [this, replica] {
+        this->scheduleAction(length, [this, replica] {
             this->world.post([replica](SoakWorld &world) {
                 world.registerReplica(replica, "ready");
             });
@@ -441,162 +445,165 @@
     void restartReplica()
     {
         const std::uint32_t replica = this->random() % FLAGS_replicas;
-        this->note("replica " + std::to_string(replica) + " starts again under its name");
+        this->recordFault("replica " + std::to_string(replica) + " restarts under the same name");
         this->world.post([replica](SoakWorld &world) {
-            world.restartReplica(replica, FLAGS_upgrade_in_place ? SoakWorld::Restart::Upgraded : SoakWorld::Restart::AsItWas);
+            world.restartReplica(replica,
+                                 FLAGS_upgrade_in_place ? SoakWorld::Restart::Upgraded : SoakWorld::Restart::SameVersion);
         });
     }
 
-    void spoilEntry(std::chrono::milliseconds length)
+    void corruptEntry(std::chrono::milliseconds length)
     {
         static constexpr const char *texts[] = {"\xff\xfe", "{}", R"({"service":"llm","slots":1e99})", "[[[[", ""};
         const std::uint32_t replica = this->random() % FLAGS_replicas;
         const std::string text = texts[this->random() % std::size(texts)];
-        this->note("entry of replica " + std::to_string(replica) + " spoilt for " + std::to_string(length.count()) + " ms");
+        this->recordFault("entry of replica " + std::to_string(replica) + " corrupted for " + std::to_string(length.count())
+                          + " ms");
         this->world.post([replica, text](SoakWorld &world) {
-            world.spoilEntry(replica, text);
+            world.corruptEntry(replica, text);
         });
-        this->later(length, [this, replica] {
+        this->scheduleAction(length, [this, replica] {
             this->world.post([replica](SoakWorld &world) {
                 world.registerReplica(replica, "ready");
             });
         });
     }
 
-    /** A new configuration; one time in three, all nodes are killed just after it. */
-    void changeAll(std::chrono::milliseconds length)
+    /** Writes a new configuration; in one of three cases, all nodes are killed right after it. */
+    void changeConfiguration(std::chrono::milliseconds length)
     {
-        this->note("new configuration");
+        this->recordFault("new configuration");
         this->world.post([](SoakWorld &world) {
             world.configure();
         });
         if (this->random() % 3 != 0) {
             return;
         }
-        this->note("all nodes are killed for " + std::to_string(length.count()) + " ms");
+        this->recordFault("all nodes are killed for " + std::to_string(length.count()) + " ms");
         for (std::uint32_t node = 0; node < FLAGS_nodes; ++node) {
             if (std::exchange(this->isDisturbed[node], true)) {
                 continue;
             }
-            this->noteNode(node, length);
+            this->recordNodeDisturbance(node, length);
             this->fleet.signal(this->processes[node], SIGKILL);
-            this->later(length, [this, node] {
+            this->scheduleAction(length, [this, node] {
                 this->fleet.restart(this->processes[node]);
-                this->noteNode(node);
+                this->recordNodeDisturbance(node);
                 this->isDisturbed[node] = false;
             });
         }
     }
 
-    /** Some nodes lose one, or it loses them, or both; all of them reach the store. */
-    void cutPeers()
+    /** Partitions one node from some others, in one or both directions; all of them still reach the store. */
+    void partitionPeers()
     {
-        const std::uint32_t one = this->random() % FLAGS_nodes;
-        const std::size_t count = 1 + this->random() % std::min<std::size_t>(FLAGS_nodes, mostPeersCut);
+        const std::uint32_t target = this->random() % FLAGS_nodes;
+        const std::size_t count = 1 + this->random() % std::min<std::size_t>(FLAGS_nodes, maxPeersCut);
         const unsigned direction = this->random() % 3;
-        const std::chrono::milliseconds length = this->randomTime(shortestCut, longestCut);
-        std::set<PeerCut::Pair> pairs;
+        const std::chrono::milliseconds length = this->randomTime(minPartitionTime, maxPartitionTime);
+        std::set<PeerPartition::Pair> pairs;
         std::string others;
         for (std::size_t number = 0; number < count; ++number) {
             const std::uint32_t other = this->random() % FLAGS_nodes;
-            if (other == one) {
+            if (other == target) {
                 continue;
             }
             others += ' ' + std::to_string(other);
             if (direction != 0) {
-                pairs.emplace(one, other);
+                pairs.emplace(target, other);
             }
             if (direction != 1) {
-                pairs.emplace(other, one);
+                pairs.emplace(other, target);
             }
         }
-        static constexpr const char *directions[] = {" hears nothing of", " isn't heard by", " is cut off from"};
-        this->note("node " + std::to_string(one) + directions[direction] + others + " for " + std::to_string(length.count())
-                   + " ms");
-        const auto made = this->cuts.insert(this->cuts.end(), std::move(pairs));
-        this->later(length, [this, made] {
-            this->cuts.erase(made);
+        static constexpr const char *directions[] = {" receives nothing from", " sends nothing to", " is partitioned from"};
+        this->recordFault("node " + std::to_string(target) + directions[direction] + others + " for "
+                          + std::to_string(length.count()) + " ms");
+        const auto added = this->partitions.insert(this->partitions.end(), std::move(pairs));
+        this->scheduleAction(length, [this, added] {
+            this->partitions.erase(added);
         });
     }
 
-    /** Connections come and go while nodes are cut off. */
-    void renewCuts()
+    /** Applies the partitions at regular intervals, because connections are opened and closed meanwhile. */
+    void applyPartitions()
     {
         constexpr std::chrono::milliseconds interval{50};
-        if (Clock::now() < this->cutsRenewed + interval) {
+        if (Clock::now() < this->partitionsApplied + interval) {
             return;
         }
-        this->cutsRenewed = Clock::now();
-        std::set<PeerCut::Pair> pairs;
-        for (const std::set<PeerCut::Pair> &some : this->cuts) {
-            pairs.insert(some.begin(), some.end());
+        this->partitionsApplied = Clock::now();
+        std::set<PeerPartition::Pair> pairs;
+        for (const std::set<PeerPartition::Pair> &partition : this->partitions) {
+            pairs.insert(partition.begin(), partition.end());
         }
-        std::vector<PeerCut::Peer> peers;
+        std::vector<PeerPartition::Peer> peers;
         for (std::uint32_t node = 0; node < FLAGS_nodes; ++node) {
             peers.push_back({this->fleet.process(this->processes[node]).pid, this->addresses[node].ip});
         }
         try {
-            this->cut.apply(peers, pairs);
+            this->peerPartition.apply(peers, pairs);
         } catch (const std::system_error &failure) {
-            this->record.violate(std::string("nodes aren't cut off: ") + failure.what());
+            this->record.recordViolation(std::string("cannot partition nodes: ") + failure.what());
         }
     }
 
-    /** A node follows a table through something that lags. Its other calls to the store go on as ever. */
-    void holdTableBack()
+    /** Delays the updates of one table to a node. Its other calls to the store are not delayed. */
+    void delayTableUpdates()
     {
         static constexpr const char *tables[] = {"jobs-open", "jobs-open", "servers", "nodes"};
         const std::uint32_t node = this->random() % FLAGS_nodes;
         const std::string table = tables[this->random() % std::size(tables)];
         const std::chrono::milliseconds delay = this->randomTime(std::chrono::milliseconds(300), std::chrono::milliseconds(4000));
-        const std::chrono::milliseconds length = this->randomTime(shortestCut, longestCut);
-        this->note("table " + table + " comes " + std::to_string(delay.count()) + " ms late to node " + std::to_string(node)
-                   + " for " + std::to_string(length.count()) + " ms");
+        const std::chrono::milliseconds length = this->randomTime(minPartitionTime, maxPartitionTime);
+        this->recordFault("updates of table " + table + " arrive " + std::to_string(delay.count()) + " ms late to node "
+                          + std::to_string(node) + " for " + std::to_string(length.count()) + " ms");
         this->world.post([node, table, delay](SoakWorld &world) {
-            world.storeWay(node).holdBack("/rows-feed?table=" + table + '&', delay);
+            world.storeProxy(node).delayResponses("/rows-feed?table=" + table + '&', delay);
         });
-        this->later(length, [this, node] {
+        this->scheduleAction(length, [this, node] {
             this->world.post([node](SoakWorld &world) {
-                world.storeWay(node).holdBack({}, std::chrono::milliseconds(0));
+                world.storeProxy(node).delayResponses({}, std::chrono::milliseconds(0));
             });
         });
     }
 
-    /** The store drops its history several times, while rows change. */
-    void forgetHistory()
+    /** Makes the store drop its history several times while rows change. */
+    void dropHistoryRepeatedly()
     {
         const unsigned count = 2 + this->random() % 6;
-        this->note("history dropped " + std::to_string(count) + " times");
+        this->recordFault("history dropped " + std::to_string(count) + " times");
         std::chrono::milliseconds delay{0};
         for (unsigned time = 0; time < count; ++time) {
-            this->later(delay, [this] {
+            this->scheduleAction(delay, [this] {
                 this->world.post([](SoakWorld &world) {
                     world.platform().rows().dropHistory();
                 });
             });
-            delay += this->randomTime(std::chrono::milliseconds(20), longestPause);
+            delay += this->randomTime(std::chrono::milliseconds(20), maxPause);
         }
     }
 
-    /** All replicas generate slowly, so that places are scarce. */
-    void slowReplicas()
+    /** Makes all replicas generate slowly, so that slots are scarce. */
+    void slowDownReplicas()
     {
-        const std::chrono::milliseconds pause = this->randomTime(std::chrono::milliseconds(60), std::chrono::milliseconds(200));
-        const std::chrono::milliseconds length = this->randomTime(shortestCut, longestCut);
-        this->note("replicas pause " + std::to_string(pause.count()) + " ms before each event for "
-                   + std::to_string(length.count()) + " ms");
-        this->world.post([pause](SoakWorld &world) {
-            world.setEventPause(pause);
+        const std::chrono::milliseconds interval
+            = this->randomTime(std::chrono::milliseconds(60), std::chrono::milliseconds(200));
+        const std::chrono::milliseconds length = this->randomTime(minPartitionTime, maxPartitionTime);
+        this->recordFault("replicas pause " + std::to_string(interval.count()) + " ms before each event for "
+                          + std::to_string(length.count()) + " ms");
+        this->world.post([interval](SoakWorld &world) {
+            world.setEventInterval(interval);
         });
-        this->later(length, [this] {
+        this->scheduleAction(length, [this] {
             this->world.post([](SoakWorld &world) {
-                world.setEventPause(usualEventPause);
+                world.setEventInterval(defaultEventInterval);
             });
         });
     }
 
-    /** Several faults at the same moment. */
-    void injectSeries()
+    /** Injects several faults at the same time. */
+    void injectSeveralFaults()
     {
         const unsigned count = 2 + this->random() % 3;
         for (unsigned number = 0; number < count; ++number) {
@@ -604,7 +611,7 @@
         }
     }
 
-    /** The last sending of an item before a moment, as the nodes' logs tell. */
+    /** A line of a node's log about the sending of an item. */
     struct Sending
     {
         std::string node;
@@ -612,7 +619,8 @@
         std::string time;
     };
 
-    std::optional<Sending> sendingOf(const SoakRecord::LateItem &item) const
+    /** @return the last sending of an item before it reached the replica, according to the nodes' logs. */
+    std::optional<Sending> lastSending(const SoakRecord::LateItem &item) const
     {
         const auto past = std::chrono::duration_cast<std::chrono::system_clock::duration>(Clock::now() - item.reached);
         const std::string latest = logTime(std::chrono::system_clock::now() - past);
@@ -626,7 +634,7 @@
                 }
                 const std::string time = nlohmann::json::parse(line).value("time", "");
                 if (time < latest && (!found || time > found->time)) {
-                    found = {partyOf(node), line, time};
+                    found = {nodeName(node), line, time};
                 }
             }
         }
@@ -637,10 +645,10 @@
     {
         std::map<std::string, unsigned> reported;
         for (const SoakRecord::LateItem &item : this->record.itemsAfterEnd(jobEndBound)) {
-            const std::optional<Sending> sending = this->sendingOf(item);
-            const Clock::time_point from = item.reached - disturbedFor;
-            const bool isAllowed = this->disturbances.isIn(storeParty, from, item.reached)
-                || (sending && this->disturbances.isIn(sending->node, from, item.reached));
+            const std::optional<Sending> sending = this->lastSending(item);
+            const Clock::time_point from = item.reached - disturbanceMargin;
+            const bool isAllowed = this->disturbances.overlaps(storeComponent, from, item.reached)
+                || (sending && this->disturbances.overlaps(sending->node, from, item.reached));
             if (isAllowed) {
                 ++this->allowedAfterEnd;
                 continue;
@@ -650,12 +658,13 @@
             }
             const auto late = std::chrono::duration_cast<std::chrono::milliseconds>(item.reached - item.acknowledged);
             const auto since = std::chrono::duration_cast<std::chrono::milliseconds>(item.reached - this->started);
-            this->record.violate("item " + item.item + " reached a replica at " + std::to_string(since.count()) + " ms, "
-                                 + std::to_string(late.count()) + " ms after the end of its job was acknowledged, from "
-                                 + (sending ? sending->node + ": " + sending->line : "a node whose log doesn't say so"));
+            this->record.recordViolation("item " + item.item + " reached a replica at " + std::to_string(since.count()) + " ms, "
+                                         + std::to_string(late.count()) + " ms after the end of its job was acknowledged, from "
+                                         + (sending ? sending->node + ": " + sending->line : "a node that has not logged it"));
         }
         for (const auto &[job, items] : reported) {
-            this->note("items of " + job + " that reached replicas too late after its end: " + std::to_string(items));
+            this->recordFault("number of items of " + job
+                              + " that reached replicas too late after its end: " + std::to_string(items));
         }
     }
 
@@ -664,28 +673,29 @@
         SoakCaller last(this->record, this->addresses, "last", FLAGS_seed);
         last.finishJobs(jobTimeout);
         for (const std::string &job : this->record.openJobs()) {
-            this->note("rows of " + job + ": " + this->rowsOf(job));
+            this->recordFault("rows of " + job + ": " + this->rowsOf(job));
         }
-        const double served = last.probe(probes);
-        if (served < servedAfter) {
-            this->record.violate("only " + std::to_string(served) + " of the requests are served after all faults");
+        const double served = last.probe(probeCount);
+        if (served < minServedShare) {
+            this->record.recordViolation("only " + std::to_string(served)
+                                         + " of the requests were served after all faults were over");
         }
         for (const std::size_t process : this->processes) {
             this->fleet.signal(process, SIGTERM);
         }
         for (const std::size_t process : this->processes) {
             if (this->fleet.waitEnd(process, stopTimeout) != 0) {
-                this->record.violate(this->fleet.process(process).name + " did not stop as planned in the end");
+                this->record.recordViolation(this->fleet.process(process).name + " did not stop cleanly after the run");
             }
         }
         this->checkItemsAfterEnd();
-        for (const std::string &excess : this->crashes.excesses(crashesToRefuse, crashesSettle, runsAfterwards)) {
-            this->record.violate(excess);
+        for (const std::string &excess : this->crashes.excessRuns(crashesToRefuse, crashPropagationTime, maxRunsAfterRefusal)) {
+            this->record.recordViolation(excess);
         }
         this->record.checkEnd();
     }
 
-    /** @return what the store holds of a job, to tell why it is not done. */
+    /** @return the rows of a job in the store, to diagnose why the job is not complete. */
     std::string rowsOf(const std::string &job)
     {
         return this->world.ask<std::string>([&job](SoakWorld &world) {
@@ -712,9 +722,9 @@
     std::deque<bool> isDisturbed;
     std::multimap<Clock::time_point, std::function<void()>> pending;
     std::vector<std::string> faults;
-    PeerCut cut;
-    std::list<std::set<PeerCut::Pair>> cuts;
-    Clock::time_point cutsRenewed;
+    PeerPartition peerPartition;
+    std::list<std::set<PeerPartition::Pair>> partitions;
+    Clock::time_point partitionsApplied;
     Disturbances disturbances;
     unsigned allowedAfterEnd = 0;
     std::atomic<bool> isStopped = false;
@@ -728,10 +738,10 @@
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     std::signal(SIGPIPE, SIG_IGN);
     Soak soak;
-    const bool isKept = soak.run();
+    const bool hasPassed = soak.run();
     soak.report();
-    if (!isKept) {
+    if (!hasPassed) {
         setenv("KEEP_LOGS", "1", 1);
     }
-    return isKept ? 0 : 1;
+    return hasPassed ? 0 : 1;
 }
--- a/Tests/Soak/SoakCaller.cpp
+++ b/Tests/Soak/SoakCaller.cpp
@@ -21,30 +21,30 @@
 namespace
 {
 
-constexpr int mostTries = 3;
-constexpr int mostSubmissions = 6;
-constexpr std::size_t itemsOfJob = 4;
-/** More than there are places at a few replicas, so that some wait. */
-constexpr std::size_t itemsOfLargeJob = 24;
-constexpr int mostEnds = 3;
+constexpr int maxAttempts = 3;
+constexpr int maxSubmissions = 6;
+constexpr std::size_t itemsPerJob = 4;
+/** More than the slots of a few replicas, so that some items wait. */
+constexpr std::size_t itemsPerLargeJob = 24;
+constexpr int maxEndAttempts = 3;
 constexpr std::chrono::milliseconds pauseAfterFailure{150};
-constexpr std::chrono::milliseconds jobLook{300};
-/** One in so many requests is a job, a look at one, or the end of one. */
-constexpr int jobEvery = 12;
+constexpr std::chrono::milliseconds jobPollInterval{300};
+/** One in this many requests submits, reads or ends a job. */
+constexpr int requestsPerJobCall = 12;
 constexpr const char *lineEnd = "\r\n";
 constexpr std::string_view eventEnd = "\n\n";
 
 std::string valueOf(const std::string &head, const std::string &name)
 {
-    const std::size_t place = head.find("\r\n" + name + ": ");
-    if (place == std::string::npos) {
+    const std::size_t position = head.find("\r\n" + name + ": ");
+    if (position == std::string::npos) {
         return {};
     }
-    const std::size_t from = place + name.size() + 4;
+    const std::size_t from = position + name.size() + 4;
     return head.substr(from, head.find(lineEnd, from) - from);
 }
 
-/** @return the stream that a replica of a version generates. */
+/** @return the stream that a replica with this software version generates. */
 std::string streamOf(const std::string &body, std::string_view version)
 {
     std::string text;
@@ -55,8 +55,8 @@
     return text;
 }
 
-/** @return the whole events at the start of a stream. */
-std::string wholeEvents(const std::string &text)
+/** @return the complete events at the start of a stream. */
+std::string completeEvents(const std::string &text)
 {
     const std::size_t end = text.rfind(eventEnd);
     return end == std::string::npos ? std::string() : text.substr(0, end + eventEnd.size());
@@ -97,7 +97,7 @@
     return this->name + "-" + std::to_string(++this->lastId);
 }
 
-Address SoakCaller::anyNode()
+Address SoakCaller::randomNode()
 {
     return this->nodes[this->random() % this->nodes.size()];
 }
@@ -105,13 +105,13 @@
 void SoakCaller::run(const std::atomic<bool> &isStopped)
 {
     while (!isStopped) {
-        if (this->random() % jobEvery != 0) {
+        if (this->random() % requestsPerJobCall != 0) {
             this->callOnline(onlineKinds[this->random() % onlineKinds.size()]);
             continue;
         }
         const std::vector<std::string> open = this->record.openJobs();
         if (open.size() < this->nodes.size() || this->random() % 2 == 0) {
-            this->submitJob(itemsOfJob);
+            this->submitJob(itemsPerJob);
         } else if (this->random() % 8 == 0) {
             this->endJob(open[this->random() % open.size()]);
         } else {
@@ -124,80 +124,80 @@
 {
     const std::string body = "body of " + this->nextId();
     Received received;
-    for (int attempt = 0; attempt < mostTries; ++attempt) {
-        const TryEnd end = this->tryOnline(kind, body, received);
-        if (end == TryEnd::Answered) {
+    for (int attempt = 0; attempt < maxAttempts; ++attempt) {
+        const AttemptOutcome outcome = this->attemptOnline(kind, body, received);
+        if (outcome == AttemptOutcome::Answered) {
             return true;
         }
         std::this_thread::sleep_for(pauseAfterFailure);
-        if (end == TryEnd::Open && kind.repeats == Repeats::Never) {
+        if (outcome == AttemptOutcome::Unknown && kind.repeats == Repeats::Never) {
             return false;
         }
     }
     return false;
 }
 
-TryEnd SoakCaller::tryOnline(const Kind &kind, const std::string &body, Received &received)
+AttemptOutcome SoakCaller::attemptOnline(const Kind &kind, const std::string &body, Received &received)
 {
     const std::string id = this->nextId();
-    const std::size_t known = countEvents(received.events);
-    const bool isTakenUp = known > 0;
+    const std::size_t knownEvents = countEvents(received.events);
+    const bool isResumed = knownEvents > 0;
     const std::string headers
-        = isTakenUp ? "Resumes: " + received.firstId + "\r\nLast-Event-Id: " + std::to_string(known) + "\r\n" : "";
+        = isResumed ? "Resumes: " + received.firstId + "\r\nLast-Event-Id: " + std::to_string(knownEvents) + "\r\n" : "";
     const Response response = this->call(std::string("POST /") + kind.prefix + "/x", id, body, headers);
-    TryEnd end = TryEnd::Open;
+    AttemptOutcome outcome = AttemptOutcome::Unknown;
     if (response.status == 200 && response.isComplete) {
-        end = TryEnd::Answered;
+        outcome = AttemptOutcome::Answered;
     } else if (response.status == 503 || response.status == 429) {
-        end = TryEnd::Refused;
+        outcome = AttemptOutcome::Refused;
     }
     if (response.status == 200 && kind.isStream) {
-        received.events += response.isComplete ? response.body : wholeEvents(response.body);
-        received.firstId = isTakenUp ? received.firstId : id;
+        received.events += response.isComplete ? response.body : completeEvents(response.body);
+        received.firstId = isResumed ? received.firstId : id;
         received.isComplete = response.isComplete;
         this->checkStream(id, body, received);
     } else if (response.status == 200) {
         this->checkAnswer(id, body, response);
     } else if (response.status >= 400 && response.status < 500 && response.status != 429) {
-        this->record.violate("request " + id + " got " + std::to_string(response.status));
+        this->record.recordViolation("request " + id + " got " + std::to_string(response.status));
     }
-    if (isTakenUp) {
-        this->record.noteTakenUp(countEvents(received.events) > known || received.isComplete);
+    if (isResumed) {
+        this->record.recordResumption(countEvents(received.events) > knownEvents || received.isComplete);
     }
-    this->record.noteTry(id, kind.repeats, end);
-    return end;
+    this->record.recordAttempt(id, kind.repeats, outcome);
+    return outcome;
 }
 
 void SoakCaller::checkAnswer(const std::string &id, const std::string &body, const Response &response)
 {
     const std::string whole = "done " + body;
     if (response.isComplete ? response.body != whole : !whole.starts_with(response.body)) {
-        this->record.violate("request " + id + " got a wrong answer: " + response.body);
+        this->record.recordViolation("request " + id + " got a wrong answer: " + response.body);
     }
 }
 
 void SoakCaller::checkStream(const std::string &id, const std::string &body, const Received &received)
 {
-    // A stream may break off, but what came of it must be the beginning of what one version generates, and it must not look
-    // whole.
-    const bool isRight = std::ranges::any_of(softwareVersions, [&body, &received](std::string_view version) {
+    // A stream may end early, but what was received must be a prefix of what one version generates, and an incomplete stream
+    // must not be reported as complete.
+    const bool isValid = std::ranges::any_of(softwareVersions, [&body, &received](std::string_view version) {
         const std::string whole = streamOf(body, version);
         return received.isComplete ? received.events == whole : whole.starts_with(received.events);
     });
-    if (!isRight) {
-        this->record.violate("request " + id + (received.isComplete ? " got a wrong whole stream: " : " got wrong parts: ")
-                             + received.events);
+    if (!isValid) {
+        this->record.recordViolation(
+            "request " + id + (received.isComplete ? " got a wrong complete stream: " : " got wrong events: ") + received.events);
     }
 }
 
-void SoakCaller::runCrashing(const std::string &content, const std::atomic<bool> &isStopped)
+void SoakCaller::sendCrashingRequests(const std::string &content, const std::atomic<bool> &isStopped)
 {
-    // Of one kind, as its target is part of what the request is known by.
+    // One kind for each content, because a request is identified by its target as well as its content.
     const Kind &kind = onlineKinds[std::hash<std::string>()(content) % onlineKinds.size()];
     while (!isStopped) {
         Received received;
-        if (this->tryOnline(kind, content, received) == TryEnd::Answered) {
-            this->record.violate("a request that crashes replicas was answered as if it had been served");
+        if (this->attemptOnline(kind, content, received) == AttemptOutcome::Answered) {
+            this->record.recordViolation("a request that crashes replicas got a complete response");
         }
         std::this_thread::sleep_for(pauseAfterFailure * (1 + this->random() % 4));
     }
@@ -207,7 +207,7 @@
 {
     while (!isStopped) {
         this->connection.reset();
-        const std::optional<std::string> job = this->submitJob(itemsOfLargeJob);
+        const std::optional<std::string> job = this->submitJob(itemsPerLargeJob);
         if (!job) {
             continue;
         }
@@ -223,8 +223,8 @@
 
 std::chrono::milliseconds SoakCaller::timeBeforeEnd()
 {
-    static constexpr std::array<unsigned, 4> longest{1, 60, 500, 2500};
-    return std::chrono::milliseconds(this->random() % longest[this->random() % longest.size()]);
+    static constexpr std::array<unsigned, 4> maxTimes{1, 60, 500, 2500};
+    return std::chrono::milliseconds(this->random() % maxTimes[this->random() % maxTimes.size()]);
 }
 
 std::optional<std::string> SoakCaller::submitJob(std::size_t itemCount)
@@ -244,17 +244,17 @@
     }
     const std::string body = nlohmann::json{{"requests", requests}}.dump();
     bool isRefused = true;
-    for (int attempt = 0; attempt < mostSubmissions; ++attempt) {
+    for (int attempt = 0; attempt < maxSubmissions; ++attempt) {
         const int status = this->call("POST /b/job", job, body).status;
         if (status == 202) {
-            this->record.noteJob(job, outputs);
+            this->record.recordJob(job, outputs);
             return job;
         }
         isRefused = isRefused && (status == 503 || status == 429);
         std::this_thread::sleep_for(pauseAfterFailure);
     }
     if (isRefused) {
-        this->record.noteRefusedJob(items);
+        this->record.recordRefusedJob(items);
     }
     return std::nullopt;
 }
@@ -263,7 +263,7 @@
 {
     const Response response = this->call("GET /lots/" + job + "?afterRev=0", this->nextId(), {});
     if (response.status == 404 || response.status == 410) {
-        this->record.violate("job " + job + " was accepted, and a node says that there is none");
+        this->record.recordViolation("job " + job + " was accepted, but a node reports that it does not exist");
         return;
     }
     const nlohmann::json read = nlohmann::json::parse(response.body, nullptr, false);
@@ -274,16 +274,16 @@
     for (const nlohmann::json &result : read["results"]) {
         results.emplace_back(result.value("id", ""), result.value("output", ""));
     }
-    this->record.noteResults(job, read.value("total", std::uint64_t(0)), results);
+    this->record.recordResults(job, read.value("total", std::uint64_t(0)), results);
 }
 
 void SoakCaller::endJob(const std::string &job)
 {
-    this->record.noteEndAsked(job);
-    for (int attempt = 0; attempt < mostEnds; ++attempt) {
+    this->record.recordEndRequest(job);
+    for (int attempt = 0; attempt < maxEndAttempts; ++attempt) {
         const Response response = this->call("DELETE /lots/" + job, this->nextId(), {});
         if (response.isComplete && response.status >= 200 && response.status < 300) {
-            this->record.noteEndAcknowledged(job);
+            this->record.recordEndAcknowledgement(job);
             return;
         }
         std::this_thread::sleep_for(pauseAfterFailure);
@@ -301,7 +301,7 @@
         for (const std::string &job : open) {
             this->readJob(job);
         }
-        std::this_thread::sleep_for(jobLook);
+        std::this_thread::sleep_for(jobPollInterval);
     }
 }
 
@@ -320,10 +320,10 @@
 {
     try {
         if (!this->connection) {
-            this->connection = std::make_unique<RawConnection>(this->anyNode());
+            this->connection = std::make_unique<RawConnection>(this->randomNode());
         }
     } catch (const std::exception &) {
-        // The node is not there; the caller tries another.
+        // The node is not reachable; the next call selects another one.
         std::this_thread::sleep_for(pauseAfterFailure);
         return {};
     }
@@ -339,7 +339,7 @@
 
 SoakCaller::Response SoakCaller::readResponse()
 {
-    constexpr std::size_t statusPlace = 9;
+    constexpr std::size_t statusOffset = 9;
     Response response;
     const std::string received = this->connection->readUntil("\r\n\r\n");
     const std::size_t headEnd = received.find("\r\n\r\n");
@@ -347,7 +347,7 @@
         return response;
     }
     const std::string head = received.substr(0, headEnd + 2);
-    response.status = std::atoi(head.c_str() + statusPlace);
+    response.status = std::atoi(head.c_str() + statusOffset);
     const std::size_t bodyStart = headEnd + 4;
     if (valueOf(head, "Transfer-Encoding") == "chunked") {
         this->readChunks(response, bodyStart);
--- a/Tests/Soak/SoakCaller.h
+++ b/Tests/Soak/SoakCaller.h
@@ -18,28 +18,29 @@
 {
 
 /**
- * A caller that sends one request after the other, keeps its connection as long as the node does, and holds what it gets
- * against what the replicas generate. Blocks its thread.
+ * A caller that sends one request after the other and compares the responses with what the replicas generate. Keeps its
+ * connection open until the node closes it. Blocks its thread.
  */
 class SoakCaller
 {
 public:
-    /** @param name part of all its ids */
+    /** @param name prefix of all ids of requests and jobs */
     SoakCaller(SoakRecord &record, std::vector<Address> nodes, std::string name, unsigned seed);
 
-    /** Send requests until told to stop. */
+    /** Sends requests until isStopped is set. */
     void run(const std::atomic<bool> &isStopped);
 
-    /** Send requests with a content that crashes replicas, at any node, until told to stop. */
-    void runCrashing(const std::string &content, const std::atomic<bool> &isStopped);
+    /** Sends requests with a content that crashes replicas to random nodes until isStopped is set. */
+    void sendCrashingRequests(const std::string &content, const std::atomic<bool> &isStopped);
 
-    /** Submit jobs of many items and end most of them at any moment, each call at any node, until told to stop. */
+    /** Submits jobs of many items and ends most of them after a random time, each call at a random node, until isStopped is set.
+     */
     void runJobs(const std::atomic<bool> &isStopped);
 
-    /** Read the results of all open jobs until they are complete, or the time is over. */
+    /** Reads the results of all open jobs until they are complete or the timeout expires. */
     void finishJobs(std::chrono::seconds timeout);
 
-    /** @return the share of so many ordinary requests that are served. */
+    /** @return the share of this number of ordinary requests that is served. */
     double probe(int count);
 
 private:
@@ -60,25 +61,25 @@
 
     static const std::array<Kind, 4> onlineKinds;
 
-    /** What has come of a stream over its tries. */
+    /** What was received of a stream over all attempts. */
     struct Received
     {
-        /** The try that brought its first event. */
+        /** Id of the attempt that received the first event. */
         std::string firstId;
-        /** Whole events, as they came. */
+        /** Complete events in the order in which they were received. */
         std::string events;
-        /** Whether the tries complete it. */
+        /** Whether the last attempt received the end of the stream. */
         bool isComplete = false;
     };
 
     std::string nextId();
-    Address anyNode();
+    Address randomNode();
     std::chrono::milliseconds timeBeforeEnd();
     bool callOnline(const Kind &kind);
-    TryEnd tryOnline(const Kind &kind, const std::string &body, Received &received);
+    AttemptOutcome attemptOnline(const Kind &kind, const std::string &body, Received &received);
     void checkAnswer(const std::string &id, const std::string &body, const Response &response);
     void checkStream(const std::string &id, const std::string &body, const Received &received);
-    /** @return its name, if it was accepted. */
+    /** @return the name of the job, if it was accepted. */
     std::optional<std::string> submitJob(std::size_t itemCount);
     void readJob(const std::string &job);
     void endJob(const std::string &job);
--- a/Tests/Soak/SoakRecord.cpp
+++ b/Tests/Soak/SoakRecord.cpp
@@ -5,84 +5,85 @@
 namespace Dogwoodkeel
 {
 
-void SoakRecord::noteRun(const std::string &id)
+void SoakRecord::recordRun(const std::string &id)
 {
     const std::lock_guard lock(this->mutex);
     this->runs[id].push_back(std::chrono::steady_clock::now());
 }
 
-void SoakRecord::noteTry(const std::string &id, Repeats repeats, TryEnd end)
+void SoakRecord::recordAttempt(const std::string &id, Repeats repeats, AttemptOutcome outcome)
 {
     const std::lock_guard lock(this->mutex);
     this->repeats[id] = repeats;
-    this->answered += end == TryEnd::Answered ? 1 : 0;
-    this->open += end == TryEnd::Open ? 1 : 0;
-    if (end == TryEnd::Refused) {
+    this->answered += outcome == AttemptOutcome::Answered ? 1 : 0;
+    this->unknown += outcome == AttemptOutcome::Unknown ? 1 : 0;
+    if (outcome == AttemptOutcome::Refused) {
         this->refused.insert(id);
     }
 }
 
-void SoakRecord::noteTakenUp(bool wentOn)
+void SoakRecord::recordResumption(bool hasContinued)
 {
     const std::lock_guard lock(this->mutex);
-    ++this->takenUp;
-    this->wentOn += wentOn ? 1 : 0;
+    ++this->resumptions;
+    this->continued += hasContinued ? 1 : 0;
 }
 
-void SoakRecord::noteJob(const std::string &job, const std::map<std::string, std::set<std::string>> &outputs)
+void SoakRecord::recordJob(const std::string &job, const std::map<std::string, std::set<std::string>> &outputs)
 {
     const std::lock_guard lock(this->mutex);
     this->jobs[job].outputs = outputs;
 }
 
-void SoakRecord::noteRefusedJob(const std::vector<std::string> &items)
+void SoakRecord::recordRefusedJob(const std::vector<std::string> &items)
 {
     const std::lock_guard lock(this->mutex);
     this->refusedItems.insert(items.begin(), items.end());
 }
 
-void SoakRecord::noteResults(const std::string &job,
-                             std::uint64_t total,
-                             const std::vector<std::pair<std::string, std::string>> &results)
+void SoakRecord::recordResults(const std::string &job,
+                               std::uint64_t total,
+                               const std::vector<std::pair<std::string, std::string>> &results)
 {
     const std::lock_guard lock(this->mutex);
-    Job &known = this->jobs[job];
-    const auto violateItem = [this, &job](const std::string &item, const std::string &what) {
+    Job &recorded = this->jobs[job];
+    const auto recordItemViolation = [this, &job](const std::string &item, const std::string &what) {
         std::string text("job ");
         text.append(job).append(": item ").append(item).append(what);
-        this->broken.push_back(std::move(text));
+        this->violationTexts.push_back(std::move(text));
     };
-    if (total != known.outputs.size()) {
-        this->broken.push_back("job " + job + ": total " + std::to_string(total) + " of " + std::to_string(known.outputs.size()));
+    if (total != recorded.outputs.size()) {
+        this->violationTexts.push_back("job " + job + ": total " + std::to_string(total) + " of "
+                                       + std::to_string(recorded.outputs.size()));
     }
     for (std::size_t position = 0; position < results.size(); ++position) {
         const auto &[item, output] = results[position];
-        if (position < known.results.size()) {
-            if (known.results[position] != results[position]) {
-                this->broken.push_back("job " + job + ": position " + std::to_string(position) + " has changed");
+        if (position < recorded.results.size()) {
+            if (recorded.results[position] != results[position]) {
+                this->violationTexts.push_back("job " + job + ": position " + std::to_string(position) + " has changed");
             }
             continue;
         }
-        const auto expected = known.outputs.find(item);
-        if (expected == known.outputs.end() || !expected->second.contains(output)) {
-            violateItem(item, " has a wrong output: " + output);
+        const auto expected = recorded.outputs.find(item);
+        if (expected == recorded.outputs.end() || !expected->second.contains(output)) {
+            recordItemViolation(item, " has a wrong output: " + output);
         }
-        for (const auto &[before, text] : known.results) {
+        for (const auto &[before, text] : recorded.results) {
             if (before == item) {
-                violateItem(item, " is listed twice");
+                recordItemViolation(item, " is listed twice");
             }
         }
-        known.results.push_back(results[position]);
+        recorded.results.push_back(results[position]);
     }
 }
 
-void SoakRecord::noteEndAsked(const std::string &job)
+void SoakRecord::recordEndRequest(const std::string &job)
 {
     const std::lock_guard lock(this->mutex);
-    this->jobs[job].isEndAsked = true;
+    this->jobs[job].isEndRequested = true;
 }
 
-void SoakRecord::noteEndAcknowledged(const std::string &job)
+void SoakRecord::recordEndAcknowledgement(const std::string &job)
 {
     const std::lock_guard lock(this->mutex);
     std::optional<Time> &first = this->jobs[job].endAcknowledged;
@@ -109,10 +110,10 @@
     return late;
 }
 
-void SoakRecord::violate(const std::string &what)
+void SoakRecord::recordViolation(const std::string &what)
 {
     const std::lock_guard lock(this->mutex);
-    this->broken.push_back(what);
+    this->violationTexts.push_back(what);
 }
 
 std::vector<std::string> SoakRecord::openJobs() const
@@ -120,7 +121,7 @@
     const std::lock_guard lock(this->mutex);
     std::vector<std::string> open;
     for (const auto &[name, job] : this->jobs) {
-        if (!job.isEndAsked && job.results.size() < job.outputs.size()) {
+        if (!job.isEndRequested && job.results.size() < job.outputs.size()) {
             open.push_back(name);
         }
     }
@@ -130,22 +131,22 @@
 void SoakRecord::checkEnd()
 {
     for (const std::string &job : this->openJobs()) {
-        this->violate("job " + job + ": items without a result, though all faults are over");
+        this->recordViolation("job " + job + ": items have no result although all faults are over");
     }
     const std::lock_guard lock(this->mutex);
     for (const auto &[id, kind] : this->repeats) {
         const auto count = this->runs.find(id);
         const std::size_t ran = count != this->runs.end() ? count->second.size() : 0;
         if (kind == Repeats::Never && ran > 1) {
-            this->broken.push_back("request " + id + " ran " + std::to_string(ran) + " times");
+            this->violationTexts.push_back("request " + id + " ran " + std::to_string(ran) + " times");
         }
         if (kind == Repeats::Never && ran > 0 && this->refused.contains(id)) {
-            this->broken.push_back("request " + id + " was refused as not run, and has run");
+            this->violationTexts.push_back("request " + id + " ran although it was refused");
         }
     }
     for (const std::string &item : this->refusedItems) {
         if (this->runs.contains(item)) {
-            this->broken.push_back("item " + item + " has run, though its job was refused");
+            this->violationTexts.push_back("item " + item + " ran although its job was refused");
         }
     }
 }
@@ -153,7 +154,7 @@
 std::vector<std::string> SoakRecord::violations() const
 {
     const std::lock_guard lock(this->mutex);
-    return this->broken;
+    return this->violationTexts;
 }
 
 std::string SoakRecord::summary() const
@@ -166,9 +167,9 @@
         ended += job.endAcknowledged ? 1 : 0;
     }
     return std::to_string(this->answered) + " answered, " + std::to_string(this->refused.size()) + " refused, "
-        + std::to_string(this->open) + " left open, " + std::to_string(this->takenUp) + " taken up ("
-        + std::to_string(this->wentOn) + " went on), " + std::to_string(this->jobs.size()) + " jobs, " + std::to_string(ended)
-        + " of them ended, " + std::to_string(listed) + " results";
+        + std::to_string(this->unknown) + " with unknown outcome, " + std::to_string(this->resumptions) + " resumed ("
+        + std::to_string(this->continued) + " continued), " + std::to_string(this->jobs.size()) + " jobs, "
+        + std::to_string(ended) + " of them ended, " + std::to_string(listed) + " results";
 }
 
 } // namespace Dogwoodkeel
--- a/Tests/Soak/SoakRecord.h
+++ b/Tests/Soak/SoakRecord.h
@@ -12,80 +12,92 @@
 namespace Dogwoodkeel
 {
 
-/** What a kind of request promises of its runs. */
+/** How often a request of a kind may be run. */
 enum class Repeats {
-    /** It may run more than once. */
+    /** May run more than once. */
     Allowed,
-    /** It runs at most once. */
+    /** Runs at most once. */
     Never,
 };
 
-/** How one try of a caller ended. */
-enum class TryEnd {
-    /** The whole answer. */
+/** Outcome of one attempt of a caller. */
+enum class AttemptOutcome {
+    /** The response was complete. */
     Answered,
-    /** 429 or 503: it has not run, and never will. */
+    /** Status 429 or 503: the request has not run and never will. */
     Refused,
-    /** Anything that promises nothing. */
-    Open,
+    /** Any other outcome: the request may or may not have run. */
+    Unknown,
 };
 
-/** All that callers and replicas have seen, and what of it breaks a promise. Used from all threads. */
+/** Records what callers and replicas observe, and every violation of a guarantee that follows from it. Thread-safe. */
 class SoakRecord
 {
 public:
     using Time = std::chrono::steady_clock::time_point;
 
-    /** An item that reached a replica though its job had ended. */
+    /** An item that reached a replica after the end of its job was acknowledged. */
     struct LateItem
     {
         std::string job;
         std::string item;
-        /** When its caller read the acknowledgement. */
+        /** When the caller received the acknowledgement. */
         Time acknowledged;
         Time reached;
     };
 
-    /** A replica begins to run a request. */
-    void noteRun(const std::string &id);
-
-    /** A caller's try is over. */
-    void noteTry(const std::string &id, Repeats repeats, TryEnd end);
-
-    /** A caller took a stream up at any node. @param wentOn whether more of it came */
-    void noteTakenUp(bool wentOn);
-
-    /** A job was accepted. @param outputs the outputs that each item may have, by its id */
-    void noteJob(const std::string &job, const std::map<std::string, std::set<std::string>> &outputs);
-
-    /** A submission was refused, with the word that nothing of it will run. @param items their ids */
-    void noteRefusedJob(const std::vector<std::string> &items);
-
-    /** A job's results were read. @param results output by position, from the first on */
+    /** Records that a replica starts to run a request. */
+    void recordRun(const std::string &id);
+
+    /** Records that an attempt of a caller is over. */
+    void recordAttempt(const std::string &id, Repeats repeats, AttemptOutcome outcome);
+
+    /**
+     * Records that a caller resumed a stream at some node.
+     * @param hasContinued whether more of the stream was received
+     */
+    void recordResumption(bool hasContinued);
+
+    /**
+     * Records that a job was accepted.
+     * @param outputs the valid outputs of each item, by the item's id
+     */
+    void recordJob(const std::string &job, const std::map<std::string, std::set<std::string>> &outputs);
+
+    /**
+     * Records that a job was refused, which guarantees that none of its items will run.
+     * @param items ids of the items
+     */
+    void recordRefusedJob(const std::vector<std::string> &items);
+
+    /**
+     * Checks and records the results of a job that a caller has read.
+     * @param results item id and output by position, starting with the first
+     */
     void
-    noteResults(const std::string &job, std::uint64_t total, const std::vector<std::pair<std::string, std::string>> &results);
+    recordResults(const std::string &job, std::uint64_t total, const std::vector<std::pair<std::string, std::string>> &results);
 
-    /** The end of a job is asked for. Also without an acknowledgement it may take effect: its items need not be done. */
-    void noteEndAsked(const std::string &job);
+    /** Records a request to end a job. It may take effect even without an acknowledgement, so the job need not complete. */
+    void recordEndRequest(const std::string &job);
 
-    /** The end of a job was acknowledged to its caller. */
-    void noteEndAcknowledged(const std::string &job);
+    /** Records that the end of a job was acknowledged to its caller. */
+    void recordEndAcknowledgement(const std::string &job);
 
-    /** @return items that reached a replica later than so long after the end of their job was acknowledged. */
+    /** @return items that reached a replica more than this time after the end of their job was acknowledged. */
     std::vector<LateItem> itemsAfterEnd(std::chrono::milliseconds bound) const;
 
-    /** A promise was broken. */
-    void violate(const std::string &what);
+    /** Records that a guarantee was violated. */
+    void recordViolation(const std::string &what);
 
-    /** @return jobs that were accepted, that nobody wanted to end, and that are not known to be complete. */
+    /** @return accepted jobs that no caller requested to end and that are not known to be complete. */
     std::vector<std::string> openJobs() const;
 
-    /** Look at what can be told only at the end. */
+    /** Checks the guarantees that can be decided only after the last request. */
     void checkEnd();
 
     std::vector<std::string> violations() const;
 
-    /** @return counts, for the report. */
+    /** @return counts for the report. */
     std::string summary() const;
 
 private:
@@ -93,7 +105,7 @@
     {
         std::map<std::string, std::set<std::string>> outputs;
         std::vector<std::pair<std::string, std::string>> results;
-        bool isEndAsked = false;
+        bool isEndRequested = false;
         std::optional<Time> endAcknowledged;
     };
 
@@ -103,11 +115,11 @@
     std::set<std::string> refused;
     std::set<std::string> refusedItems;
     std::map<std::string, Job> jobs;
-    std::vector<std::string> broken;
+    std::vector<std::string> violationTexts;
     int answered = 0;
-    int open = 0;
-    int takenUp = 0;
-    int wentOn = 0;
+    int unknown = 0;
+    int resumptions = 0;
+    int continued = 0;
 };
 
 } // namespace Dogwoodkeel
--- a/Tests/Soak/SoakWorld.cpp
+++ b/Tests/Soak/SoakWorld.cpp
@@ -13,16 +13,16 @@
 namespace
 {
 
-constexpr std::size_t fewestEvents = 5;
-constexpr std::size_t mostEvents = 25;
+constexpr std::size_t minEvents = 5;
+constexpr std::size_t maxEvents = 25;
 constexpr int replicaSlots = 4;
-/** How long a replica runs a request that crashes it. */
-constexpr std::chrono::milliseconds timeToCrash{30};
-constexpr std::chrono::milliseconds timeToReturn{2000};
+/** Time that a replica runs a request before the request crashes it. */
+constexpr std::chrono::milliseconds crashDelay{30};
+constexpr std::chrono::milliseconds restartDelay{2000};
 constexpr const char *streamService = "llm";
 constexpr const char *plainService = "api";
-/** Reading rows by the thousand, as the table of jobs of a whole run; a page of the store is as large. */
-constexpr std::size_t storePage = 200;
+/** Page size of the store, for reads of thousands of rows such as the jobs table of a whole run. */
+constexpr std::size_t storePageSize = 200;
 
 std::string header(const std::shared_ptr<CallerExchange> &exchange, const char *name)
 {
@@ -49,18 +49,18 @@
 {
     const std::uint64_t hash = stableHash(body);
     std::vector<std::string> output;
-    for (std::size_t event = 0; event < fewestEvents + hash % (mostEvents - fewestEvents); ++event) {
+    for (std::size_t event = 0; event < minEvents + hash % (maxEvents - minEvents); ++event) {
         output.push_back(std::string(version) + "e" + std::to_string(hash % 99991) + "." + std::to_string(event + 1));
     }
     return output;
 }
 
 SoakWorld::SoakWorld(EventLoop &loop, SoakRecord &record, CrashRecord &crashes, std::size_t nodes, std::size_t replicas)
-    : loop(loop), record(record), crashes(crashes), store(loop, this->clock), eventPause(usualEventPause)
+    : loop(loop), record(record), crashes(crashes), store(loop, this->clock), eventInterval(defaultEventInterval)
 {
-    this->store.rows().setPageSize(storePage);
+    this->store.rows().setPageSize(storePageSize);
     for (std::size_t node = 0; node < nodes; ++node) {
-        this->storeWays.push_back(std::make_unique<FaultProxy>(loop, this->store.address()));
+        this->storeProxies.push_back(std::make_unique<FaultProxy>(loop, this->store.address()));
     }
     for (std::size_t replica = 0; replica < replicas; ++replica) {
         this->addReplica(replica % 3 == 2 ? plainService : streamService);
@@ -71,38 +71,39 @@
 
 void SoakWorld::addReplica(const std::string &service)
 {
-    Replica made;
-    made.instance = "i-" + std::to_string(this->replicas.size());
-    made.service = service;
-    made.version = this->replicas.size() % softwareVersions.size();
-    made.server = std::make_unique<CallerServer>(this->loop,
-                                                 this->clock,
-                                                 Address{"127.0.0.1", 0},
-                                                 CallerLimits{},
-                                                 [this, replica = this->replicas.size()](const auto &exchange) {
-                                                     this->serve(replica, exchange);
-                                                 });
-    made.way = std::make_unique<FaultProxy>(this->loop, made.server->address());
-    this->replicas.push_back(std::move(made));
+    Replica added;
+    added.instance = "i-" + std::to_string(this->replicas.size());
+    added.service = service;
+    added.version = this->replicas.size() % softwareVersions.size();
+    added.server = std::make_unique<CallerServer>(this->loop,
+                                                  this->clock,
+                                                  Address{"127.0.0.1", 0},
+                                                  CallerLimits{},
+                                                  [this, replica = this->replicas.size()](const auto &exchange) {
+                                                      this->serve(replica, exchange);
+                                                  });
+    added.proxy = std::make_unique<FaultProxy>(this->loop, added.server->address());
+    this->replicas.push_back(std::move(added));
 }
 
 void SoakWorld::serve(std::size_t replica, const std::shared_ptr<CallerExchange> &exchange)
 {
-    const Replica &one = this->replicas.at(replica);
-    this->record.noteRun(header(exchange, "X-Request-Id"));
-    if (exchange->body().starts_with(crashMark)) {
-        this->runCrashing(replica, exchange->body());
+    const Replica &target = this->replicas.at(replica);
+    this->record.recordRun(header(exchange, "X-Request-Id"));
+    if (exchange->body().starts_with(crashPrefix)) {
+        this->runCrashingRequest(replica, exchange->body());
         return;
     }
-    if (one.service == plainService) {
-        this->loop.schedule(this->eventPause, [exchange] {
+    if (target.service == plainService) {
+        this->loop.schedule(this->eventInterval, [exchange] {
             exchange->send(200, signedHeaders(exchange), "done " + exchange->body());
         });
         return;
     }
     const std::string last = header(exchange, "Last-Event-Id");
     exchange->begin(200, signedHeaders(exchange));
-    this->generate(exchange, outputOf(exchange->body(), softwareVersions.at(one.version)), last.empty() ? 0 : std::stoul(last));
+    this->generate(
+        exchange, outputOf(exchange->body(), softwareVersions.at(target.version)), last.empty() ? 0 : std::stoul(last));
 }
 
 void SoakWorld::generate(const std::shared_ptr<CallerExchange> &exchange,
@@ -114,50 +115,50 @@
         return;
     }
     exchange->write("id: " + std::to_string(next + 1) + "\ndata: " + output[next] + "\n\n");
-    this->loop.schedule(this->eventPause, [this, exchange, output, next] {
+    this->loop.schedule(this->eventInterval, [this, exchange, output, next] {
         if (!exchange->isOver()) {
             this->generate(exchange, output, next + 1);
         }
     });
 }
 
-void SoakWorld::runCrashing(std::size_t replica, const std::string &content)
+void SoakWorld::runCrashingRequest(std::size_t replica, const std::string &content)
 {
-    Replica &one = this->replicas.at(replica);
-    this->crashes.noteRun(content);
-    one.crashing.insert(content);
-    this->loop.schedule(timeToCrash, [this, replica, born = one.born] {
-        if (this->replicas.at(replica).born == born) {
-            this->endReplica(replica);
+    Replica &target = this->replicas.at(replica);
+    this->crashes.recordRun(content);
+    target.crashingContents.insert(content);
+    this->loop.schedule(crashDelay, [this, replica, startTime = target.startTime] {
+        if (this->replicas.at(replica).startTime == startTime) {
+            this->crashReplica(replica);
         }
     });
 }
 
-void SoakWorld::endReplica(std::size_t replica)
+void SoakWorld::crashReplica(std::size_t replica)
 {
-    Replica &one = this->replicas.at(replica);
-    if (std::exchange(one.isGone, true)) {
+    Replica &target = this->replicas.at(replica);
+    if (std::exchange(target.isDown, true)) {
         return;
     }
-    this->crashes.noteEnd(std::exchange(one.crashing, {}));
-    one.way->stop();
-    this->loop.schedule(timeToReturn, [this, replica] {
-        Replica &back = this->replicas.at(replica);
-        back.isGone = false;
-        ++back.born;
-        back.way->resume();
+    this->crashes.recordCrash(std::exchange(target.crashingContents, {}));
+    target.proxy->stop();
+    this->loop.schedule(restartDelay, [this, replica] {
+        Replica &restarted = this->replicas.at(replica);
+        restarted.isDown = false;
+        ++restarted.startTime;
+        restarted.proxy->resume();
         this->registerReplica(replica, "ready");
     });
 }
 
-FaultProxy &SoakWorld::storeWay(std::size_t node)
+FaultProxy &SoakWorld::storeProxy(std::size_t node)
 {
-    return *this->storeWays.at(node);
+    return *this->storeProxies.at(node);
 }
 
-FaultProxy &SoakWorld::replicaWay(std::size_t replica)
+FaultProxy &SoakWorld::replicaProxy(std::size_t replica)
 {
-    return *this->replicas.at(replica).way;
+    return *this->replicas.at(replica).proxy;
 }
 
 StandInStore &SoakWorld::platform()
@@ -191,37 +192,37 @@
 
 void SoakWorld::registerReplica(std::size_t replica, const std::string &state)
 {
-    const Replica &one = this->replicas.at(replica);
-    const nlohmann::json entry{{"service", one.service},
-                               {"address", one.way->address().toString()},
+    const Replica &target = this->replicas.at(replica);
+    const nlohmann::json entry{{"service", target.service},
+                               {"address", target.proxy->address().toString()},
                                {"zone", "z" + std::to_string(replica % 3)},
-                               {"version", softwareVersions.at(one.version)},
+                               {"version", softwareVersions.at(target.version)},
                                {"slots", replicaSlots},
                                {"state", state},
                                {"coldLeftMs", 0},
-                               {"born", one.born},
+                               {"born", target.startTime},
                                {"seq", ++this->entriesWritten}};
-    this->store.rows().put({"servers", "", one.instance}, entry.dump());
+    this->store.rows().put({"servers", "", target.instance}, entry.dump());
 }
 
 void SoakWorld::restartReplica(std::size_t replica, Restart restart)
 {
-    Replica &one = this->replicas.at(replica);
-    ++one.born;
-    one.crashing.clear();
-    one.version = (one.version + (restart == Restart::Upgraded ? 1 : 0)) % softwareVersions.size();
-    // What ran there is over: its connections are reset, and its runs end with them.
-    one.way->setMode(FaultProxy::Mode::Reset);
-    one.way->setMode(FaultProxy::Mode::Pass);
+    Replica &target = this->replicas.at(replica);
+    ++target.startTime;
+    target.crashingContents.clear();
+    target.version = (target.version + (restart == Restart::Upgraded ? 1 : 0)) % softwareVersions.size();
+    // Resetting the connections ends all running requests of the replica.
+    target.proxy->setMode(FaultProxy::Mode::Reset);
+    target.proxy->setMode(FaultProxy::Mode::Pass);
     this->registerReplica(replica, "ready");
 }
 
-void SoakWorld::setEventPause(std::chrono::milliseconds pause)
+void SoakWorld::setEventInterval(std::chrono::milliseconds interval)
 {
-    this->eventPause = pause;
+    this->eventInterval = interval;
 }
 
-void SoakWorld::spoilEntry(std::size_t replica, const std::string &text)
+void SoakWorld::corruptEntry(std::size_t replica, const std::string &text)
 {
     this->store.rows().put({"servers", "", this->replicas.at(replica).instance}, text);
 }
--- a/Tests/Soak/SoakWorld.h
+++ b/Tests/Soak/SoakWorld.h
@@ -20,73 +20,73 @@
 namespace Dogwoodkeel
 {
 
-/** How far apart the events of a replica are that isn't slow. */
-inline constexpr std::chrono::milliseconds usualEventPause{15};
+/** Interval between the events of a replica that isn't slowed down. */
+inline constexpr std::chrono::milliseconds defaultEventInterval{15};
 
-/** Versions of the replicas' software that serve side by side. */
+/** Software versions of the replicas; both serve at the same time. */
 inline constexpr std::array<std::string_view, 2> softwareVersions{"v1", "v2"};
 
-/** What begins so is a request that crashes the replica that runs it. */
-inline constexpr std::string_view crashMark = "crash";
+/** A request whose body has this prefix crashes the replica that runs it. */
+inline constexpr std::string_view crashPrefix = "crash";
 
-/** @return the output that a replica of a version generates for a request with this body: its events in order. */
+/** @return the events, in order, that a replica with this software version generates for a request with this body. */
 std::vector<std::string> outputOf(const std::string &body, std::string_view version);
 
-/** What is outside the nodes: the platform's store and the replicas, each behind a proxy. Lives on one event loop. */
+/** The environment of the nodes: the platform's store and the replicas, each behind a fault proxy. Runs on one event loop. */
 class SoakWorld
 {
 public:
-    /** @param nodes as many ways to the store are made */
+    /** @param nodes number of nodes; each has a proxy of its own for the store */
     SoakWorld(EventLoop &loop, SoakRecord &record, CrashRecord &crashes, std::size_t nodes, std::size_t replicas);
 
-    /** @return the way of a node to the store. */
-    FaultProxy &storeWay(std::size_t node);
-    /** @return the way of all nodes to a replica. */
-    FaultProxy &replicaWay(std::size_t replica);
+    /** @return the proxy through which a node connects to the store. */
+    FaultProxy &storeProxy(std::size_t node);
+    /** @return the proxy through which all nodes connect to a replica. */
+    FaultProxy &replicaProxy(std::size_t replica);
     StandInStore &platform();
     std::size_t replicaCount() const;
 
-    /** Bring a newer version of the configuration into force. */
+    /** Writes the next version of the configuration to the store. */
     void configure();
 
-    /** Tell the nodes that a replica is there, or leaves. */
+    /** Writes the entry of a replica with this state to the store, from which the nodes read it. */
     void registerReplica(std::size_t replica, const std::string &state);
 
-    /** How a replica starts again. */
+    /** Software version with which a replica restarts. */
     enum class Restart {
-        AsItWas,
+        SameVersion,
         /** With the other version of its software. */
         Upgraded,
     };
 
-    /** A replica crashes, and is there again under its name at once. */
+    /** Crashes a replica and restarts it at once under the same name. */
     void restartReplica(std::size_t replica, Restart restart);
 
-    /** Generate an event each so long. */
-    void setEventPause(std::chrono::milliseconds pause);
+    /** Sets the interval at which replicas generate events. */
+    void setEventInterval(std::chrono::milliseconds interval);
 
-    /** Another program writes over a replica's entry. */
-    void spoilEntry(std::size_t replica, const std::string &text);
+    /** Overwrites the entry of a replica, as another program might. */
+    void corruptEntry(std::size_t replica, const std::string &text);
 
 private:
     struct Replica
     {
         std::string instance;
         std::string service;
-        /** Which of the versions its software has. */
+        /** Index into softwareVersions. */
         std::size_t version = 0;
-        /** Its start, in milliseconds of the time of day. */
-        std::uint64_t born = 1764700000000;
-        /** What it runs that crashes replicas. */
-        std::set<std::string> crashing;
-        bool isGone = false;
+        /** Start time in milliseconds since the Unix epoch. */
+        std::uint64_t startTime = 1764700000000;
+        /** Contents of the running requests that crash replicas. */
+        std::set<std::string> crashingContents;
+        bool isDown = false;
         std::unique_ptr<CallerServer> server;
-        std::unique_ptr<FaultProxy> way;
+        std::unique_ptr<FaultProxy> proxy;
     };
 
     void addReplica(const std::string &service);
-    void runCrashing(std::size_t replica, const std::string &content);
-    void endReplica(std::size_t replica);
+    void runCrashingRequest(std::size_t replica, const std::string &content);
+    void crashReplica(std::size_t replica);
     void serve(std::size_t replica, const std::shared_ptr<CallerExchange> &exchange);
     void generate(const std::shared_ptr<CallerExchange> &exchange, const std::vector<std::string> &output, std::size_t next);
 
@@ -95,9 +95,9 @@
     CrashRecord &crashes;
     SystemClock clock;
     StandInStore store;
-    std::vector<std::unique_ptr<FaultProxy>> storeWays;
+    std::vector<std::unique_ptr<FaultProxy>> storeProxies;
     std::vector<Replica> replicas;
-    std::chrono::milliseconds eventPause;
+    std::chrono::milliseconds eventInterval;
     int version = 0;
     std::uint64_t entriesWritten = 0;
 };
