--- a/Tests/Soak/CrashRecord.cpp
+++ b/Tests/Soak/CrashRecord.cpp
@@ -34,8 +34,8 @@
         });
         if (static_cast<std::size_t>(laterRuns) > maxLaterRuns) {
             excesses.push_back('"' + content + "\" reached replicas " + std::to_string(laterRuns)
-                               + " more times after the limit of crashes was reached: " + std::to_string(crashes) + "; "
-                               + std::to_string(times.size()) + " in all");
+                               + " more times after crash number " + std::to_string(crashes) + "; " + std::to_string(times.size())
+                               + " crashes in total");
         }
     }
     return excesses;
@@ -52,8 +52,8 @@
     for (const auto &[content, times] : this->crashTimes) {
         crashed += times.size();
     }
-    return std::to_string(this->runs.size()) + " contents that crash replicas reached these " + std::to_string(reached)
-        + " times, with " + std::to_string(crashed) + " ends";
+    return std::to_string(this->runs.size()) + " contents that crash replicas reached a replica " + std::to_string(reached)
+        + " times, with " + std::to_string(crashed) + " crashes";
 }
 
 } // namespace Dogwoodkeel
--- a/Tests/Soak/CrashRecord.h
+++ b/Tests/Soak/CrashRecord.h
@@ -23,8 +23,8 @@
 
     /**
      * @param crashes number of crashes after which a content must not reach replicas any more
-     * @param settling how long all nodes may take to learn of the last of these crashes
-     * @param most number of runs that are still allowed after that
+     * @param propagationTime how long all nodes may take to learn of the last of these crashes
+     * @param maxLaterRuns number of runs that are still allowed after that
      * @return a description of each content that reached replicas more often
      */
     std::vector<std::string>
--- a/Tests/Soak/PeerPartition.cpp
+++ b/Tests/Soak/PeerPartition.cpp
@@ -168,11 +168,11 @@
     for (const auto &each : sockets) {
         const std::size_t receiver = each.first;
         std::vector<std::size_t> senders;
-        std::vector<std::uint32_t> senderNumbers;
+        std::vector<std::uint32_t> senderAddresses;
         for (const auto &[sender, to] : pairs) {
             if (to == receiver) {
                 senders.push_back(sender);
-                senderNumbers.push_back(toHostOrder(peers[sender].ip));
+                senderAddresses.push_back(toHostOrder(peers[sender].ip));
             }
         }
         const auto isFrom = [&](const Socket &socket, std::size_t sender) {
@@ -185,7 +185,7 @@
         };
         for (const Socket &socket : each.second) {
             if (socket.isDatagram() && socket.localAddress().port == this->port) {
-                senderNumbers.empty() ? socket.removeFilter() : socket.dropFrom(senderNumbers);
+                senderAddresses.empty() ? socket.removeFilter() : socket.dropFrom(senderAddresses);
             } else if (!socket.isDatagram() && socket.remoteAddress()) {
                 const bool isDropped = std::ranges::any_of(senders, [&](std::size_t sender) {
                     return isFrom(socket, sender);
--- a/Tests/Soak/PeerPartition.h
+++ b/Tests/Soak/PeerPartition.h
@@ -14,8 +14,8 @@
 {
 
 /**
- * Partitions the network between pairs of processes, in one or both directions; other traffic is unaffected. Attaches socket
- * filters to the sockets of the receiving process that drop what the sender sends. The processes must be children of the caller.
+ * Partitions the network between pairs of processes, in one or both directions; other traffic is unaffected. Attaches filters
+ * to the sockets of the receiving process, which drop the traffic of the sender. The processes must be children of the caller.
  */
 class PeerPartition
 {
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -70,13 +70,13 @@
 constexpr std::chrono::milliseconds maxPartitionTime{12000};
 /** Up to this number of kinds of faults there are no callers that end large jobs. */
 constexpr std::uint32_t kindsWithoutEnders = 14;
-/** After this number of crashes, and the time for all nodes to learn of them, a content may reach replicas a few more times. */
+/** After crashesToRefuse crashes and crashPropagationTime, a content may reach replicas maxRunsAfterRefusal more times. */
 constexpr std::size_t crashesToRefuse = 3;
 constexpr std::chrono::seconds crashPropagationTime{3};
 constexpr std::size_t maxRunsAfterRefusal = 3;
 /** Kinds of faults that affect only replicas; nodes and the store stay undisturbed. */
 constexpr std::array replicaFaults{6u, 10u, 12u, 13u, 21u};
-constexpr std::size_t maxPeersCut = 8;
+constexpr std::size_t maxPartitionedPeers = 8;
 constexpr const char *storeComponent = "store";
 constexpr double minServedShare = 0.9;
 constexpr int probeCount = 40;
@@ -165,7 +165,7 @@
                     this->allowedAfterEnd,
                     this->crashes.summary().c_str());
         for (const std::string &violation : this->record.violations()) {
-            std::printf("  BROKEN %s\n", violation.c_str());
+            std::printf("  VIOLATION %s\n", violation.c_str());
         }
         if (!this->record.violations().empty()) {
             std::printf("  faults:\n");
@@ -183,28 +183,28 @@
         for (const Address &address : this->addresses) {
             seeds += (seeds.empty() ? "\"" : ", \"") + Address{address.ip, peerPort}.toString() + '"';
         }
-        const Address &own = this->addresses[node];
+        const Address &ownAddress = this->addresses[node];
         const std::string name = "node-" + std::to_string(node);
         const Address store = this->world.ask<Address>([node](SoakWorld &world) {
             return world.storeProxy(node).address();
         });
-        const std::string peer = Address{own.ip, peerPort}.toString();
+        const std::string peer = Address{ownAddress.ip, peerPort}.toString();
         const std::string settings = "[node]\nvm = \"" + name + "\"\nfailure_domain = \"z" + std::to_string(node % 3)
-            + "\"\n[listen]\nhttp = \"" + own.toString() + "\"\ngossip = \"" + peer + "\"\nowner = \"" + peer
+            + "\"\n[listen]\nhttp = \"" + ownAddress.toString() + "\"\ngossip = \"" + peer + "\"\nowner = \"" + peer
             + "\"\n[platform]\naddress = \"" + store.toString()
             + "\"\ntimeout = \"1500ms\"\n[peers]\nsite_key = \"soak\"\nseeds = [" + seeds + "]\n[gateway]\nready = \""
-            + Address{own.ip, readyPort}.toString() + "\"\n";
+            + Address{ownAddress.ip, readyPort}.toString() + "\"\n";
         const std::string file = this->fleet.writeFile(name + ".toml", settings);
         this->processes.push_back(
-            this->fleet.start(name, {FLAGS_programs + "/Programs/dogwoodkeel", "gateway", "--settings=" + file}, own));
+            this->fleet.start(name, {FLAGS_programs + "/Programs/dogwoodkeel", "gateway", "--settings=" + file}, ownAddress));
         this->isDisturbed.push_back(false);
         this->recordNodeDisturbance(node);
     }
 
     std::chrono::milliseconds randomTime(std::chrono::milliseconds min, std::chrono::milliseconds max)
     {
-        std::uniform_int_distribution<std::int64_t> spread(min.count(), max.count());
-        return std::chrono::milliseconds(spread(this->random));
+        std::uniform_int_distribution<std::int64_t> distribution(min.count(), max.count());
+        return std::chrono::milliseconds(distribution(this->random));
     }
 
     void scheduleAction(std::chrono::milliseconds delay, std::function<void()> action)
@@ -498,7 +498,7 @@
     void partitionPeers()
     {
         const std::uint32_t target = this->random() % FLAGS_nodes;
-        const std::size_t count = 1 + this->random() % std::min<std::size_t>(FLAGS_nodes, maxPeersCut);
+        const std::size_t count = 1 + this->random() % std::min<std::size_t>(FLAGS_nodes, maxPartitionedPeers);
         const unsigned direction = this->random() % 3;
         const std::chrono::milliseconds length = this->randomTime(minPartitionTime, maxPartitionTime);
         std::set<PeerPartition::Pair> pairs;
@@ -516,7 +516,7 @@
                 pairs.emplace(other, target);
             }
         }
-        static constexpr const char *directions[] = {" receives nothing from", " sends nothing to", " is partitioned from"};
+        static constexpr const char *directions[] = {" receives nothing from", " is not received by", " is partitioned from"};
         this->recordFault("node " + std::to_string(target) + directions[direction] + others + " for "
                           + std::to_string(length.count()) + " ms");
         const auto added = this->partitions.insert(this->partitions.end(), std::move(pairs));
@@ -622,8 +622,8 @@
     /** @return the last sending of an item before it reached the replica, according to the nodes' logs. */
     std::optional<Sending> lastSending(const SoakRecord::LateItem &item) const
     {
-        const auto past = std::chrono::duration_cast<std::chrono::system_clock::duration>(Clock::now() - item.reached);
-        const std::string latest = logTime(std::chrono::system_clock::now() - past);
+        const auto elapsed = std::chrono::duration_cast<std::chrono::system_clock::duration>(Clock::now() - item.reached);
+        const std::string latest = logTime(std::chrono::system_clock::now() - elapsed);
         std::optional<Sending> found;
         for (std::uint32_t node = 0; node < FLAGS_nodes; ++node) {
             std::ifstream log(this->fleet.process(this->processes[node]).logFile);
--- a/Tests/Soak/SoakCaller.cpp
+++ b/Tests/Soak/SoakCaller.cpp
@@ -159,7 +159,7 @@
     } else if (response.status == 200) {
         this->checkAnswer(id, body, response);
     } else if (response.status >= 400 && response.status < 500 && response.status != 429) {
-        this->record.recordViolation("request " + id + " got " + std::to_string(response.status));
+        this->record.recordViolation("request " + id + " got status " + std::to_string(response.status));
     }
     if (isResumed) {
         this->record.recordResumption(countEvents(received.events) > knownEvents || received.isComplete);
@@ -223,8 +223,8 @@
 
 std::chrono::milliseconds SoakCaller::timeBeforeEnd()
 {
-    static constexpr std::array<unsigned, 4> maxTimes{1, 60, 500, 2500};
-    return std::chrono::milliseconds(this->random() % maxTimes[this->random() % maxTimes.size()]);
+    static constexpr std::array<unsigned, 4> upperLimits{1, 60, 500, 2500};
+    return std::chrono::milliseconds(this->random() % upperLimits[this->random() % upperLimits.size()]);
 }
 
 std::optional<std::string> SoakCaller::submitJob(std::size_t itemCount)
--- a/Tests/Soak/SoakCaller.h
+++ b/Tests/Soak/SoakCaller.h
@@ -33,14 +33,16 @@
     /** Sends requests with a content that crashes replicas to random nodes until isStopped is set. */
     void sendCrashingRequests(const std::string &content, const std::atomic<bool> &isStopped);
 
-    /** Submits jobs of many items and ends most of them after a random time, each call at a random node, until isStopped is set.
+    /**
+     * Submits jobs of many items and ends most of them after a random time, until isStopped is set. Sends each request to a
+     * random node.
      */
     void runJobs(const std::atomic<bool> &isStopped);
 
     /** Reads the results of all open jobs until they are complete or the timeout expires. */
     void finishJobs(std::chrono::seconds timeout);
 
-    /** @return the share of this number of ordinary requests that is served. */
+    /** Sends this number of ordinary requests. @return the share that was served. */
     double probe(int count);
 
 private:
--- a/Tests/Soak/SoakRecord.cpp
+++ b/Tests/Soak/SoakRecord.cpp
@@ -53,7 +53,7 @@
         this->violationTexts.push_back(std::move(text));
     };
     if (total != recorded.outputs.size()) {
-        this->violationTexts.push_back("job " + job + ": total " + std::to_string(total) + " of "
+        this->violationTexts.push_back("job " + job + ": total is " + std::to_string(total) + " instead of "
                                        + std::to_string(recorded.outputs.size()));
     }
     for (std::size_t position = 0; position < results.size(); ++position) {
--- a/Tests/Soak/SoakWorld.h
+++ b/Tests/Soak/SoakWorld.h
@@ -55,7 +55,7 @@
     /** Software version with which a replica restarts. */
     enum class Restart {
         SameVersion,
-        /** With the other version of its software. */
+        /** The other one of softwareVersions. */
         Upgraded,
     };
 
