--- a/Tests/Soak/PeerPartition.h
+++ b/Tests/Soak/PeerPartition.h
@@ -14,30 +14,30 @@
 {
 
 /**
- * Cuts processes off from each other while they reach all else: the system drops, at the sockets of the one, what the other
- * sends. The processes have to be the caller's children.
+ * Partitions the network between pairs of processes, in one or both directions; other traffic is unaffected. Attaches filters
+ * to the sockets of the receiving process, which drop the traffic of the sender. The processes must be children of the caller.
  */
-class PeerCut
+class PeerPartition
 {
 public:
-    /** A process that listens for its peers. */
+    /** A process that accepts connections and datagrams from its peers. */
     struct Peer
     {
-        /** 0 while it isn't running. */
+        /** 0 while the process isn't running. */
         pid_t pid = 0;
         std::string ip;
     };
 
-    /** Positions of a sender and of a receiver. */
+    /** Indexes of a sender and a receiver in the list of peers. */
     using Pair = std::pair<std::size_t, std::size_t>;
 
-    /** @param port at which all peers listen, for datagrams and for connections */
-    explicit PeerCut(std::uint16_t port);
+    /** @param port on which all peers listen, for both datagrams and connections */
+    explicit PeerPartition(std::uint16_t port);
 
     /**
-     * Drop what passes between these pairs, and nothing else any more. Connections that are opened later are found by the next
-     * call.
-     * @throws std::system_error if the system doesn't let it reach the sockets
+     * Drops traffic from the sender to the receiver of each pair, and removes the filters of earlier calls from all other
+     * sockets. Connections that are opened later are filtered from the next call on.
+     * @throws std::system_error if the sockets of a process can't be accessed
      */
     void apply(const std::vector<Peer> &peers, const std::set<Pair> &pairs);
 
@@ -45,7 +45,7 @@
     class Socket;
 
     std::uint16_t port;
-    std::set<std::size_t> filtered;
+    std::set<std::size_t> filteredReceivers;
 };
 
 } // namespace Dogwoodkeel
