--- a/Tests/Fakes/DutyNetwork.cpp
+++ b/Tests/Fakes/ElectionNetwork.cpp
@@ -1,4 +1,4 @@
-#include <Tests/Fakes/DutyNetwork.h>
+#include <Tests/Fakes/ElectionNetwork.h>
 
 #include <algorithm>
 #include <iterator>
--- a/Tests/LibMembership/TestCoordinatorElection.cpp
+++ b/Tests/LibMembership/TestCoordinatorElection.cpp
@@ -1,6 +1,6 @@
 #include <LibBase/ManualClock.h>
 #include <LibMembership/CoordinatorElection.h>
-#include <Tests/Fakes/DutyNetwork.h>
+#include <Tests/Fakes/ElectionNetwork.h>
 
 #include <doctest/doctest.h>
 
