--- a/Tests/Fakes/DutyNetwork.cpp
+++ b/Tests/Fakes/ElectionNetwork.cpp
@@ -1,4 +1,4 @@
-#include <Tests/Fakes/DutyNetwork.h>
+#include <Tests/Fakes/ElectionNetwork.h>
 
 #include <algorithm>
 #include <iterator>
@@ -23,7 +23,7 @@
 /** How often a node that knows no claim asks for one, and how many others. */
 constexpr std::chrono::milliseconds questionInterval{100};
 constexpr std::size_t questionsAtOnce = 3;
-constexpr DutyNetwork::Number largeEvery = 5;
+constexpr ElectionNetwork::Number largeEvery = 5;
 constexpr std::uint32_t largeShare = 50;
 constexpr std::uint32_t smallShare = 12;
 constexpr std::size_t seedCount = 3;
@@ -37,7 +37,7 @@
 
 } // namespace
 
-DutyNetwork::DutyNetwork(std::size_t count) : gossip(gatewayOptions())
+ElectionNetwork::ElectionNetwork(std::size_t count) : gossip(gatewayOptions())
 {
     this->gossip.processorShareOf = [](Number number) {
         return number % largeEvery == 0 ? largeShare : smallShare;
@@ -47,7 +47,7 @@
     }
 }
 
-void DutyNetwork::addNode(Number number, SessionNumber session)
+void ElectionNetwork::addNode(Number number, SessionNumber session)
 {
     std::vector<Number> contacts;
     for (Number seed = 1; seed <= seedCount; ++seed) {
@@ -62,14 +62,14 @@
     this->nodes[number] = std::move(node);
 }
 
-void DutyNetwork::advance(std::chrono::milliseconds time)
+void ElectionNetwork::advance(std::chrono::milliseconds time)
 {
     for (std::chrono::milliseconds passed{0}; passed < time; passed += stepTime) {
         this->step();
     }
 }
 
-void DutyNetwork::step()
+void ElectionNetwork::step()
 {
     this->gossip.clock.advance(stepTime);
     for (auto &[number, node] : this->nodes) {
@@ -80,7 +80,7 @@
     this->measure();
 }
 
-void DutyNetwork::look(Number number, Node &node)
+void ElectionNetwork::look(Number number, Node &node)
 {
     const SteadyTime now = this->gossip.clock.now();
     const MemberViewPointer view = this->gossip.member(number).view();
@@ -114,7 +114,7 @@
     }
 }
 
-void DutyNetwork::askHolder(Number number, Node &node)
+void ElectionNetwork::askHolder(Number number, Node &node)
 {
     const Member *const holder = node.duty->coordinator();
     const std::optional<Number> asked = holder != nullptr ? this->numberOf(holder->session) : std::nullopt;
@@ -133,7 +133,7 @@
     }
 }
 
-void DutyNetwork::suspicion(Number number, const Node &node, const Member &holder)
+void ElectionNetwork::suspicion(Number number, const Node &node, const Member &holder)
 {
     const Member *const successor = node.duty->successor();
     const std::optional<Number> to = successor != nullptr ? this->numberOf(successor->session) : std::nullopt;
@@ -149,7 +149,7 @@
         });
 }
 
-void DutyNetwork::question(Number number, Node &node)
+void ElectionNetwork::question(Number number, Node &node)
 {
     const std::vector<Member> &members = node.view->members();
     std::uniform_int_distribution<std::size_t> choice(0, members.size() - 1);
@@ -158,7 +158,7 @@
     }
 }
 
-void DutyNetwork::tellNewcomers(Number number, Node &node, const MemberView &before)
+void ElectionNetwork::tellNewcomers(Number number, Node &node, const MemberView &before)
 {
     const Member *const holder = node.duty->coordinator();
     if (!node.duty->claim() || holder == nullptr || holder->session != this->gossip.sessionOf(number)) {
@@ -171,14 +171,14 @@
     }
 }
 
-void DutyNetwork::tellAll(Number from, const CoordinatorClaim &claim)
+void ElectionNetwork::tellAll(Number from, const CoordinatorClaim &claim)
 {
     for (const Member &member : this->gossip.member(from).view()->members()) {
         this->tell(from, GossipNetwork::numberOf(member.gossip), claim);
     }
 }
 
-void DutyNetwork::tell(Number from, Number to, const CoordinatorClaim &claim)
+void ElectionNetwork::tell(Number from, Number to, const CoordinatorClaim &claim)
 {
     const bool isLost = std::bernoulli_distribution(this->gossip.loss)(this->random);
     if (isLost || from == to || (this->gossip.isCut && this->gossip.isCut(from, to))) {
@@ -199,14 +199,14 @@
     });
 }
 
-void DutyNetwork::setStoreLost(Number number, bool isLost)
+void ElectionNetwork::setStoreLost(Number number, bool isLost)
 {
     this->gossip.member(number).update([isLost](Member &member) {
         member.hasLostStore = isLost;
     });
 }
 
-void DutyNetwork::leave(Number number)
+void ElectionNetwork::leave(Number number)
 {
     this->gossip.member(number).update([](Member &member) {
         member.isReady = false;
@@ -214,31 +214,31 @@
     });
 }
 
-void DutyNetwork::restart(Number number)
+void ElectionNetwork::restart(Number number)
 {
     this->gossip.kill(number);
     this->addNode(number, SessionNumber(++this->lastSession));
 }
 
-void DutyNetwork::kill(Number number)
+void ElectionNetwork::kill(Number number)
 {
     this->gossip.kill(number);
     this->nodes.erase(number);
 }
 
-void DutyNetwork::pause(Number number)
+void ElectionNetwork::pause(Number number)
 {
     this->gossip.pause(number);
     this->paused.insert(number);
 }
 
-void DutyNetwork::resume(Number number)
+void ElectionNetwork::resume(Number number)
 {
     this->paused.erase(number);
     this->gossip.resume(number);
 }
 
-void DutyNetwork::usurp(Number number)
+void ElectionNetwork::claimRole(Number number)
 {
     const std::optional<CoordinatorClaim> &known = this->nodes.at(number).duty->claim();
     const CoordinatorClaim claim{dutyName, known ? known->term + 1 : 1, this->gossip.sessionOf(number)};
@@ -246,37 +246,37 @@
     this->tellAll(number, claim);
 }
 
-DutyNetwork::Number DutyNetwork::holder()
+ElectionNetwork::Number ElectionNetwork::coordinator()
 {
     return this->named ? this->numberOf(*this->named).value_or(0) : 0;
 }
 
-void DutyNetwork::forgetMeasures()
+void ElectionNetwork::resetMeasurements()
 {
     this->longest.clear();
     this->changeCount = 0;
 }
 
-std::size_t DutyNetwork::strayed(std::chrono::milliseconds longerThan) const
+std::size_t ElectionNetwork::countDivergent(std::chrono::milliseconds longerThan) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(this->longest, [longerThan](const auto &entry) {
         return entry.second > longerThan;
     }));
 }
 
-std::size_t DutyNetwork::changes() const
+std::size_t ElectionNetwork::changes() const
 {
     return this->changeCount;
 }
 
-std::optional<DutyNetwork::Number> DutyNetwork::numberOf(SessionNumber session) const
+std::optional<ElectionNetwork::Number> ElectionNetwork::numberOf(SessionNumber session) const
 {
     const auto found = this->numbers.find(session);
     const bool isRunning = found != this->numbers.end() && this->nodes.contains(found->second);
     return isRunning ? std::optional(found->second) : std::nullopt;
 }
 
-void DutyNetwork::measure()
+void ElectionNetwork::measure()
 {
     std::map<Number, std::optional<SessionNumber>> said;
     std::map<std::optional<SessionNumber>, std::size_t> votes;
--- a/Tests/Fakes/DutyNetwork.h
+++ b/Tests/Fakes/ElectionNetwork.h
@@ -17,13 +17,13 @@
  * Members in virtual time that judge, each by its own view, which of them has one duty. Measures for how long how many of
  * them name another holder than most do.
  */
-class DutyNetwork
+class ElectionNetwork
 {
 public:
     using Number = GossipNetwork::Number;
 
     /** One in five nodes has a large enough processor for duties. */
-    explicit DutyNetwork(std::size_t count);
+    explicit ElectionNetwork(std::size_t count);
 
     /** Let time pass, and measure. */
     void advance(std::chrono::milliseconds time);
@@ -45,16 +45,16 @@
     void resume(Number number);
 
     /** A node claims the duty for itself, whoever has it. */
-    void usurp(Number number);
+    void claimRole(Number number);
 
     /** @return the node that most of the others name. */
-    Number holder();
+    Number coordinator();
 
     /** Forget what was measured so far. */
-    void forgetMeasures();
+    void resetMeasurements();
 
     /** @return nodes that named another holder than most for longer than some time without a break. */
-    std::size_t strayed(std::chrono::milliseconds longerThan) const;
+    std::size_t countDivergent(std::chrono::milliseconds longerThan) const;
 
     /** @return how often the node that most name has changed. */
     std::size_t changes() const;
--- a/Tests/Fakes/EngineOrders.cpp
+++ b/Tests/Fakes/EngineOrders.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-bool EngineOrders::take(const EngineOrder &order)
+bool EngineOrders::apply(const EngineOrder &order)
 {
     ++this->receivedOrders;
     this->finishLoad();
@@ -71,7 +71,7 @@
     return this->receivedOrders;
 }
 
-const std::vector<EngineOrder> &EngineOrders::taken() const
+const std::vector<EngineOrder> &EngineOrders::appliedOrders() const
 {
     return this->history;
 }
--- a/Tests/Fakes/EngineOrders.h
+++ b/Tests/Fakes/EngineOrders.h
@@ -23,7 +23,7 @@
     EngineOrders(const Clock &clock, Options options);
 
     /** @return whether the order was taken; false: its fencing number is old */
-    bool take(const EngineOrder &order);
+    bool apply(const EngineOrder &order);
 
     EngineStateReport report();
 
@@ -39,7 +39,7 @@
     std::size_t received() const;
 
     /** @return every order that took effect, in order. */
-    const std::vector<EngineOrder> &taken() const;
+    const std::vector<EngineOrder> &appliedOrders() const;
 
 private:
     void finishLoad();
--- a/Tests/Fakes/FakeEngine.cpp
+++ b/Tests/Fakes/FakeEngine.cpp
@@ -298,7 +298,7 @@
 void FakeEngine::order(const HttpRequest &request, const Reply &reply)
 {
     const auto order = request.method == "POST" ? EngineProtocol::parseOrder(request.body) : std::nullopt;
-    const bool isStale = order && !this->orders.take(*order);
+    const bool isStale = order && !this->orders.apply(*order);
     reply->send({isStale ? statusConflict : statusOk,
                  {{"Content-Type", "application/json"}},
                  EngineProtocol::format(this->orders.report())});
--- a/Tests/Fakes/FakeRowStore.cpp
+++ b/Tests/Fakes/FakeRowStore.cpp
@@ -146,7 +146,7 @@
     return result;
 }
 
-void FakeRowStore::setMute(bool isMute)
+void FakeRowStore::setFollowMuted(bool isMute)
 {
     this->mute = isMute;
 }
--- a/Tests/Fakes/FakeRowStore.h
+++ b/Tests/Fakes/FakeRowStore.h
@@ -39,7 +39,7 @@
     void setDown(bool isDown);
 
     /** Leave whoever asks for changes without an answer, as on a connection that is dead. */
-    void setMute(bool isMute);
+    void setFollowMuted(bool isMute);
 
     /** @return how often rows were read. */
     std::size_t reads() const;
--- a/Tests/Fakes/StandInStore.cpp
+++ b/Tests/Fakes/StandInStore.cpp
@@ -74,12 +74,12 @@
     return *this->store;
 }
 
-void StandInStore::setMood(Mood mood)
+void StandInStore::setResponseMode(ResponseMode mood)
 {
     this->mood = mood;
 }
 
-void StandInStore::withhold(const std::string &table)
+void StandInStore::setUnavailableTable(const std::string &table)
 {
     this->withheldTable = table;
 }
@@ -92,10 +92,10 @@
 
 void StandInStore::handle(const std::shared_ptr<CallerExchange> &exchange)
 {
-    if (this->mood == Mood::Silent) {
+    if (this->mood == ResponseMode::Unresponsive) {
         return;
     }
-    if (this->mood == Mood::Busy) {
+    if (this->mood == ResponseMode::Busy) {
         exchange->send(503, {}, {});
         return;
     }
--- a/Tests/Fakes/StandInStore.h
+++ b/Tests/Fakes/StandInStore.h
@@ -14,12 +14,12 @@
 {
 public:
     /** How it treats its callers. */
-    enum class Mood {
+    enum class ResponseMode {
         Serving,
         /** It answers 503. */
         Busy,
         /** It takes requests and never answers. */
-        Silent,
+        Unresponsive,
     };
 
     StandInStore(EventLoop &loop, const Clock &clock);
@@ -29,10 +29,10 @@
 
     const Address &address() const;
     FakeRowStore &rows();
-    void setMood(Mood mood);
+    void setResponseMode(ResponseMode mood);
 
     /** Answer 503 to whoever reads or follows this table. */
-    void withhold(const std::string &table);
+    void setUnavailableTable(const std::string &table);
 
 private:
     /** @return its steady time, which no node has. */
@@ -46,7 +46,7 @@
 
     const Clock &clock;
     std::shared_ptr<FakeRowStore> store;
-    Mood mood = Mood::Serving;
+    ResponseMode mood = ResponseMode::Serving;
     std::string withheldTable;
     CallerServer server;
 };
--- a/Tests/LibMembership/TestCoordinatorElection.cpp
+++ b/Tests/LibMembership/TestCoordinatorElection.cpp
@@ -1,6 +1,6 @@
 #include <LibBase/ManualClock.h>
 #include <LibMembership/CoordinatorElection.h>
-#include <Tests/Fakes/DutyNetwork.h>
+#include <Tests/Fakes/ElectionNetwork.h>
 
 #include <doctest/doctest.h>
 
@@ -17,7 +17,7 @@
 namespace
 {
 
-using Number = DutyNetwork::Number;
+using Number = ElectionNetwork::Number;
 
 constexpr std::size_t nodeCount = 120;
 /** A node that names another coordinator for longer than this most likely delays requests. */
@@ -31,17 +31,17 @@
     std::size_t changes = 0;
 };
 
-using Scenario = std::function<void(DutyNetwork &, std::minstd_rand &)>;
+using Scenario = std::function<void(ElectionNetwork &, std::minstd_rand &)>;
 
 Outcome replay(const Scenario &scenario)
 {
     std::minstd_rand random(7);
-    DutyNetwork network(nodeCount);
+    ElectionNetwork network(nodeCount);
     network.advance(8s);
-    network.forgetMeasures();
+    network.resetMeasurements();
     scenario(network, random);
     network.advance(12s);
-    return {network.strayed(toleratedTime), network.changes()};
+    return {network.countDivergent(toleratedTime), network.changes()};
 }
 
 std::vector<Number> shuffledNodes(std::minstd_rand &random)
@@ -112,11 +112,11 @@
 // queues.
 TEST_CASE("if a third of the nodes loses the store, a role moves at most once")
 {
-    const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &random) {
+    const Outcome outcome = replay([](ElectionNetwork &network, std::minstd_rand &random) {
         std::vector<Number> lost = shuffledNodes(random);
         lost.resize(nodeCount / 3);
         // The coordinator is included; otherwise the role would not have to move.
-        lost.push_back(network.holder());
+        lost.push_back(network.coordinator());
         for (const Number number : lost) {
             network.setStoreLost(number, true);
             network.advance(10ms);
@@ -135,8 +135,8 @@
 // switch to the same successor.
 TEST_CASE("if the coordinator of a role dies, the others agree on one successor")
 {
-    const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &) {
-        network.kill(network.holder());
+    const Outcome outcome = replay([](ElectionNetwork &network, std::minstd_rand &) {
+        network.kill(network.coordinator());
     });
     CHECK(outcome.strayed <= maxStrayed);
     CHECK(outcome.changes == 1);
@@ -144,8 +144,8 @@
 
 TEST_CASE("if the coordinator of a role leaves, all follow its successor at once")
 {
-    const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &) {
-        const Number holder = network.holder();
+    const Outcome outcome = replay([](ElectionNetwork &network, std::minstd_rand &) {
+        const Number holder = network.coordinator();
         network.leave(holder);
         network.advance(3s);
         network.kill(holder);
@@ -158,8 +158,8 @@
 // node has the role before it assigns slots a second time.
 TEST_CASE("a coordinator that is paused and resumes accepts that another node has the role")
 {
-    const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &) {
-        const Number holder = network.holder();
+    const Outcome outcome = replay([](ElectionNetwork &network, std::minstd_rand &) {
+        const Number holder = network.coordinator();
         network.pause(holder);
         network.advance(6s);
         network.resume(holder);
@@ -170,8 +170,8 @@
 
 TEST_CASE("a coordinator that was cut off from all members accepts its successor when it reconnects")
 {
-    const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &) {
-        const Number holder = network.holder();
+    const Outcome outcome = replay([](ElectionNetwork &network, std::minstd_rand &) {
+        const Number holder = network.coordinator();
         network.gossip.isCut = [holder](Number from, Number to) {
             return from == holder || to == holder;
         };
@@ -186,9 +186,9 @@
 // Two nodes claim the role within the latency of a claim, because neither has received the claim of the other.
 TEST_CASE("if two nodes claim a role at once, all follow one of them")
 {
-    const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &) {
-        network.usurp(10);
-        network.usurp(20);
+    const Outcome outcome = replay([](ElectionNetwork &network, std::minstd_rand &) {
+        network.claimRole(10);
+        network.claimRole(20);
     });
     CHECK(outcome.strayed <= maxStrayed);
     CHECK(outcome.changes <= 2);
@@ -197,10 +197,10 @@
 // Nodes are replaced one after the other, as in a rolling upgrade. New nodes know neither the coordinator nor its claim.
 TEST_CASE("if nodes are restarted in turn, only a restart of the coordinator moves its role")
 {
-    const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &random) {
+    const Outcome outcome = replay([](ElectionNetwork &network, std::minstd_rand &random) {
         std::vector<Number> order = shuffledNodes(random);
         order.resize(60);
-        std::erase(order, network.holder());
+        std::erase(order, network.coordinator());
         for (const Number number : order) {
             network.leave(number);
             network.advance(100ms);
@@ -215,12 +215,12 @@
 // All nodes die and restart at once, so that no node knows a claim or the other members.
 TEST_CASE("nodes that all start at once soon agree on a coordinator")
 {
-    const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &random) {
+    const Outcome outcome = replay([](ElectionNetwork &network, std::minstd_rand &random) {
         for (const Number number : shuffledNodes(random)) {
             network.restart(number);
         }
         network.advance(1s);
-        network.forgetMeasures();
+        network.resetMeasurements();
     });
     CHECK(outcome.strayed <= maxStrayed);
     CHECK(outcome.changes <= 1);
@@ -434,11 +434,11 @@
 
 TEST_CASE("if half of the nodes die at once with the coordinator, the others agree on one successor")
 {
-    const Outcome outcome = replay([](DutyNetwork &network, std::minstd_rand &random) {
+    const Outcome outcome = replay([](ElectionNetwork &network, std::minstd_rand &random) {
         std::vector<Number> dead = shuffledNodes(random);
         dead.resize(nodeCount / 2);
-        std::erase(dead, network.holder());
-        dead.push_back(network.holder());
+        std::erase(dead, network.coordinator());
+        dead.push_back(network.coordinator());
         for (const Number number : dead) {
             network.kill(number);
         }
--- a/Tests/ServiceControl/TestReconciler.cpp
+++ b/Tests/ServiceControl/TestReconciler.cpp
@@ -87,7 +87,7 @@
         };
         hooks.sendOrder = [this, &node](const Address &address, const EngineOrder &order, const auto &done) {
             const auto arrive = [this, &node, address, order, done] {
-                const bool isTaken = this->engines.at(address)->take(order);
+                const bool isTaken = this->engines.at(address)->apply(order);
                 this->clock.schedule(1ms, [&node, isTaken, done] {
                     done(node.losesAnswers ? OrderOutcome::Failed : isTaken ? OrderOutcome::Taken : OrderOutcome::StaleFence);
                 });
@@ -141,7 +141,7 @@
     Site::Node node(site, SessionNumber(1));
     site.run(20s);
     CHECK(site.countOf("v1") == 3);
-    CHECK(site.engine(0).taken().size() == 1);
+    CHECK(site.engine(0).appliedOrders().size() == 1);
 }
 
 TEST_CASE("an engine that restarts empty is loaded again")
@@ -153,7 +153,7 @@
     site.engine(1).restart();
     site.run(5s);
     CHECK(site.countOf("v1") == 3);
-    CHECK(site.engine(1).taken().size() == 2);
+    CHECK(site.engine(1).appliedOrders().size() == 2);
 }
 
 TEST_CASE("an order whose answer was lost is not sent again once it has taken effect")
--- a/Tests/ServiceGateway/TestEndedJobs.cpp
+++ b/Tests/ServiceGateway/TestEndedJobs.cpp
@@ -119,7 +119,7 @@
 {
     NodeWithWaitingReplica running(withoutJobLimit());
     running.host.ask<bool>([](GatewayBench &bench) {
-        bench.store.withhold(JobRows::openTable);
+        bench.store.setUnavailableTable(JobRows::openTable);
         return true;
     });
     REQUIRE(running.call("POST /b/job", {}, submission()).starts_with("HTTP/1.1 202"));
@@ -130,7 +130,7 @@
         endHead(bench);
         bench.store.rows().remove(JobRows::open(job));
         bench.store.rows().dropHistory();
-        bench.store.withhold({});
+        bench.store.setUnavailableTable({});
         return true;
     });
     await([&running] {
--- a/Tests/ServiceGateway/TestGateway.cpp
+++ b/Tests/ServiceGateway/TestGateway.cpp
@@ -214,20 +214,20 @@
         bench.settings.gateway.lapsedKept = std::chrono::seconds(5);
         bench.addReplica("i-1", "api", answerWhole);
     });
-    const auto setMood = [&running](StandInStore::Mood mood) {
+    const auto setResponseMode = [&running](StandInStore::ResponseMode mood) {
         running.host.ask<bool>([mood](GatewayBench &bench) {
-            bench.store.setMood(mood);
+            bench.store.setResponseMode(mood);
             return true;
         });
     };
-    setMood(StandInStore::Mood::Busy);
+    setResponseMode(StandInStore::ResponseMode::Busy);
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
     CHECK(running.call("POST /s/x").starts_with("HTTP/1.1 200"));
     running.host.ask<bool>([](GatewayBench &bench) {
         bench.store.rows().remove({"servers", "", "i-1"});
         return true;
     });
-    setMood(StandInStore::Mood::Serving);
+    setResponseMode(StandInStore::ResponseMode::Serving);
     std::this_thread::sleep_for(std::chrono::milliseconds(800));
     CHECK(running.call("POST /s/x").starts_with("HTTP/1.1 200"));
     running.host.ask<bool>([](GatewayBench &bench) {
@@ -306,7 +306,7 @@
         });
     });
     running.host.ask<bool>([](GatewayBench &bench) {
-        bench.otherStoreRoute.setMood(StandInStore::Mood::Busy);
+        bench.otherStoreRoute.setResponseMode(StandInStore::ResponseMode::Busy);
         return true;
     });
     const nlohmann::json job{{"requests", {{{"id", "a"}, {"path", "/b/a"}, {"body", ""}, {"tokens", 9}}}}};
@@ -325,7 +325,7 @@
     RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "api", answerWhole);
         bench.addReplica("i-2", "llm", streamWhole);
-        bench.otherStoreRoute.withhold("servers");
+        bench.otherStoreRoute.setUnavailableTable("servers");
     });
     const Address address = running.host.ask<Address>([](GatewayBench &bench) {
         bench.startOther();
--- a/Tests/ServiceGateway/TestRelays.cpp
+++ b/Tests/ServiceGateway/TestRelays.cpp
@@ -212,7 +212,7 @@
     RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "api", answerWhole);
         bench.addReplica("i-2", "llm", streamWhole);
-        bench.otherStoreRoute.withhold("servers");
+        bench.otherStoreRoute.setUnavailableTable("servers");
     });
     const auto isRelay = [&running](std::unique_ptr<Gateway> GatewayBench::*node) {
         return running.host.ask<bool>([node](GatewayBench &bench) {
--- a/Tests/ServiceGateway/TestTableFollower.cpp
+++ b/Tests/ServiceGateway/TestTableFollower.cpp
@@ -169,10 +169,10 @@
     Bench bench;
     bench.store.put(rowKey("a"), "1");
     bench.clock.advance(std::chrono::milliseconds(100));
-    bench.store.setMute(true);
+    bench.store.setFollowMuted(true);
     bench.clock.advance(std::chrono::milliseconds(100));
     bench.store.put(rowKey("a"), "2");
-    bench.store.setMute(false);
+    bench.store.setFollowMuted(false);
     bench.clock.advance(std::chrono::seconds(5));
     CHECK(bench.known["a"] == "1");
     bench.follower.refresh();
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -396,13 +396,14 @@
         const bool isSilent = this->random() % 2 == 0;
         this->note(std::string("store ") + (isSilent ? "silent" : "busy") + " for " + std::to_string(length.count()) + " ms");
         this->world.post([isSilent](SoakWorld &world) {
-            world.platform().setMood(isSilent ? StandInStore::Mood::Silent : StandInStore::Mood::Busy);
+            world.platform().setResponseMode(isSilent ? StandInStore::ResponseMode::Unresponsive
+                                                      : StandInStore::ResponseMode::Busy);
         });
         this->disturbances.note(storeParty, Clock::now(), Clock::now() + length);
         this->later(length, [this] {
             this->disturbances.note(storeParty, Clock::now(), Clock::now());
             this->world.post([](SoakWorld &world) {
-                world.platform().setMood(StandInStore::Mood::Serving);
+                world.platform().setResponseMode(StandInStore::ResponseMode::Serving);
             });
         });
     }
