--- a/Tests/Fakes/ElectionNetwork.cpp
+++ b/Tests/Fakes/ElectionNetwork.cpp
@@ -11,18 +11,19 @@
 namespace
 {
 
-constexpr const char *dutyName = "llm";
+constexpr const char *roleName = "llm";
 constexpr std::chrono::milliseconds stepTime{10};
 constexpr std::chrono::milliseconds latency{1};
-/** How often a node looks whether a loss of the store has stood for long enough. */
-constexpr std::chrono::milliseconds reachLook{250};
-/** How often a node asks the holder for a place, as in a fleet of some hundred nodes under some hundred requests a second. */
-constexpr std::chrono::milliseconds askInterval{350};
-/** When a node takes an ask for unanswered. */
+/** How often a node checks whether a loss of the store has lasted long enough. */
+constexpr std::chrono::milliseconds viewCheckInterval{250};
+/** How often a node requests a slot from the coordinator, as in a fleet of some hundred nodes under some hundred requests a
+ * second. */
+constexpr std::chrono::milliseconds slotRequestInterval{350};
+/** After what time a node treats a slot request as unanswered. */
 constexpr std::chrono::milliseconds answerTimeout{60};
-/** How often a node that knows no claim asks for one, and how many others. */
-constexpr std::chrono::milliseconds questionInterval{100};
-constexpr std::size_t questionsAtOnce = 3;
+/** How often a node that knows no claim queries others for one, and how many it queries. */
+constexpr std::chrono::milliseconds claimQueryInterval{100};
+constexpr std::size_t queriesAtOnce = 3;
 constexpr ElectionNetwork::Number largeEvery = 5;
 constexpr std::uint32_t largeShare = 50;
 constexpr std::uint32_t smallShare = 12;
@@ -56,9 +57,9 @@
     this->gossip.add(number, contacts, session);
     this->numbers[session] = number;
     Node node;
-    node.reach = std::make_unique<StoreReachability>(this->gossip.clock);
-    node.duty = std::make_unique<CoordinatorElection>(this->gossip.clock, dutyName);
-    node.nextAsk = this->gossip.clock.now() + askInterval * static_cast<int>(number % 7) / 7;
+    node.reachability = std::make_unique<StoreReachability>(this->gossip.clock);
+    node.election = std::make_unique<CoordinatorElection>(this->gossip.clock, roleName);
+    node.nextSlotRequest = this->gossip.clock.now() + slotRequestInterval * static_cast<int>(number % 7) / 7;
     this->nodes[number] = std::move(node);
 }
 
@@ -74,111 +75,113 @@
     this->gossip.clock.advance(stepTime);
     for (auto &[number, node] : this->nodes) {
         if (!this->paused.contains(number)) {
-            this->look(number, node);
+            this->updateNode(number, node);
         }
     }
     this->measure();
 }
 
-void ElectionNetwork::look(Number number, Node &node)
+void ElectionNetwork::updateNode(Number number, Node &node)
 {
     const SteadyTime now = this->gossip.clock.now();
     const MemberViewPointer view = this->gossip.member(number).view();
     const MemberViewPointer before = std::exchange(node.view, view);
     const bool isChanged = before != view;
     if (isChanged) {
-        node.reach->update(view);
+        node.reachability->update(view);
     }
-    if (isChanged || now >= node.nextLook) {
-        node.nextLook = now + reachLook;
-        node.duty->setView(this->gossip.sessionOf(number), view, node.reach->stableView());
+    if (isChanged || now >= node.nextViewCheck) {
+        node.nextViewCheck = now + viewCheckInterval;
+        node.election->setView(this->gossip.sessionOf(number), view, node.reachability->stableView());
     }
     if (isChanged && before) {
-        this->tellNewcomers(number, node, *before);
+        this->sendClaimToNewMembers(number, node, *before);
     }
-    if (node.duty->isQuerying() && now >= node.nextQuestion) {
-        node.nextQuestion = now + questionInterval;
-        this->question(number, node);
+    if (node.election->isQuerying() && now >= node.nextClaimQuery) {
+        node.nextClaimQuery = now + claimQueryInterval;
+        this->queryClaims(number, node);
     }
-    const Member *const suspected = node.duty->suspectedCoordinator();
-    const std::optional<Number> asked = suspected != nullptr ? this->numberOf(suspected->session) : std::nullopt;
-    if (asked) {
-        this->tell(number, *asked, node.duty->claimQuery());
+    const Member *const suspected = node.election->suspectedCoordinator();
+    const std::optional<Number> target = suspected != nullptr ? this->numberOf(suspected->session) : std::nullopt;
+    if (target) {
+        this->sendClaim(number, *target, node.election->claimQuery());
     }
-    if (const std::optional<CoordinatorClaim> claim = node.duty->makeClaim()) {
-        this->tellAll(number, *claim);
+    if (const std::optional<CoordinatorClaim> claim = node.election->makeClaim()) {
+        this->broadcastClaim(number, *claim);
     }
-    if (now >= node.nextAsk) {
-        node.nextAsk = now + askInterval;
-        this->askHolder(number, node);
+    if (now >= node.nextSlotRequest) {
+        node.nextSlotRequest = now + slotRequestInterval;
+        this->requestSlot(number, node);
     }
 }
 
-void ElectionNetwork::askHolder(Number number, Node &node)
+void ElectionNetwork::requestSlot(Number number, Node &node)
 {
-    const Member *const holder = node.duty->coordinator();
-    const std::optional<Number> asked = holder != nullptr ? this->numberOf(holder->session) : std::nullopt;
-    const bool isCut = asked && this->gossip.isCut && this->gossip.isCut(number, *asked);
-    if (holder != nullptr && (!asked || this->paused.contains(*asked) || isCut)) {
-        this->suspicion(number, node, *holder);
+    const Member *const coordinator = node.election->coordinator();
+    const std::optional<Number> target = coordinator != nullptr ? this->numberOf(coordinator->session) : std::nullopt;
+    const bool isCut = target && this->gossip.isCut && this->gossip.isCut(number, *target);
+    if (coordinator != nullptr && (!target || this->paused.contains(*target) || isCut)) {
+        this->reportSuspicion(number, node, *coordinator);
         return;
     }
-    if (!asked || *asked == number) {
+    if (!target || *target == number) {
         return;
     }
-    const Node &other = this->nodes.at(*asked);
-    const bool isPassedOn = other.duty->coordinator() != nullptr && other.duty->coordinator()->session != holder->session;
-    if (isPassedOn && other.duty->claim()) {
-        this->tell(*asked, number, *other.duty->claim());
+    const Node &other = this->nodes.at(*target);
+    const bool isRedirected
+        = other.election->coordinator() != nullptr && other.election->coordinator()->session != coordinator->session;
+    if (isRedirected && other.election->claim()) {
+        this->sendClaim(*target, number, *other.election->claim());
     }
 }
 
-void ElectionNetwork::suspicion(Number number, const Node &node, const Member &holder)
+void ElectionNetwork::reportSuspicion(Number number, const Node &node, const Member &coordinator)
 {
-    const Member *const successor = node.duty->successor();
+    const Member *const successor = node.election->successor();
     const std::optional<Number> to = successor != nullptr ? this->numberOf(successor->session) : std::nullopt;
     if (!to || (this->gossip.isCut && this->gossip.isCut(number, *to))) {
         return;
     }
     this->gossip.clock.schedule(
-        answerTimeout, [this, to, suspicion = CoordinatorSuspicion{dutyName, holder.session, this->gossip.sessionOf(number)}] {
+        answerTimeout,
+        [this, to, suspicion = CoordinatorSuspicion{roleName, coordinator.session, this->gossip.sessionOf(number)}] {
             const auto found = this->nodes.find(*to);
             if (found != this->nodes.end() && !this->paused.contains(*to)) {
-                found->second.duty->receiveSuspicion(suspicion);
+                found->second.election->receiveSuspicion(suspicion);
             }
         });
 }
 
-void ElectionNetwork::question(Number number, Node &node)
+void ElectionNetwork::queryClaims(Number number, Node &node)
 {
     const std::vector<Member> &members = node.view->members();
     std::uniform_int_distribution<std::size_t> choice(0, members.size() - 1);
-    for (std::size_t asked = 0; asked < questionsAtOnce; ++asked) {
-        this->tell(number, GossipNetwork::numberOf(members[choice(this->random)].gossip), node.duty->claimQuery());
+    for (std::size_t sent = 0; sent < queriesAtOnce; ++sent) {
+        this->sendClaim(number, GossipNetwork::numberOf(members[choice(this->random)].gossip), node.election->claimQuery());
     }
 }
 
-void ElectionNetwork::tellNewcomers(Number number, Node &node, const MemberView &before)
+void ElectionNetwork::sendClaimToNewMembers(Number number, Node &node, const MemberView &before)
 {
-    const Member *const holder = node.duty->coordinator();
-    if (!node.duty->claim() || holder == nullptr || holder->session != this->gossip.sessionOf(number)) {
+    const Member *const coordinator = node.election->coordinator();
+    if (!node.election->claim() || coordinator == nullptr || coordinator->session != this->gossip.sessionOf(number)) {
         return;
     }
     for (const Member &member : node.view->members()) {
         if (before.find(member.session) == nullptr) {
-            this->tell(number, GossipNetwork::numberOf(member.gossip), *node.duty->claim());
+            this->sendClaim(number, GossipNetwork::numberOf(member.gossip), *node.election->claim());
         }
     }
 }
 
-void ElectionNetwork::tellAll(Number from, const CoordinatorClaim &claim)
+void ElectionNetwork::broadcastClaim(Number from, const CoordinatorClaim &claim)
 {
     for (const Member &member : this->gossip.member(from).view()->members()) {
-        this->tell(from, GossipNetwork::numberOf(member.gossip), claim);
+        this->sendClaim(from, GossipNetwork::numberOf(member.gossip), claim);
     }
 }
 
-void ElectionNetwork::tell(Number from, Number to, const CoordinatorClaim &claim)
+void ElectionNetwork::sendClaim(Number from, Number to, const CoordinatorClaim &claim)
 {
     const bool isLost = std::bernoulli_distribution(this->gossip.loss)(this->random);
     if (isLost || from == to || (this->gossip.isCut && this->gossip.isCut(from, to))) {
@@ -189,12 +192,12 @@
         if (found == this->nodes.end() || this->paused.contains(to)) {
             return;
         }
-        CoordinatorElection &duty = *found->second.duty;
-        if (duty.coordinator() != nullptr && this->numberOf(duty.coordinator()->session) == from) {
-            duty.recordCoordinatorAlive();
+        CoordinatorElection &election = *found->second.election;
+        if (election.coordinator() != nullptr && this->numberOf(election.coordinator()->session) == from) {
+            election.recordCoordinatorAlive();
         }
-        if (duty.receive(claim) == CoordinatorElection::ReceiveOutcome::Outdated) {
-            this->tell(to, from, *duty.claim());
+        if (election.receive(claim) == CoordinatorElection::ReceiveOutcome::Outdated) {
+            this->sendClaim(to, from, *election.claim());
         }
     });
 }
@@ -240,26 +243,26 @@
 
 void ElectionNetwork::claimRole(Number number)
 {
-    const std::optional<CoordinatorClaim> &known = this->nodes.at(number).duty->claim();
-    const CoordinatorClaim claim{dutyName, known ? known->term + 1 : 1, this->gossip.sessionOf(number)};
-    this->nodes.at(number).duty->receive(claim);
-    this->tellAll(number, claim);
+    const std::optional<CoordinatorClaim> &known = this->nodes.at(number).election->claim();
+    const CoordinatorClaim claim{roleName, known ? known->term + 1 : 1, this->gossip.sessionOf(number)};
+    this->nodes.at(number).election->receive(claim);
+    this->broadcastClaim(number, claim);
 }
 
 ElectionNetwork::Number ElectionNetwork::coordinator()
 {
-    return this->named ? this->numberOf(*this->named).value_or(0) : 0;
+    return this->majorityCoordinator ? this->numberOf(*this->majorityCoordinator).value_or(0) : 0;
 }
 
 void ElectionNetwork::resetMeasurements()
 {
-    this->longest.clear();
+    this->longestDivergence.clear();
     this->changeCount = 0;
 }
 
 std::size_t ElectionNetwork::countDivergent(std::chrono::milliseconds longerThan) const
 {
-    return static_cast<std::size_t>(std::ranges::count_if(this->longest, [longerThan](const auto &entry) {
+    return static_cast<std::size_t>(std::ranges::count_if(this->longestDivergence, [longerThan](const auto &entry) {
         return entry.second > longerThan;
     }));
 }
@@ -278,31 +281,32 @@
 
 void ElectionNetwork::measure()
 {
-    std::map<Number, std::optional<SessionNumber>> said;
+    std::map<Number, std::optional<SessionNumber>> reported;
     std::map<std::optional<SessionNumber>, std::size_t> votes;
     for (const auto &[number, node] : this->nodes) {
         if (!this->paused.contains(number)) {
-            const Member *const holder = node.duty->coordinator();
-            said[number] = holder != nullptr ? std::optional(holder->session) : std::nullopt;
-            ++votes[said[number]];
+            const Member *const coordinator = node.election->coordinator();
+            reported[number] = coordinator != nullptr ? std::optional(coordinator->session) : std::nullopt;
+            ++votes[reported[number]];
         }
     }
-    const auto most = std::ranges::max_element(votes, {}, [](const auto &vote) {
+    const auto majority = std::ranges::max_element(votes, {}, [](const auto &vote) {
         return vote.second;
     });
-    if (std::exchange(this->named, most->first) != most->first) {
+    if (std::exchange(this->majorityCoordinator, majority->first) != majority->first) {
         ++this->changeCount;
     }
     const SteadyTime now = this->gossip.clock.now();
-    for (const auto &[number, session] : said) {
-        std::optional<SteadyTime> &strays = this->nodes[number].strays;
-        if (session == this->named) {
-            strays.reset();
+    for (const auto &[number, session] : reported) {
+        std::optional<SteadyTime> &divergentSince = this->nodes[number].divergentSince;
+        if (session == this->majorityCoordinator) {
+            divergentSince.reset();
             continue;
         }
-        strays = strays.value_or(now);
-        std::chrono::milliseconds &longest = this->longest[number];
-        longest = std::max(longest, std::chrono::duration_cast<std::chrono::milliseconds>(now - *strays));
+        divergentSince = divergentSince.value_or(now);
+        std::chrono::milliseconds &longestDivergence = this->longestDivergence[number];
+        longestDivergence
+            = std::max(longestDivergence, std::chrono::duration_cast<std::chrono::milliseconds>(now - *divergentSince));
     }
 }
 
--- a/Tests/Fakes/ElectionNetwork.h
+++ b/Tests/Fakes/ElectionNetwork.h
@@ -14,49 +14,49 @@
 {
 
 /**
- * Members in virtual time that judge, each by its own view, which of them has one duty. Measures for how long how many of
- * them name another holder than most do.
+ * Simulates members in virtual time that elect the coordinator of one role, each from its own view. Measures how many of
+ * them name a coordinator other than the majority's, and for how long.
  */
 class ElectionNetwork
 {
 public:
     using Number = GossipNetwork::Number;
 
-    /** One in five nodes has a large enough processor for duties. */
+    /** Adds the nodes 1 to `count`. One in five has a processor that is large enough for roles. */
     explicit ElectionNetwork(std::size_t count);
 
-    /** Let time pass, and measure. */
+    /** Advances the clock in small steps, and measures after each. */
     void advance(std::chrono::milliseconds time);
 
-    /** A node learns that it has lost or regained the store. */
+    /** Sets whether a node has lost its connection to the store. */
     void setStoreLost(Number number, bool isLost);
 
-    /** A node tells that it leaves. */
+    /** Makes a node announce that it leaves. */
     void leave(Number number);
 
-    /** A node's process ends, and starts anew at once under another session. */
+    /** Ends a node's process and starts it again at once under another session. */
     void restart(Number number);
 
-    /** A node's process ends for good. */
+    /** Ends a node's process without a restart. */
     void kill(Number number);
 
-    /** A node stops running; what is sent to it meanwhile is lost. */
+    /** Suspends a node; claims that are sent to it meanwhile are lost. */
     void pause(Number number);
     void resume(Number number);
 
-    /** A node claims the duty for itself, whoever has it. */
+    /** Makes a node claim the role for itself, whichever node is its coordinator. */
     void claimRole(Number number);
 
-    /** @return the node that most of the others name. */
+    /** @return the node that the majority names as coordinator; 0 if none. */
     Number coordinator();
 
-    /** Forget what was measured so far. */
+    /** Discards all measurements made so far. */
     void resetMeasurements();
 
-    /** @return nodes that named another holder than most for longer than some time without a break. */
+    /** @return how many nodes named a coordinator other than the majority's without interruption for longer than a time. */
     std::size_t countDivergent(std::chrono::milliseconds longerThan) const;
 
-    /** @return how often the node that most name has changed. */
+    /** @return how often the majority's coordinator has changed. */
     std::size_t changes() const;
 
     GossipNetwork gossip;
@@ -64,25 +64,25 @@
 private:
     struct Node
     {
-        std::unique_ptr<StoreReachability> reach;
-        std::unique_ptr<CoordinatorElection> duty;
+        std::unique_ptr<StoreReachability> reachability;
+        std::unique_ptr<CoordinatorElection> election;
         MemberViewPointer view;
-        SteadyTime nextAsk{};
-        SteadyTime nextLook{};
-        SteadyTime nextQuestion{};
-        /** Since when it names another holder than most. */
-        std::optional<SteadyTime> strays;
+        SteadyTime nextSlotRequest{};
+        SteadyTime nextViewCheck{};
+        SteadyTime nextClaimQuery{};
+        /** Since when it names a coordinator other than the majority's. */
+        std::optional<SteadyTime> divergentSince;
     };
 
     void addNode(Number number, SessionNumber session);
     void step();
-    void look(Number number, Node &node);
-    void suspicion(Number number, const Node &node, const Member &holder);
-    void question(Number number, Node &node);
-    void tellNewcomers(Number number, Node &node, const MemberView &before);
-    void askHolder(Number number, Node &node);
-    void tell(Number from, Number to, const CoordinatorClaim &claim);
-    void tellAll(Number from, const CoordinatorClaim &claim);
+    void updateNode(Number number, Node &node);
+    void reportSuspicion(Number number, const Node &node, const Member &coordinator);
+    void queryClaims(Number number, Node &node);
+    void sendClaimToNewMembers(Number number, Node &node, const MemberView &before);
+    void requestSlot(Number number, Node &node);
+    void sendClaim(Number from, Number to, const CoordinatorClaim &claim);
+    void broadcastClaim(Number from, const CoordinatorClaim &claim);
     void measure();
     std::optional<Number> numberOf(SessionNumber session) const;
 
@@ -90,8 +90,8 @@
     std::map<Number, Node> nodes;
     std::map<SessionNumber, Number> numbers;
     std::set<Number> paused;
-    std::map<Number, std::chrono::milliseconds> longest;
-    std::optional<SessionNumber> named;
+    std::map<Number, std::chrono::milliseconds> longestDivergence;
+    std::optional<SessionNumber> majorityCoordinator;
     std::size_t changeCount = 0;
     Number lastSession = 1000;
 };
--- a/Tests/Fakes/EngineOrders.cpp
+++ b/Tests/Fakes/EngineOrders.cpp
@@ -18,8 +18,8 @@
         return false;
     }
     this->current.fence = std::max(this->current.fence, order.fence);
-    const EngineState &now = this->current.loading ? *this->current.loading : this->current.state;
-    if (order.state == now) {
+    const EngineState &latest = this->current.loading ? *this->current.loading : this->current.state;
+    if (order.state == latest) {
         return true;
     }
     this->history.push_back(order);
--- a/Tests/Fakes/EngineOrders.h
+++ b/Tests/Fakes/EngineOrders.h
@@ -9,36 +9,36 @@
 namespace Dogwoodkeel
 {
 
-/** What a stand-in engine does with orders: loads for a while, and refuses old fencing numbers if it checks them. */
+/** Handles the orders to a stand-in engine: simulates the time of a load, and rejects old fencing numbers if it checks them. */
 class EngineOrders
 {
 public:
     struct Options
     {
         bool checksFencing = false;
-        /** How long a load takes: the weight store's rate. */
+        /** How long a load takes, as given by the rate of the weight store. */
         std::chrono::milliseconds loadTime{0};
     };
 
     EngineOrders(const Clock &clock, Options options);
 
-    /** @return whether the order was taken; false: its fencing number is old */
+    /** @return whether the order was accepted; false if its fencing number is old */
     bool apply(const EngineOrder &order);
 
     EngineStateReport report();
 
-    /** Start again with nothing loaded, as an engine does whose process ended. */
+    /** Resets to nothing loaded, as an engine does after its process ended. */
     void restart();
 
     void setLoadTime(std::chrono::milliseconds time);
 
-    /** Count requests that the loaded version served. */
+    /** Adds to the counts of requests and errors of the loaded version. */
     void countRequests(std::uint64_t requests, std::uint64_t errors);
 
-    /** @return orders that came, whether they changed anything or not. */
+    /** @return the number of orders received, with or without effect. */
     std::size_t received() const;
 
-    /** @return every order that took effect, in order. */
+    /** @return the orders that took effect, oldest first. */
     const std::vector<EngineOrder> &appliedOrders() const;
 
 private:
--- a/Tests/Fakes/FakeEngine.cpp
+++ b/Tests/Fakes/FakeEngine.cpp
@@ -98,7 +98,7 @@
 void FakeEngine::serve(const HttpRequest &request, const Reply &reply)
 {
     this->peers.insert(request.peer);
-    if (this->silentPeers.contains(request.peer)) {
+    if (this->unresponsivePeers.contains(request.peer)) {
         this->unanswered.push_back(reply);
         return;
     }
@@ -162,7 +162,7 @@
         stream.next = body["resume"].value("tokens", 0U);
         stream.text = body["resume"].value("text", std::string());
     }
-    this->note("start", stream.requestId);
+    this->recordEvent("start", stream.requestId);
     this->onChange();
     this->queue.push_back(std::move(stream));
     this->admit();
@@ -180,8 +180,8 @@
         stream.prefillLeft = this->options.prefill + this->options.prefillPerKilobyte * (text.size() - cached) / kilobyte;
         this->streams.push_back(std::move(stream));
     }
-    this->mostStreams = std::max(this->mostStreams, this->streams.size());
-    this->mostQueued = std::max(this->mostQueued, this->queue.size());
+    this->maxStreams = std::max(this->maxStreams, this->streams.size());
+    this->maxQueued = std::max(this->maxQueued, this->queue.size());
 }
 
 void FakeEngine::armStep()
@@ -201,8 +201,8 @@
     const bool isCold = now - this->started < this->options.slowStart;
     const auto cost = this->options.step + this->options.perStream * decoding + this->prefillOfStep;
     const double factor = this->slowness * (isCold ? slowStartFactor : 1);
-    // Counted from the end of the step before, else each step would be longer by the timer's lateness. An engine that
-    // the machine has kept from running does not catch up on more than one step.
+    // A step begins at the planned end of the previous one, or else each step would be longer by the delay of the timer.
+    // An engine that was not scheduled for a while catches up on at most one step.
     const SteadyTime begin = std::max(this->stepEnd, now - cost);
     this->stepEnd = begin + std::chrono::duration_cast<SteadyTime::duration>(cost * factor);
     const auto delay = std::chrono::round<std::chrono::milliseconds>(this->stepEnd - now);
@@ -244,7 +244,7 @@
         this->prefillOfStep -= spent;
         if (stream.prefillLeft.count() == 0) {
             this->cache.insert(PrefixCache::blocksOf(stream.prompt + stream.text));
-            if (!stream.isSilent) {
+            if (!stream.isUnresponsive) {
                 stream.reply->start(statusOk, {{"Content-Type", "text/event-stream"}});
             }
             this->emit(stream);
@@ -260,7 +260,7 @@
         stream.text += token;
         ++this->tokens;
     }
-    if (stream.isSilent) {
+    if (stream.isUnresponsive) {
         return;
     }
     if (!token.empty()) {
@@ -282,17 +282,17 @@
 void FakeEngine::dropDisconnected()
 {
     this->onChange();
-    const auto isGone = [this](const Stream &stream) {
-        if (stream.isSilent || stream.reply->isConnected()) {
+    const auto isDisconnected = [this](const Stream &stream) {
+        if (stream.isUnresponsive || stream.reply->isConnected()) {
             return false;
         }
         ++this->cancelled;
-        this->note("hangup", stream.requestId);
+        this->recordEvent("hangup", stream.requestId);
         this->cache.insert(PrefixCache::blocksOf(stream.prompt + stream.text));
         return true;
     };
-    std::erase_if(this->streams, isGone);
-    std::erase_if(this->queue, isGone);
+    std::erase_if(this->streams, isDisconnected);
+    std::erase_if(this->queue, isDisconnected);
 }
 
 void FakeEngine::order(const HttpRequest &request, const Reply &reply)
@@ -308,13 +308,13 @@
 {
     const std::string id = parseObject(request.body).value("request_id", std::string());
     Json answer{{"cancelled", false}};
-    const auto isIt = [this, &id, &answer](const Stream &stream) {
+    const auto isRequested = [this, &id, &answer](const Stream &stream) {
         if (id.empty() || stream.requestId != id) {
             return false;
         }
         ++this->cancelled;
         answer = {{"cancelled", true}, {"tokens", stream.next}};
-        this->note("cancel", id);
+        this->recordEvent("cancel", id);
         this->cache.insert(PrefixCache::blocksOf(stream.prompt + stream.text));
         if (stream.reply->isStarted()) {
             stream.reply->finish();
@@ -324,8 +324,8 @@
         return true;
     };
     this->onChange();
-    std::erase_if(this->streams, isIt);
-    std::erase_if(this->queue, isIt);
+    std::erase_if(this->streams, isRequested);
+    std::erase_if(this->queue, isRequested);
     this->admit();
     reply->send(jsonResponse(statusOk, answer));
 }
@@ -340,13 +340,13 @@
     if (!body.value("silent", false)) {
         return;
     }
-    // What runs goes on running, as on a real engine whose caller cannot be reached; nobody hears of it.
-    this->silentPeers = this->peers;
+    // Running streams continue without sending output, as on a real engine whose caller is unreachable.
+    this->unresponsivePeers = this->peers;
     for (Stream &stream : this->streams) {
-        stream.isSilent = true;
+        stream.isUnresponsive = true;
     }
     for (Stream &stream : this->queue) {
-        stream.isSilent = true;
+        stream.isUnresponsive = true;
     }
 }
 
@@ -382,8 +382,8 @@
 
 Json FakeEngine::load()
 {
-    const SteadyTime seen = std::chrono::steady_clock::now() - this->options.reportLag;
-    while (this->reports.size() > 1 && this->reports[1].at <= seen) {
+    const SteadyTime reportedUntil = std::chrono::steady_clock::now() - this->options.reportLag;
+    while (this->reports.size() > 1 && this->reports[1].at <= reportedUntil) {
         this->reports.pop_front();
     }
     const Report &report = this->reports.front();
@@ -397,11 +397,11 @@
 Json FakeEngine::events(const HttpRequest &request) const
 {
     const std::uint64_t after = std::strtoull(queryValue(request.query, "after").value_or("0").c_str(), nullptr, 10);
-    const SteadyTime seen = std::chrono::steady_clock::now() - this->options.eventLag;
+    const SteadyTime reportedUntil = std::chrono::steady_clock::now() - this->options.eventLag;
     Json listed = Json::array();
     std::uint64_t next = after;
     for (const CacheEvent &event : this->cacheEvents) {
-        if (event.number <= after || event.at > seen) {
+        if (event.number <= after || event.at > reportedUntil) {
             continue;
         }
         listed.push_back({{"number", event.number},
@@ -421,8 +421,8 @@
             {"cancelled", this->cancelled},
             {"running", this->streams.size()},
             {"queued", this->queue.size()},
-            {"most_streams", this->mostStreams},
-            {"most_queued", this->mostQueued},
+            {"most_streams", this->maxStreams},
+            {"most_queued", this->maxQueued},
             {"over_capacity_us", this->overCapacity.count()},
             {"starts_while_leaving", this->startsWhileLeaving},
             {"cached_blocks", this->cache.size()}};
@@ -436,13 +436,13 @@
     }
     this->changed = now;
     this->reports.push_back({now, this->streams.size(), this->queue.size()});
-    const SteadyTime seen = now - this->options.reportLag;
-    while (this->reports.size() > 1 && this->reports[1].at <= seen) {
+    const SteadyTime reportedUntil = now - this->options.reportLag;
+    while (this->reports.size() > 1 && this->reports[1].at <= reportedUntil) {
         this->reports.pop_front();
     }
 }
 
-void FakeEngine::note(const char *what, const std::string &requestId)
+void FakeEngine::recordEvent(const char *what, const std::string &requestId)
 {
     const auto at = std::chrono::duration_cast<microseconds>(std::chrono::steady_clock::now().time_since_epoch());
     const std::size_t present = this->streams.size() + this->queue.size();
--- a/Tests/Fakes/FakeEngine.h
+++ b/Tests/Fakes/FakeEngine.h
@@ -20,35 +20,35 @@
 {
 
 /**
- * Stand-in for a model engine with continuous batching; docs/design/engine-stand-in.md tells its costs and its calls.
- * Token n of a prompt is the same on every engine, so that a whole answer can be checked wherever its parts came from.
+ * Stand-in for a model engine with continuous batching; docs/design/engine-stand-in.md describes its costs and its calls.
+ * Token n of a prompt is the same on every engine, so that an answer can be checked whichever engines made its parts.
  */
 class FakeEngine
 {
 public:
-    /** What it costs to run, and how late it reports. */
+    /** Durations of its work, its limits, and the delay of its reports. */
     struct Options
     {
-        /** Streams run side by side; further ones queue in the order they came. */
+        /** Streams that run concurrently; further ones are queued in order of arrival. */
         std::size_t capacity = 8;
         std::chrono::microseconds step{2000};
         std::chrono::microseconds perStream{100};
-        /** Of each request, whatever its prompt. */
+        /** Prefill of each request, independent of its prompt. */
         std::chrono::microseconds prefill{5000};
-        /** Of each 1024 bytes of prompt that are not in the prefix cache. */
+        /** Prefill of each 1024 bytes of prompt that are not in the prefix cache. */
         std::chrono::microseconds prefillPerKilobyte{2000};
-        /** Prefill that one step carries at most; the streams that make tokens wait for it. */
+        /** Max prefill time in one step; the streams that generate tokens wait for it. */
         std::chrono::microseconds prefillChunk{4000};
-        /** Of moving 1024 bytes' worth of KV cache in or out. */
+        /** Import or export of the KV cache of 1024 bytes of prompt. */
         std::chrono::microseconds transferPerKilobyte{500};
         std::size_t cachedBlocks = 4096;
         std::chrono::milliseconds reportLag{0};
         std::chrono::milliseconds eventLag{0};
-        /** Every such cache event is lost; 0 loses none. */
+        /** One in this many cache events is lost; 0 loses none. */
         std::uint64_t eventLostEvery = 0;
         /** Steps take three times as long for this time after the start. */
         std::chrono::milliseconds slowStart{0};
-        /** How long an ordered load takes, and whether old fencing numbers are refused. */
+        /** How long an ordered load takes, and whether old fencing numbers are rejected. */
         EngineOrders::Options orders;
     };
 
@@ -59,7 +59,7 @@
     /** @return the whole answer to a prompt. */
     static std::string expectedText(const std::string &prompt, std::uint32_t tokens);
 
-    /** @return how often each prompt was started. */
+    /** @return how often a request with each prompt was started. */
     const std::map<std::string, std::uint32_t> &starts() const;
 
 private:
@@ -71,11 +71,11 @@
         Reply reply;
         std::string requestId;
         std::string prompt;
-        /** Of this answer, made here or before. */
+        /** Text of this answer so far, including what was generated before it was resumed here. */
         std::string text;
         bool isChat = false;
-        /** Its connection has gone silent: it runs, and nobody hears of it. */
-        bool isSilent = false;
+        /** Its connection is unresponsive: the stream runs, but none of its output is sent. */
+        bool isUnresponsive = false;
         std::uint32_t next = 0;
         std::uint32_t end = 0;
         std::chrono::microseconds prefillLeft{0};
@@ -114,7 +114,7 @@
     void emit(Stream &stream);
     void dropDisconnected();
     void onChange();
-    void note(const char *what, const std::string &requestId);
+    void recordEvent(const char *what, const std::string &requestId);
     void addCacheEvent(bool isStored, const PrefixBlock &block);
 
     EventLoop &loop;
@@ -137,18 +137,18 @@
     std::uint64_t tokens = 0;
     std::uint64_t cancelled = 0;
     std::uint64_t startsWhileLeaving = 0;
-    std::size_t mostStreams = 0;
-    std::size_t mostQueued = 0;
+    std::size_t maxStreams = 0;
+    std::size_t maxQueued = 0;
     std::chrono::microseconds overCapacity{0};
     std::deque<std::string> notes;
 
     double slowness = 1;
     bool refuses = false;
     bool isLeaving = false;
-    /** Connections that were seen, and those of them that went silent. */
+    /** Connections that sent requests, and those of them that are now unresponsive. */
     std::set<Address> peers;
-    std::set<Address> silentPeers;
-    /** Held, because a dropped reply would be answered. */
+    std::set<Address> unresponsivePeers;
+    /** Kept, because a reply that is destroyed is answered. */
     std::vector<Reply> unanswered;
     HttpServer server;
 };
--- a/Tests/Fakes/FakePlatform.cpp
+++ b/Tests/Fakes/FakePlatform.cpp
@@ -56,7 +56,7 @@
         reply->send({statusOk, {}, nlohmann::json({{"reads", this->reads}, {"writes", this->writes}}).dump()});
         return;
     }
-    if (this->fault.isSilent) {
+    if (this->fault.isUnresponsive) {
         this->unanswered.push_back(reply);
         return;
     }
@@ -131,18 +131,18 @@
 
 void FakePlatform::setFaults(const HttpRequest &request, const Reply &reply)
 {
-    const nlohmann::json wanted = nlohmann::json::parse(request.body, nullptr, false);
-    if (!wanted.is_object()) {
+    const nlohmann::json requested = nlohmann::json::parse(request.body, nullptr, false);
+    if (!requested.is_object()) {
         reply->send({statusBadRequest, {}, {}});
         return;
     }
-    this->fault.lostAnswers = wanted.value("lost_answers", this->fault.lostAnswers);
-    this->fault.delay = std::chrono::milliseconds(wanted.value("delay_ms", this->fault.delay.count()));
-    this->fault.isDown = wanted.value("down", this->fault.isDown);
-    this->fault.isSilent = wanted.value("silent", this->fault.isSilent);
-    if (wanted.contains("vms")) {
+    this->fault.lostAnswers = requested.value("lost_answers", this->fault.lostAnswers);
+    this->fault.delay = std::chrono::milliseconds(requested.value("delay_ms", this->fault.delay.count()));
+    this->fault.isDown = requested.value("down", this->fault.isDown);
+    this->fault.isUnresponsive = requested.value("silent", this->fault.isUnresponsive);
+    if (requested.contains("vms")) {
         this->vms.clear();
-        for (const nlohmann::json &vm : wanted["vms"]) {
+        for (const nlohmann::json &vm : requested["vms"]) {
             this->vms.push_back({VmName(vm.at("name")), vm.value("leaving", false)});
         }
     }
--- a/Tests/Fakes/FakePlatform.h
+++ b/Tests/Fakes/FakePlatform.h
@@ -13,20 +13,20 @@
 namespace Dogwoodkeel
 {
 
-/** What the stand-in for the platform does wrong; set by POST /faults. */
+/** Faults that the stand-in for the platform injects; set by POST /faults. */
 struct PlatformFaults
 {
-    /** Share of writes whose answer is lost after they took effect. */
+    /** Fraction of writes whose answer is lost after they took effect. */
     double lostAnswers = 0;
-    /** Added to every answer. */
+    /** Delay added to every answer. */
     std::chrono::milliseconds delay{0};
-    /** Whether every call is turned away with 503, unlooked at. */
+    /** Whether every call is rejected with 503 without being processed. */
     bool isDown = false;
-    /** Whether calls are taken and never answered. */
-    bool isSilent = false;
+    /** Whether calls are accepted and never answered. */
+    bool isUnresponsive = false;
 };
 
-/** Stand-in for the platform's service: tables, objects and the VM list, with faults to be set and calls counted. */
+/** Stand-in for the platform's service: tables, objects and the VM list. Injects faults and counts calls. */
 class FakePlatform
 {
 public:
--- a/Tests/Fakes/FakeRowStore.cpp
+++ b/Tests/Fakes/FakeRowStore.cpp
@@ -22,7 +22,7 @@
     *this->alive = false;
 }
 
-void FakeRowStore::later(std::chrono::milliseconds delay, std::function<void()> action)
+void FakeRowStore::runAfter(std::chrono::milliseconds delay, std::function<void()> action)
 {
     this->scheduler.schedule(delay, [alive = this->alive, action = std::move(action)] {
         if (*alive) {
@@ -33,7 +33,7 @@
 
 void FakeRowStore::answer(std::function<void()> action)
 {
-    this->later(latency, std::move(action));
+    this->runAfter(latency, std::move(action));
 }
 
 RowTransactionResult FakeRowStore::apply(const RowTransaction &transaction)
@@ -75,14 +75,14 @@
         return;
     }
     const auto unknown = [this, done] {
-        this->later(callTimeout, [done] {
+        this->runAfter(callTimeout, [done] {
             done({WriteOutcome::Unknown, 0, {}});
         });
     };
     if (this->writesToDelay > 0) {
         --this->writesToDelay;
         unknown();
-        this->later(this->writeDelay, [this, transaction] {
+        this->runAfter(this->writeDelay, [this, transaction] {
             this->apply(transaction);
         });
         return;
@@ -146,9 +146,9 @@
     return result;
 }
 
-void FakeRowStore::setFollowMuted(bool isMute)
+void FakeRowStore::setFollowMuted(bool isMuted)
 {
-    this->mute = isMute;
+    this->followMuted = isMuted;
 }
 
 std::size_t FakeRowStore::reads() const
@@ -161,12 +161,12 @@
                           std::chrono::milliseconds wait,
                           std::function<void(FollowResult)> done)
 {
-    if (this->mute) {
+    if (this->followMuted) {
         return;
     }
     const FollowResult now = this->changesOf(table, since);
-    const bool isNews = now.outcome != FollowOutcome::Followed || !now.rows.empty();
-    this->later(isNews ? latency : std::min(wait, std::chrono::milliseconds(20)), [this, table, since, done] {
+    const bool hasChanges = now.outcome != FollowOutcome::Followed || !now.rows.empty();
+    this->runAfter(hasChanges ? latency : std::min(wait, std::chrono::milliseconds(20)), [this, table, since, done] {
         done(this->changesOf(table, since));
     });
 }
--- a/Tests/Fakes/FakeRowStore.h
+++ b/Tests/Fakes/FakeRowStore.h
@@ -15,7 +15,7 @@
 namespace Dogwoodkeel
 {
 
-/** Stand-in for the platform's rows and objects that fails as a test tells it to. */
+/** Stand-in for the platform's rows and objects that injects the faults that a test sets. */
 class FakeRowStore final : public RowStore
 {
 public:
@@ -35,43 +35,43 @@
     void readObject(const std::string &name, std::function<void(ReadOutcome, std::string)> done) override;
     void removeObject(const std::string &name, std::function<void(WriteOutcome)> done) override;
 
-    /** Turn all calls away, doing nothing. */
+    /** Sets whether all calls fail without effect. */
     void setDown(bool isDown);
 
-    /** Leave whoever asks for changes without an answer, as on a connection that is dead. */
-    void setFollowMuted(bool isMute);
+    /** Sets whether calls that follow a table are never answered, as on a dead connection. */
+    void setFollowMuted(bool isMuted);
 
-    /** @return how often rows were read. */
+    /** @return the number of reads of rows. */
     std::size_t reads() const;
 
-    /** Give no more than so many rows in one answer. */
+    /** Limits the rows in one answer. */
     void setPageSize(std::size_t rows);
 
-    /** Do the next writes, and lose their answers. */
+    /** Applies the next writes, but loses their answers. */
     void loseAnswers(std::size_t count);
 
-    /** Give no answer to the next writes, and do them later, if their expectations still hold. */
+    /** Gives no answer to the next writes, and applies them later if their expectations still hold. */
     void delayWrites(std::size_t count, std::chrono::milliseconds delay);
 
-    /** Drop the history: whoever follows has to read anew. */
+    /** Drops the history, so that followers have to read the table again. */
     void dropHistory();
 
     /** @return the rows of a table. */
     std::vector<StoredRow> rowsOf(const std::string &table) const;
 
-    /** Put a row as the operator or a replica does. */
+    /** Puts a row as the operator or a replica does. */
     void put(const RowKey &key, const std::string &value);
 
-    /** Remove a row as soon as the next read is answered. */
+    /** Removes a row right after the next read has collected its rows. */
     void removeAfterRead(const RowKey &key);
 
-    /** Remove a row as the platform does. */
+    /** Removes a row as the platform does. */
     void remove(const RowKey &key);
 
 private:
     RowTransactionResult apply(const RowTransaction &transaction);
     FollowResult changesOf(const std::string &table, RowVersion since) const;
-    void later(std::chrono::milliseconds delay, std::function<void()> action);
+    void runAfter(std::chrono::milliseconds delay, std::function<void()> action);
     void answer(std::function<void()> action);
 
     Scheduler &scheduler;
@@ -81,7 +81,7 @@
     RowVersion version = 0;
     RowVersion historyFrom = 0;
     bool down = false;
-    bool mute = false;
+    bool followMuted = false;
     std::size_t readCount = 0;
     std::size_t pageSize = 1'000'000;
     std::optional<RowKey> removedAfterRead;
--- a/Tests/Fakes/FakeService.h
+++ b/Tests/Fakes/FakeService.h
@@ -12,7 +12,7 @@
 namespace Dogwoodkeel
 {
 
-/** Stand-in for a plain service: answers at once and counts how often each body ran. */
+/** Stand-in for a plain service: answers after a fixed delay and counts how often each request was run. */
 class FakeService
 {
 public:
--- a/Tests/Fakes/FaultyPlatform.h
+++ b/Tests/Fakes/FaultyPlatform.h
@@ -8,23 +8,23 @@
 namespace Dogwoodkeel
 {
 
-/** A platform in memory that can be down, and that can lose the answers of writes that took effect. */
+/** A platform in memory that can be unavailable, lose writes, and lose the answers to writes that took effect. */
 class FaultyPlatform final : public Platform, private TableService, private ObjectStore
 {
 public:
     explicit FaultyPlatform(Scheduler &scheduler);
 
-    /** A second client of the same data has its own faults. */
+    /** Creates another client of the same data, with faults of its own. */
     FaultyPlatform(std::shared_ptr<EmbeddedStore> store, Scheduler &scheduler);
 
-    /** @param isDown whether writes are turned away and reads fail */
+    /** @param isDown whether writes are rejected and reads fail */
     void setDown(bool isDown);
     /** @param count how many of the next writes lose their answers, after taking effect */
     void loseAnswers(std::size_t count);
-    /** @param count how many of the next writes are lost on their way, and told as unknown */
+    /** @param count how many of the next writes are lost before they take effect, and are reported as WriteOutcome::Unknown */
     void loseWrites(std::size_t count);
     std::size_t rowWrites() const;
-    /** @return reads of one row or of a range. */
+    /** @return the number of reads of one row or of a range. */
     std::size_t rowReads() const;
     const std::shared_ptr<EmbeddedStore> &store() const;
 
--- a/Tests/Fakes/GossipNetwork.cpp
+++ b/Tests/Fakes/GossipNetwork.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-/** One node: its membership, and the timers and datagrams that wait while it is paused. */
+/** One node: its membership, and the timers and datagrams that are queued while it is paused. */
 struct GossipNetwork::Node final : Scheduler, std::enable_shared_from_this<GossipNetwork::Node>
 {
     explicit Node(ManualClock &clock) : clock(clock)
@@ -46,7 +46,7 @@
     void run(TimerId id, const std::function<void()> &action)
     {
         if (this->isPaused) {
-            this->held.push_back([this, id, action] {
+            this->queuedTimers.push_back([this, id, action] {
                 this->run(id, action);
             });
         } else if (this->timers.erase(id) > 0) {
@@ -58,8 +58,8 @@
     std::map<TimerId, TimerId> timers;
     TimerId lastTimer = 0;
     bool isPaused = false;
-    std::deque<std::function<void()>> held;
-    std::deque<std::function<void()>> unread;
+    std::deque<std::function<void()>> queuedTimers;
+    std::deque<std::function<void()>> queuedDatagrams;
     std::unique_ptr<Membership> membership;
     SessionNumber session;
 };
@@ -102,7 +102,7 @@
             node->membership->receive(addressOf(from), message);
         };
         if (node->isPaused) {
-            node->unread.push_back(read);
+            node->queuedDatagrams.push_back(read);
         } else {
             read();
         }
@@ -130,7 +130,7 @@
         .onSessionLost =
             [this, number] {
                 Node &node = *this->nodes.at(number);
-                node.session = SessionNumber(this->newSessions++);
+                node.session = SessionNumber(this->nextSession++);
                 node.membership->renew(node.session);
             },
     };
@@ -177,10 +177,10 @@
 {
     const auto node = this->nodes.at(number);
     node->isPaused = false;
-    for (const auto &action : std::exchange(node->held, {})) {
+    for (const auto &action : std::exchange(node->queuedTimers, {})) {
         action();
     }
-    for (const auto &read : std::exchange(node->unread, {})) {
+    for (const auto &read : std::exchange(node->queuedDatagrams, {})) {
         read();
     }
 }
--- a/Tests/Fakes/GossipNetwork.h
+++ b/Tests/Fakes/GossipNetwork.h
@@ -15,15 +15,15 @@
 {
 
 /**
- * Members in one process on a clock that is moved by hand, joined by a network that loses datagrams, cuts any direction
- * between any two, and counts what is sent. A node is named by its number, which is also its session.
+ * Simulates members in one process on a manual clock. Their network drops datagrams, can cut either direction between
+ * any two nodes, and counts what is sent. A node is identified by its number, which is by default also its session.
  */
 class GossipNetwork
 {
 public:
     using Number = std::uint64_t;
 
-    /** Bytes of IP, UDP, our own header and the authentication code around each message. */
+    /** Bytes of the IP, UDP and datagram headers and the authentication code around each message. */
     static constexpr std::uint64_t overheadPerDatagram = 28 + 18 + 32;
 
     explicit GossipNetwork(Membership::Options options = {}, std::uint64_t seed = 1);
@@ -31,52 +31,52 @@
     GossipNetwork(const GossipNetwork &) = delete;
     GossipNetwork &operator=(const GossipNetwork &) = delete;
 
-    /** Start a node that knows the gossip addresses of some others, and has its own number as that of its session. */
+    /** Starts a node that knows the gossip addresses of its contacts and uses its own number as its session number. */
     Membership &add(Number number, const std::vector<Number> &contacts);
 
-    /** Start a node under another session number. One that loses it takes the next of newSessions. */
+    /** Starts a node under another session number. A node that loses its session number gets nextSession. */
     Membership &add(Number number, const std::vector<Number> &contacts, SessionNumber session);
 
-    /** @return the session that a node goes by. */
+    /** @return the current session of a node. */
     SessionNumber sessionOf(Number number) const;
 
-    /** A node is gone without a word. */
+    /** Removes a node without notice to the others. */
     void kill(Number number);
 
-    /** A node stops running: its timers and datagrams wait. */
+    /** Suspends a node: its timers and datagrams are queued. */
     void pause(Number number);
 
-    /** It runs again: all late timers at once, then the datagrams that waited. */
+    /** Resumes a node: runs all overdue timers at once, then delivers the queued datagrams. */
     void resume(Number number);
 
     Membership &member(Number number);
     bool isRunning(Number number) const;
     std::vector<Number> running() const;
 
-    /** @return whether a node's view holds exactly these. */
+    /** @return whether a node's view contains exactly these members. */
     bool sees(Number number, const std::vector<Number> &members);
 
-    /** @return whether every running node's view holds exactly the running ones. */
+    /** @return whether every running node's view contains exactly the running nodes. */
     bool isConverged();
 
     static Address addressOf(Number number);
     static Number numberOf(const Address &address);
 
     ManualClock clock;
-    /** Share of datagrams that are lost. */
+    /** Fraction of datagrams that are lost. */
     double loss = 0;
-    /** Whether nothing goes from one node to another now. */
+    /** Whether datagrams from one node to another are currently dropped. */
     std::function<bool(Number from, Number to)> isCut;
-    /** The processor of a node's VM, in hundredths of a core; not told where this is empty. */
+    /** The processor share of a node's VM, in hundredths of a core; not reported if this is empty. */
     std::function<std::uint32_t(Number)> processorShareOf;
-    /** Whether a node is a relay; all are where this is empty. */
+    /** Whether a node is a relay; all are if this is empty. */
     std::function<bool(Number)> isRelay;
-    /** Told of each new view. */
+    /** Called with each new view. */
     std::function<void(Number, const MemberView &)> onView;
     std::uint64_t bytes = 0;
     std::uint64_t datagrams = 0;
-    /** The next session number for a node that lost its own. */
-    Number newSessions = 1000000;
+    /** Session number for the next node that loses its own. */
+    Number nextSession = 1000000;
 
 private:
     struct Node;
--- a/Tests/Fakes/PrefixCache.cpp
+++ b/Tests/Fakes/PrefixCache.cpp
@@ -48,10 +48,10 @@
         this->changed(true, blocks[i]);
     }
     while (this->byUse.size() > this->capacity) {
-        const PrefixBlock dropped = std::move(this->byUse.front());
+        const PrefixBlock evicted = std::move(this->byUse.front());
         this->byUse.pop_front();
-        this->byHash.erase(dropped.hash);
-        this->changed(false, dropped);
+        this->byHash.erase(evicted.hash);
+        this->changed(false, evicted);
     }
 }
 
--- a/Tests/Fakes/PrefixCache.h
+++ b/Tests/Fakes/PrefixCache.h
@@ -12,7 +12,7 @@
 namespace Dogwoodkeel
 {
 
-/** One full block of a prompt. Its hash covers all blocks before it, so that equal hashes mean equal prefixes. */
+/** A full block of a prompt. Its hash covers all blocks before it, so that equal hashes mean equal prefixes. */
 struct PrefixBlock
 {
     std::uint64_t hash = 0;
@@ -20,13 +20,13 @@
     std::string text;
 };
 
-/** The prompt prefixes an engine keeps: a bounded number of blocks, those unused for longest dropped first. */
+/** Caches the prompt prefixes of an engine: a bounded number of blocks, of which the least recently used are evicted first. */
 class PrefixCache
 {
 public:
     static constexpr std::size_t blockBytes = 64;
 
-    /** Told of each block that is stored or dropped. */
+    /** Called for each block that is stored or evicted. */
     using Changed = std::function<void(bool isStored, const PrefixBlock &block)>;
 
     PrefixCache(std::size_t capacity, Changed changed);
@@ -34,7 +34,7 @@
     /** @return the full blocks of a text. */
     static std::vector<PrefixBlock> blocksOf(std::string_view text);
 
-    /** @return how many of the first blocks are kept; they count as used. */
+    /** @return how many leading blocks are cached. Marks them as recently used. */
     std::size_t match(const std::vector<PrefixBlock> &blocks);
 
     void insert(const std::vector<PrefixBlock> &blocks);
--- a/Tests/Fakes/RawConnection.cpp
+++ b/Tests/Fakes/RawConnection.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** Only so that a broken server fails the test instead of hanging it. */
+/** Makes a server that does not respond fail the test instead of hanging it. */
 constexpr timeval timeout{30, 0};
 
 } // namespace
@@ -85,12 +85,12 @@
 {
     constexpr std::size_t size = 65536;
     std::array<char, size> buffer;
-    const ssize_t got = recv(this->descriptor, buffer.data(), buffer.size(), 0);
-    if (got <= 0) {
-        this->closed = got == 0 || errno == ECONNRESET;
+    const ssize_t count = recv(this->descriptor, buffer.data(), buffer.size(), 0);
+    if (count <= 0) {
+        this->closed = count == 0 || errno == ECONNRESET;
         return false;
     }
-    this->received.append(buffer.data(), static_cast<std::size_t>(got));
+    this->received.append(buffer.data(), static_cast<std::size_t>(count));
     return true;
 }
 
--- a/Tests/Fakes/RawConnection.h
+++ b/Tests/Fakes/RawConnection.h
@@ -9,7 +9,7 @@
 namespace Dogwoodkeel
 {
 
-/** A plain TCP connection to a server under test, for input that no HTTP client would send. Blocks its thread. */
+/** A plain TCP connection to a server under test, for input that no HTTP client would send. All calls block. */
 class RawConnection
 {
 public:
@@ -19,22 +19,22 @@
     RawConnection(const RawConnection &) = delete;
     RawConnection &operator=(const RawConnection &) = delete;
 
-    /** @return whether all of it was taken by the system. */
+    /** @return whether all bytes were passed to the operating system. */
     bool send(std::string_view bytes);
 
-    /** Tell the server that nothing more comes. */
+    /** Shuts down the sending direction of the connection. */
     void endSending();
 
-    /** @return all that was received once the text has come, or the server closed the connection. */
+    /** @return all received bytes, once they contain the text or the server closed the connection. */
     std::string readUntil(std::string_view text);
 
-    /** @return all that was received until the server closed the connection. */
+    /** @return all bytes received until the server closed the connection. */
     std::string readAll();
 
-    /** Forget the first bytes of what was received. */
+    /** Discards the first received bytes. */
     void drop(std::size_t bytes);
 
-    /** @return all that was received and not dropped, once it is that much, or the server closed the connection. */
+    /** @return all bytes received and not dropped, once there are at least this many or the server closed the connection. */
     std::string readBytes(std::size_t bytes);
 
     /** @return whether the server closed the connection. */
--- a/Tests/Fakes/ScriptedEndpoint.cpp
+++ b/Tests/Fakes/ScriptedEndpoint.cpp
@@ -194,7 +194,7 @@
 
 void ScriptedEndpoint::drop(std::uint64_t id)
 {
-    // What was written still goes out first; the connection must not be freed inside its own callback either.
+    // The delay lets written data be sent first, and keeps the connection from being freed inside its own callback.
     if (const auto found = this->connections.find(id); found != this->connections.end()) {
         bufferevent_flush(found->second->stream, EV_WRITE, BEV_FLUSH);
         constexpr std::chrono::milliseconds writeTime{2};
--- a/Tests/Fakes/ScriptedEndpoint.h
+++ b/Tests/Fakes/ScriptedEndpoint.h
@@ -17,11 +17,11 @@
 
 class EventLoop;
 
-/** Stand-in for an endpoint that fails as a test tells it to: breaks off, goes silent, answers late or nonsense. */
+/** Stand-in for an endpoint whose script sets how it fails: it disconnects, stops responding, answers late or invalidly. */
 class ScriptedEndpoint
 {
 public:
-    /** One request it got, and the way to answer it. All calls do nothing once its connection is gone. */
+    /** A received request and the means to answer it. All calls do nothing once its connection is closed. */
     class Exchange
     {
     public:
@@ -30,7 +30,7 @@
         /** The request's first line and headers. */
         const std::string head;
         const std::string body;
-        /** Counts the connections, from 1. */
+        /** Number of the connection, counted from 1. */
         const std::uint64_t connection;
 
         void answer(int status, const std::string &body);
@@ -38,9 +38,9 @@
         /** @param finishReason empty but for the last token */
         void token(const std::string &text, const std::string &finishReason = {});
         void endStream();
-        /** Write bytes as they are, head and all. */
+        /** Writes bytes unchanged, so they must include the response head. */
         void raw(const std::string &bytes);
-        /** Break the connection off, as a crash does. */
+        /** Closes the connection without ending the response, as a crash does. */
         void close();
 
     private:
@@ -58,10 +58,10 @@
 
     const Address &address() const;
 
-    /** Change what it does from now on. */
+    /** Replaces the script that handles later requests. */
     void setScript(Script script);
 
-    /** @return requests it got. */
+    /** @return the number of requests received. */
     std::size_t requests() const;
 
 private:
--- a/Tests/Fakes/ShiftedClock.h
+++ b/Tests/Fakes/ShiftedClock.h
@@ -7,7 +7,7 @@
 namespace Dogwoodkeel
 {
 
-/** The machine's clocks, with a steady time that a test can move forward. */
+/** The system clocks, with a steady time that a test can move forward. */
 class ShiftedClock final : public Clock
 {
 public:
@@ -21,7 +21,7 @@
         return this->system.wallNow();
     }
 
-    /** Move the steady time forward; timers of the event loop stay as they are. */
+    /** Moves the steady time forward. Timers of the event loop are not affected. */
     void shift(std::chrono::seconds forward)
     {
         this->offset += forward;
--- a/Tests/Fakes/SignedHeaders.h
+++ b/Tests/Fakes/SignedHeaders.h
@@ -8,7 +8,7 @@
 namespace Dogwoodkeel
 {
 
-/** @return headers of an answer that a replica signs. */
+/** @return the headers of an answer signed by a replica. */
 inline HeaderList signedHeaders(const std::shared_ptr<CallerExchange> &exchange)
 {
     HeaderList headers;
--- a/Tests/Fakes/StandInStore.cpp
+++ b/Tests/Fakes/StandInStore.cpp
@@ -74,28 +74,28 @@
     return *this->store;
 }
 
-void StandInStore::setResponseMode(ResponseMode mood)
+void StandInStore::setResponseMode(ResponseMode responseMode)
 {
-    this->mood = mood;
+    this->responseMode = responseMode;
 }
 
 void StandInStore::setUnavailableTable(const std::string &table)
 {
-    this->withheldTable = table;
+    this->unavailableTable = table;
 }
 
 std::int64_t StandInStore::nowMs() const
 {
-    constexpr std::chrono::hours sinceItsStart{1000};
-    return std::chrono::floor<std::chrono::milliseconds>(this->clock.now().time_since_epoch() + sinceItsStart).count();
+    constexpr std::chrono::hours clockOffset{1000};
+    return std::chrono::floor<std::chrono::milliseconds>(this->clock.now().time_since_epoch() + clockOffset).count();
 }
 
 void StandInStore::handle(const std::shared_ptr<CallerExchange> &exchange)
 {
-    if (this->mood == ResponseMode::Unresponsive) {
+    if (this->responseMode == ResponseMode::Unresponsive) {
         return;
     }
-    if (this->mood == ResponseMode::Busy) {
+    if (this->responseMode == ResponseMode::Busy) {
         exchange->send(503, {}, {});
         return;
     }
@@ -103,8 +103,8 @@
     const std::size_t mark = std::min(target.find('?'), target.size());
     const std::string path = target.substr(0, mark);
     const std::string query = target.substr(std::min(mark + 1, target.size()));
-    const bool isWithheld = !this->withheldTable.empty() && parameter(query, "table") == this->withheldTable;
-    if (isWithheld) {
+    const bool isUnavailable = !this->unavailableTable.empty() && parameter(query, "table") == this->unavailableTable;
+    if (isUnavailable) {
         exchange->send(503, {}, {});
     } else if (path == "/rows-tx") {
         this->transact(exchange);
--- a/Tests/Fakes/StandInStore.h
+++ b/Tests/Fakes/StandInStore.h
@@ -9,33 +9,33 @@
 namespace Dogwoodkeel
 {
 
-/** Stand-in for the platform's store that speaks its HTTP calls, before the rows of a FakeRowStore. */
+/** Stand-in for the platform's store: serves its HTTP calls from the rows of a FakeRowStore. */
 class StandInStore
 {
 public:
-    /** How it treats its callers. */
+    /** How it responds to requests. */
     enum class ResponseMode {
         Serving,
         /** It answers 503. */
         Busy,
-        /** It takes requests and never answers. */
+        /** It accepts requests and never answers. */
         Unresponsive,
     };
 
     StandInStore(EventLoop &loop, const Clock &clock);
 
-    /** Another way to the rows of a store, which can treat its callers differently. */
+    /** Opens another route to the rows of a store, with a response mode of its own. */
     StandInStore(EventLoop &loop, const Clock &clock, StandInStore &shared);
 
     const Address &address() const;
     FakeRowStore &rows();
-    void setResponseMode(ResponseMode mood);
+    void setResponseMode(ResponseMode responseMode);
 
-    /** Answer 503 to whoever reads or follows this table. */
+    /** Answers 503 to requests that read or follow this table; an empty name lifts this. */
     void setUnavailableTable(const std::string &table);
 
 private:
-    /** @return its steady time, which no node has. */
+    /** @return its own steady time, which differs from the clock of every node. */
     std::int64_t nowMs() const;
     void handle(const std::shared_ptr<CallerExchange> &exchange);
     void transact(const std::shared_ptr<CallerExchange> &exchange);
@@ -46,8 +46,8 @@
 
     const Clock &clock;
     std::shared_ptr<FakeRowStore> store;
-    ResponseMode mood = ResponseMode::Serving;
-    std::string withheldTable;
+    ResponseMode responseMode = ResponseMode::Serving;
+    std::string unavailableTable;
     CallerServer server;
 };
 
--- a/Tests/Processes/TestBatchJobs.cpp
+++ b/Tests/Processes/TestBatchJobs.cpp
@@ -17,7 +17,7 @@
 
 using Json = nlohmann::json;
 
-/** Two nodes and two engines, each with room for four streams. */
+/** Two nodes and two engines with a capacity of four streams each. */
 struct Site
 {
     Site() : fleet(PROGRAMS_FOLDER)
@@ -33,7 +33,7 @@
         REQUIRE(this->fleet.waitReady(20s));
     }
 
-    Json ask(std::size_t process, const std::string &method, const std::string &path, const std::string &body = {})
+    Json call(std::size_t process, const std::string &method, const std::string &path, const std::string &body = {})
     {
         return Json::parse(LocalFleet::call(this->fleet.process(process).address, method, path, body).body, nullptr, false);
     }
@@ -45,20 +45,20 @@
             const Json line{{"model", "notes"}, {"prompt", prompt + ' ' + std::to_string(i)}, {"max_tokens", tokens}};
             lines += line.dump() + '\n';
         }
-        return this->ask(this->nodes[0], "POST", "/v1/batches", lines).at("id");
+        return this->call(this->nodes[0], "POST", "/v1/batches", lines).at("id");
     }
 
     Json status(const std::string &job)
     {
-        return this->ask(this->nodes[0], "GET", "/v1/batches/" + job);
+        return this->call(this->nodes[0], "GET", "/v1/batches/" + job);
     }
 
-    /** @return a count summed over the engines that run. */
+    /** @return the sum of a count over the running engines. */
     int sum(const std::string &name)
     {
         int total = 0;
         for (const std::size_t engine : this->engines) {
-            total += this->ask(engine, "GET", "/counts").value(name, 0);
+            total += this->call(engine, "GET", "/counts").value(name, 0);
         }
         return total;
     }
@@ -67,18 +67,18 @@
     {
         int total = 0;
         for (const std::size_t engine : this->engines) {
-            for (const auto &[prompt, count] : this->ask(engine, "GET", "/counts").at("starts").items()) {
+            for (const auto &[prompt, count] : this->call(engine, "GET", "/counts").at("starts").items()) {
                 total += count.get<int>();
             }
         }
         return total;
     }
 
-    int most(const std::string &name)
+    int maxOf(const std::string &name)
     {
         int found = 0;
         for (const std::size_t engine : this->engines) {
-            found = std::max(found, this->ask(engine, "GET", "/counts").value(name, 0));
+            found = std::max(found, this->call(engine, "GET", "/counts").value(name, 0));
         }
         return found;
     }
@@ -107,9 +107,9 @@
 
 } // namespace
 
-// A buyer cancels a lot while its items run on the engines and more wait in the lanes. The lot's owner journals the
-// cancellation and tells the lanes, which cancel the streams and drop what they have pulled. The engines must end up with
-// nothing running, and no item of the lot may start any more.
+// A job is cancelled while some of its items run on the engines and more wait in the lanes. The job's owner journals the
+// cancellation and notifies the lanes, which cancel the streams and drop the items they have pulled. Afterwards nothing may
+// run on the engines, and no item of the job may start.
 TEST_CASE("a cancelled job stops: running items are cancelled and no other starts")
 {
     Site site;
@@ -117,7 +117,7 @@
     REQUIRE(waitUntil([&site] {
         return site.sum("running") >= 6;
     }));
-    site.ask(site.nodes[1], "POST", "/v1/batches/" + job + "/cancel");
+    site.call(site.nodes[1], "POST", "/v1/batches/" + job + "/cancel");
     CHECK(waitUntil([&site] {
         return site.sum("running") == 0 && site.sum("queued") == 0;
     }));
@@ -128,8 +128,8 @@
     CHECK(site.status(job).at("status") == "cancelled");
 }
 
-// The node that owns a lot is lost, and with it the lane it held, while items run. The other node takes over: every item
-// is done exactly once, and the caller reads all results, though some were moved out of memory before.
+// The node that owns a job, and holds a lane, is killed while items run. The other node takes over: every item must be
+// completed exactly once, and the caller must be able to read all results, including those moved out of memory before.
 TEST_CASE("a job survives the loss of a node with every item done once")
 {
     Site site;
@@ -148,11 +148,11 @@
     CHECK(std::count(results.body.begin(), results.body.end(), '\n') == items);
 }
 
-// A node that holds lanes stands still, its connections to the engines open and its items running. The other node takes
-// its lanes over. It must not start a full set beside them: an online request would queue behind all of it. When the first
-// wakes, it must not start more either before it has seen what runs; and the items it has left, whose lanes are with others
-// now, must not be kept from them. Then the same with the other node.
-TEST_CASE("a paused holder and its successor do not fill a replica twice")
+// A node that holds lanes is paused while its connections to the engines stay open and its items run. The other node takes
+// over its lanes. It must not start a full set of items beside the running ones, because an online request would queue
+// behind all of them. The first node must not start more items after it resumes until it knows what runs, and must release
+// its remaining items to the new holders of their lanes. Then the same is repeated with the other node.
+TEST_CASE("a paused lane holder and its successor do not fill a replica twice")
 {
     Site site;
     constexpr int items = 12;
@@ -170,11 +170,11 @@
         return hasEnded(site, job);
     }));
     CHECK(site.status(job).value("succeeded", 0) == items);
-    CHECK(site.most("most_queued") <= 1);
+    CHECK(site.maxOf("most_queued") <= 1);
 }
 
-// One item crashes each engine that runs it. The engines come back after a while. The lot must complete: the item ends
-// failed after the second engine, and the items that were running beside it are not blamed.
+// One item crashes each engine that runs it, and the engines are restarted. The job must complete: the item fails after the
+// second crash, and the crashes are not attributed to the items that ran beside it.
 TEST_CASE("an item that crashes engines ends failed and the others complete")
 {
     Site site;
@@ -184,7 +184,7 @@
         const std::string prompt = i == 10 ? "crash-the-engine" : "bystander " + std::to_string(i);
         lines += Json({{"model", "notes"}, {"prompt", prompt}, {"max_tokens", 60}}).dump() + '\n';
     }
-    const std::string job = site.ask(site.nodes[0], "POST", "/v1/batches", lines).at("id");
+    const std::string job = site.call(site.nodes[0], "POST", "/v1/batches", lines).at("id");
     int crashes = 0;
     CHECK(waitUntil([&] {
         for (const std::size_t engine : site.engines) {
@@ -200,9 +200,9 @@
     CHECK(site.status(job).value("succeeded", 0) == items - 1);
 }
 
-// Every connection to the engines goes silent for good, new ones work. The items that ran there are run again over new
-// connections once they have made no progress for a while, and the job completes.
-TEST_CASE("a job survives connections that go silent")
+// All open connections to the engines become permanently unresponsive, while new ones work. Items that make no progress
+// until the timeout must be run again over new connections, and the job must complete.
+TEST_CASE("a job completes after its connections become unresponsive")
 {
     Site site;
     constexpr int items = 30;
@@ -211,7 +211,7 @@
         return site.sum("running") >= 6;
     }));
     for (const std::size_t engine : site.engines) {
-        site.ask(engine, "POST", "/faults", R"({"silent": true})");
+        site.call(engine, "POST", "/faults", R"({"silent": true})");
     }
     CHECK(waitUntil([&] {
         return hasEnded(site, job);
--- a/Tests/Processes/TestEarlySignal.cpp
+++ b/Tests/Processes/TestEarlySignal.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/** @return a pipe's end for writing, as soon as somebody has opened it for reading. */
+/** @return the write end of a named pipe, once a process has opened it for reading; -1 after a timeout. */
 int openWhenRead(const std::string &path)
 {
     for (int tries = 0; tries < 3000; ++tries) {
@@ -32,9 +32,9 @@
 
 } // namespace
 
-// A VM is told to stop some milliseconds after it was started, while the program still reads its settings. Were the signal not
-// held back from the first, it would end the process as a crash does, without a word in the log.
-TEST_CASE("a node that is told to stop before it has read its settings stops as planned")
+// SIGTERM arrives some milliseconds after the start, while the program still reads its settings. If the signal were not blocked
+// from the beginning, it would end the process like a crash, without a log line.
+TEST_CASE("a node that receives SIGTERM before it has read its settings stops gracefully")
 {
     LocalFleet fleet(PROGRAMS_FOLDER);
     const Address own = fleet.nextAddress();
--- a/Tests/Processes/TestHelp.cpp
+++ b/Tests/Processes/TestHelp.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Run the program. @return what it printed, and how it ended */
+/** Runs the program. @return its output and its exit status */
 std::pair<std::string, int> run(const std::string &arguments)
 {
     const std::string command = std::string(PROGRAMS_FOLDER) + "/Programs/dogwoodkeel " + arguments + " 2>&1";
@@ -24,8 +24,8 @@
 
 } // namespace
 
-// Who types --help sees the commands, not the flags of every library that the program is made of.
-TEST_CASE("--help is the same as help, also behind a command")
+// --help must list the commands, not the flags of every library that the program is linked with.
+TEST_CASE("--help is the same as help, also after a command")
 {
     const auto commands = run("help");
     CHECK(commands.second == 0);
@@ -39,7 +39,7 @@
     CHECK(run("help batch --help") == batch);
 }
 
-TEST_CASE("help about what is no command lists the commands, and fails")
+TEST_CASE("help for an unknown command lists the commands and fails")
 {
     const auto unknown = run("nonsense --help");
     CHECK(unknown.second != 0);
