--- a/Tests/Fakes/EngineOrders.cpp
+++ b/Tests/Fakes/EngineOrders.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-bool EngineOrders::take(const EngineOrder &order)
+bool EngineOrders::apply(const EngineOrder &order)
 {
     ++this->receivedOrders;
     this->finishLoad();
@@ -18,8 +18,8 @@
         return false;
     }
     this->current.fence = std::max(this->current.fence, order.fence);
-    const EngineState &now = this->current.loading ? *this->current.loading : this->current.state;
-    if (order.state == now) {
+    const EngineState &latest = this->current.loading ? *this->current.loading : this->current.state;
+    if (order.state == latest) {
         return true;
     }
     this->history.push_back(order);
@@ -71,7 +71,7 @@
     return this->receivedOrders;
 }
 
-const std::vector<EngineOrder> &EngineOrders::taken() const
+const std::vector<EngineOrder> &EngineOrders::appliedOrders() const
 {
     return this->history;
 }
--- a/Tests/Soak/Soak.cpp
+++ b/Tests/Soak/Soak.cpp
@@ -400,13 +400,14 @@
         this->recordFault(std::string("store ") + (isUnresponsive ? "unresponsive" : "busy") + " for "
                           + std::to_string(length.count()) + " ms");
         this->world.post([isUnresponsive](SoakWorld &world) {
-            world.platform().setMood(isUnresponsive ? StandInStore::Mood::Silent : StandInStore::Mood::Busy);
+            world.platform().setResponseMode(isUnresponsive ? StandInStore::ResponseMode::Unresponsive
+                                                            : StandInStore::ResponseMode::Busy);
         });
         this->disturbances.add(storeComponent, Clock::now(), Clock::now() + length);
         this->scheduleAction(length, [this] {
             this->disturbances.add(storeComponent, Clock::now(), Clock::now());
             this->world.post([](SoakWorld &world) {
-                world.platform().setMood(StandInStore::Mood::Serving);
+                world.platform().setResponseMode(StandInStore::ResponseMode::Serving);
             });
         });
     }
