--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -93,7 +93,7 @@
     {
         auto *const exchange = static_cast<Exchange *>(argument);
         if (request == nullptr) {
-            exchange->client->end(*exchange, ExchangeEnd::Broken);
+            exchange->client->end(*exchange, ExchangeEnd::Incomplete);
             return;
         }
         // NOTE: evhttp tells of a connection that could not be made by a request without a response code.
@@ -207,7 +207,7 @@
     const ExchangeId id = this->start(address, request, ConnectionChoice::Pooled, std::move(hooks));
     collected->timer = this->loop.schedule(timeout, [this, id, collected] {
         this->cancel(id);
-        collected->answered(ExchangeEnd::Broken, {});
+        collected->answered(ExchangeEnd::Incomplete, {});
     });
     return id;
 }
@@ -247,7 +247,7 @@
     return found != this->exchanges.end() && found->second->isReused;
 }
 
-void HttpClient::retireIdle(const Address &address)
+void HttpClient::closeIdle(const Address &address)
 {
     for (evhttp_connection *const connection : std::exchange(this->idle[address], {})) {
         this->freeLater(connection);
--- a/Libraries/LibHttp/HttpClient.h
+++ b/Libraries/LibHttp/HttpClient.h
@@ -27,7 +27,7 @@
     /** Proved: no connection was made, so the request never left. */
     NotConnected,
     /** The connection broke; the request may have been carried out. */
-    Broken,
+    Incomplete,
 };
 
 /** Which connection an exchange may use. */
@@ -67,7 +67,7 @@
 
     /**
      * Send a request and collect the response.
-     * @param timeout after which it is cancelled and ends as Broken
+     * @param timeout after which it is cancelled and ends as Incomplete
      * @param answered told once
      */
     ExchangeId fetch(const Address &address,
@@ -85,7 +85,7 @@
     bool isReused(ExchangeId id) const;
 
     /** Close the idle connections to an address: they may be of the kind that went silent. */
-    void retireIdle(const Address &address);
+    void closeIdle(const Address &address);
 
     /** What evhttp calls back; not for use elsewhere. */
     struct Callbacks;
--- a/Libraries/LibHttp/HttpServer.cpp
+++ b/Libraries/LibHttp/HttpServer.cpp
@@ -384,8 +384,8 @@
 void HttpServer::lose(Connection &connection)
 {
     const BodyHooks hooks = std::exchange(connection.hooks, {});
-    if (hooks.onLost) {
-        hooks.onLost();
+    if (hooks.onAborted) {
+        hooks.onAborted();
     }
 }
 
--- a/Libraries/LibHttp/HttpServer.h
+++ b/Libraries/LibHttp/HttpServer.h
@@ -36,14 +36,14 @@
     std::chrono::milliseconds idleTimeout{120000};
 };
 
-/** Gets a body as it arrives. Nothing more comes after onEnd or onLost. */
+/** Gets a body as it arrives. Nothing more comes after onEnd or onAborted. */
 struct BodyHooks
 {
     std::function<void(std::string_view data)> onData;
     /** The whole body has come. */
     std::function<void()> onEnd;
     /** The caller hung up, or the body was longer than admitted; the caller has been told. */
-    std::function<void()> onLost;
+    std::function<void()> onAborted;
 };
 
 /** How one request's body is taken. */
--- a/Libraries/LibHttp/HttpTypes.cpp
+++ b/Libraries/LibHttp/HttpTypes.cpp
@@ -22,7 +22,7 @@
     return found != headers.end() ? std::optional(found->second) : std::nullopt;
 }
 
-HttpHeaders passedHeaders(const HttpHeaders &headers)
+HttpHeaders forwardedHeaders(const HttpHeaders &headers)
 {
     static constexpr std::array<std::string_view, 15> passed{"Cache-Control",
                                                              "Content-Disposition",
--- a/Libraries/LibHttp/HttpTypes.h
+++ b/Libraries/LibHttp/HttpTypes.h
@@ -26,7 +26,7 @@
  * @return the headers of an endpoint's answer that mean something to the caller: what describes the content, caching and
  * when to come back. All else is between the system and the endpoint (RFC 9110 section 7.6.1) or is set anew.
  */
-HttpHeaders passedHeaders(const HttpHeaders &headers);
+HttpHeaders forwardedHeaders(const HttpHeaders &headers);
 
 /** A whole request. */
 struct HttpRequest
--- a/Libraries/LibPlatform/HttpPlatform.cpp
+++ b/Libraries/LibPlatform/HttpPlatform.cpp
@@ -24,7 +24,7 @@
     if (end == ExchangeEnd::NotConnected) {
         return WriteOutcome::NotApplied;
     }
-    if (end == ExchangeEnd::Broken) {
+    if (end == ExchangeEnd::Incomplete) {
         return WriteOutcome::Unknown;
     }
     switch (status) {
--- a/Libraries/LibProxy/CallerConnection.cpp
+++ b/Libraries/LibProxy/CallerConnection.cpp
@@ -249,7 +249,7 @@
     this->finishAnswer();
 }
 
-void CallerConnection::breakOff()
+void CallerConnection::abort()
 {
     this->exchange.reset();
     this->lastProgress = this->clock.now();
@@ -295,7 +295,7 @@
     }
     bufferevent_free(std::exchange(this->stream, nullptr));
     if (const std::shared_ptr<CallerExchange> open = std::exchange(this->exchange, nullptr)) {
-        open->lose();
+        open->disconnect();
     }
     this->hooks.onClosed();
 }
--- a/Libraries/LibProxy/CallerConnection.h
+++ b/Libraries/LibProxy/CallerConnection.h
@@ -80,7 +80,7 @@
     void sendHead(int status, const HeaderList &headers);
     void sendPart(std::string_view data);
     void sendEnd();
-    void breakOff();
+    void abort();
 
     void advance();
     bool step();
--- a/Libraries/LibProxy/CallerExchange.cpp
+++ b/Libraries/LibProxy/CallerExchange.cpp
@@ -27,12 +27,12 @@
     return this->connection == nullptr;
 }
 
-bool CallerExchange::isBegun() const
+bool CallerExchange::isStarted() const
 {
-    return this->begun;
+    return this->started;
 }
 
-void CallerExchange::whenGone(std::function<void()> gone)
+void CallerExchange::onDisconnect(std::function<void()> gone)
 {
     this->gone = std::move(gone);
 }
@@ -40,7 +40,7 @@
 void CallerExchange::send(int status, const HeaderList &headers, std::string_view body)
 {
     if (CallerConnection *const answering = std::exchange(this->connection, nullptr)) {
-        this->begun = true;
+        this->started = true;
         this->gone = nullptr;
         answering->sendWhole(status, headers, body);
     }
@@ -48,7 +48,7 @@
 
 void CallerExchange::begin(int status, const HeaderList &headers)
 {
-    if (this->connection != nullptr && !std::exchange(this->begun, true)) {
+    if (this->connection != nullptr && !std::exchange(this->started, true)) {
         this->connection->sendHead(status, headers);
     }
 }
@@ -68,15 +68,15 @@
     }
 }
 
-void CallerExchange::breakOff()
+void CallerExchange::abort()
 {
     if (CallerConnection *const answering = std::exchange(this->connection, nullptr)) {
         this->gone = nullptr;
-        answering->breakOff();
+        answering->abort();
     }
 }
 
-void CallerExchange::lose()
+void CallerExchange::disconnect()
 {
     this->connection = nullptr;
     if (const std::function<void()> tell = std::exchange(this->gone, nullptr)) {
--- a/Libraries/LibProxy/CallerExchange.h
+++ b/Libraries/LibProxy/CallerExchange.h
@@ -28,10 +28,10 @@
     bool isOver() const;
 
     /** @return whether the answer's head has been sent. */
-    bool isBegun() const;
+    bool isStarted() const;
 
     /** @param gone told once if the caller closes its connection before the answer is complete */
-    void whenGone(std::function<void()> gone);
+    void onDisconnect(std::function<void()> gone);
 
     /** Send a whole answer. */
     void send(int status, const HeaderList &headers, std::string_view body);
@@ -46,19 +46,19 @@
     void end();
 
     /** Close the connection with the answer incomplete, so that the caller sees that it is. */
-    void breakOff();
+    void abort();
 
 private:
     friend class CallerConnection;
 
     /** The connection is closed. */
-    void lose();
+    void disconnect();
 
     CallerConnection *connection;
     MessageHead requestHead;
     std::string requestBody;
     std::function<void()> gone;
-    bool begun = false;
+    bool started = false;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibProxy/OutboundConnection.cpp
+++ b/Libraries/LibProxy/OutboundConnection.cpp
@@ -152,7 +152,7 @@
     });
     if (!isHandled && *stillHere && this->current != 0) {
         runGuarded("end of a connection to a server", [this] {
-            this->finish(CallEnd::Broken);
+            this->finish(CallEnd::Incomplete);
         });
     }
 }
@@ -165,7 +165,7 @@
         return;
     }
     if (this->current == 0) {
-        this->pool.dropIdle(*this);
+        this->pool.closeIdle(*this);
         return;
     }
     const bool isEndOfFile = (what & BEV_EVENT_EOF) != 0;
@@ -175,7 +175,7 @@
     } else if (isEndOfFile && endsBody) {
         this->finish(CallEnd::Complete);
     } else {
-        this->finish(CallEnd::Broken);
+        this->finish(CallEnd::Incomplete);
     }
 }
 
@@ -183,7 +183,7 @@
 {
     if (this->current == 0) {
         // Bytes that no request asked for would be taken for the next one's answer.
-        this->pool.dropIdle(*this);
+        this->pool.closeIdle(*this);
         return;
     }
     const std::shared_ptr<bool> stillHere = this->alive;
@@ -198,7 +198,7 @@
         return false;
     }
     if (progress != ReadProgress::Done) {
-        this->finish(CallEnd::Broken);
+        this->finish(CallEnd::Incomplete);
         return false;
     }
     if (this->reader.head().status < firstFinalStatus) {
@@ -230,7 +230,7 @@
         return false;
     }
     if (progress != ReadProgress::Done) {
-        this->finish(CallEnd::Broken);
+        this->finish(CallEnd::Incomplete);
         return false;
     }
     if (!this->isSkipping) {
@@ -242,7 +242,7 @@
     this->isHeadRead = false;
     this->isSkipping = false;
     if (!hasMore) {
-        this->finish(CallEnd::Broken);
+        this->finish(CallEnd::Incomplete);
     }
     return hasMore;
 }
--- a/Libraries/LibProxy/OutboundPool.cpp
+++ b/Libraries/LibProxy/OutboundPool.cpp
@@ -94,32 +94,32 @@
     return this->made;
 }
 
-std::vector<Address> OutboundPool::connectedAddresses(std::chrono::milliseconds longestIdle) const
+std::vector<Address> OutboundPool::connectedAddresses(std::chrono::milliseconds maxIdleTime) const
 {
     std::vector<Address> connected;
     for (const auto &[address, connections] : this->idle) {
-        if (this->isUsable(*connections.back(), longestIdle)) {
+        if (this->isUsable(*connections.back(), maxIdleTime)) {
             connected.push_back(address);
         }
     }
     return connected;
 }
 
-bool OutboundPool::isUsable(const OutboundConnection &idle, std::chrono::milliseconds longestIdle) const
+bool OutboundPool::isUsable(const OutboundConnection &idle, std::chrono::milliseconds maxIdleTime) const
 {
     const SteadyTime now = this->clock.now();
-    return now < idle.keptUntil() && now - idle.idleSince() <= longestIdle;
+    return now < idle.keptUntil() && now - idle.idleSince() <= maxIdleTime;
 }
 
 std::unique_ptr<OutboundConnection> OutboundPool::takeIdle(const OutboundCall &call)
 {
     const auto found = this->idle.find(call.address);
-    if (found == this->idle.end() || call.longestIdle.count() == 0) {
+    if (found == this->idle.end() || call.maxIdleTime.count() == 0) {
         return nullptr;
     }
     // The one used last: it has been idle for the shortest time.
     Connections &connections = found->second;
-    if (!this->isUsable(*connections.back(), call.longestIdle)) {
+    if (!this->isUsable(*connections.back(), call.maxIdleTime)) {
         return nullptr;
     }
     std::unique_ptr<OutboundConnection> taken = std::move(connections.back());
@@ -157,7 +157,7 @@
     this->loop.post([held] {});
 }
 
-void OutboundPool::dropIdle(const Address &address)
+void OutboundPool::closeIdle(const Address &address)
 {
     const auto found = this->idle.find(address);
     if (found == this->idle.end()) {
@@ -169,7 +169,7 @@
     this->idle.erase(found);
 }
 
-void OutboundPool::dropIdle(const OutboundConnection &connection)
+void OutboundPool::closeIdle(const OutboundConnection &connection)
 {
     const auto found = this->idle.find(connection.address());
     if (found == this->idle.end()) {
--- a/Libraries/LibProxy/OutboundPool.h
+++ b/Libraries/LibProxy/OutboundPool.h
@@ -27,7 +27,7 @@
     /** Proved: no connection was made, so the request never left. */
     NotSent,
     /** The connection broke, or what came is no response to this request; the request may have been carried out. */
-    Broken,
+    Incomplete,
 };
 
 /** A request to another server. */
@@ -41,7 +41,7 @@
      * How long a connection may have been idle to be used for this call; zero takes a new one. An idle connection can be
      * closed by the other side at the very moment it is used, and it then cannot be known whether the request was run.
      */
-    std::chrono::milliseconds longestIdle{0};
+    std::chrono::milliseconds maxIdleTime{0};
     /** Within which a new connection must be made. */
     std::chrono::milliseconds connectTimeout{300};
     /**
@@ -62,7 +62,7 @@
 /** A response that was collected whole. */
 struct CollectedResponse
 {
-    CallEnd end = CallEnd::Broken;
+    CallEnd end = CallEnd::Incomplete;
     MessageHead head;
     std::string body;
 };
@@ -84,7 +84,7 @@
 
     /**
      * Send a request and collect the response.
-     * @param timeout after which the call is cancelled and ends as Broken
+     * @param timeout after which the call is cancelled and ends as Incomplete
      */
     CallId fetch(OutboundCall call, std::chrono::milliseconds timeout, std::function<void(CollectedResponse)> done);
 
@@ -92,13 +92,13 @@
     void cancel(CallId id);
 
     /**
-     * @param longestIdle how long a connection may have been idle to be of use
+     * @param maxIdleTime how long a connection may have been idle to be of use
      * @return the addresses to which there is an idle connection that a call may use now
      */
-    std::vector<Address> connectedAddresses(std::chrono::milliseconds longestIdle) const;
+    std::vector<Address> connectedAddresses(std::chrono::milliseconds maxIdleTime) const;
 
     /** Close the idle connections to an address: who listened there is over. */
-    void dropIdle(const Address &address);
+    void closeIdle(const Address &address);
 
     /** @return connections made so far. */
     std::uint64_t connectionsMade() const;
@@ -107,11 +107,11 @@
     friend class OutboundConnection;
     using Connections = std::list<std::unique_ptr<OutboundConnection>>;
 
-    bool isUsable(const OutboundConnection &idle, std::chrono::milliseconds longestIdle) const;
+    bool isUsable(const OutboundConnection &idle, std::chrono::milliseconds maxIdleTime) const;
     std::unique_ptr<OutboundConnection> takeIdle(const OutboundCall &call);
     void finished(CallId id, bool isReusable);
     void freeLater(std::unique_ptr<OutboundConnection> connection);
-    void dropIdle(const OutboundConnection &connection);
+    void closeIdle(const OutboundConnection &connection);
     void sweep();
 
     EventLoop &loop;
--- a/Services/Entry/Attempt.cpp
+++ b/Services/Entry/Attempt.cpp
@@ -52,7 +52,7 @@
                     case ExchangeEnd::NotConnected:
                         this->end(AttemptEnd::NotConnected);
                         return;
-                    case ExchangeEnd::Broken:
+                    case ExchangeEnd::Incomplete:
                         this->end(AttemptEnd::Broken);
                         return;
                     }
@@ -117,7 +117,7 @@
     const bool isReused = this->http.isReused(this->exchange);
     // Something between the two ends may have lost track of the connections of this age: nothing tells, and every one of
     // them would cost another request its time. New ones are not affected.
-    this->http.retireIdle(this->address);
+    this->http.closeIdle(this->address);
     this->end(isReused ? AttemptEnd::SilentReused : AttemptEnd::SilentFresh);
 }
 
--- a/Services/Entry/BatchApi.cpp
+++ b/Services/Entry/BatchApi.cpp
@@ -165,7 +165,7 @@
                         start->upload.onEnd();
                     }
                 },
-            .onLost = start->upload.onLost};
+            .onAborted = start->upload.onAborted};
 }
 
 BodyHooks BatchApi::uploadJob(const Caller &caller, const HttpRequest &head, const std::shared_ptr<HttpReply> &reply)
--- a/Services/Entry/JobUpload.cpp
+++ b/Services/Entry/JobUpload.cpp
@@ -63,7 +63,7 @@
                 [self = this->shared_from_this()] {
                     self->onEnd();
                 },
-            .onLost =
+            .onAborted =
                 [self = this->shared_from_this()] {
                     self->isOver = true;
                 }};
--- a/Services/Entry/PlainCall.cpp
+++ b/Services/Entry/PlainCall.cpp
@@ -112,7 +112,7 @@
             [this](int status, const HttpHeaders &headers) {
                 this->context.watch.sawHeaders(*this->replica, headers);
                 this->response.status = status;
-                this->response.headers = passedHeaders(headers);
+                this->response.headers = forwardedHeaders(headers);
                 this->response.headers.try_emplace("Content-Type", "application/octet-stream");
             },
         .onData =
--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -120,7 +120,7 @@
                            },
                        .restarted =
                            [this](const ServingReplica &former) {
-                               this->replicaPool.dropIdle(former.address);
+                               this->replicaPool.closeIdle(former.address);
                                ++this->replicasRestarted;
                            },
                        .storeReached =
--- a/Services/Gateway/ItemAttempt.cpp
+++ b/Services/Gateway/ItemAttempt.cpp
@@ -257,7 +257,7 @@
     outbound.address = replica.address;
     outbound.head = encodeItemRequest(this->item, this->origin.host, this->origin.workspace, replica, this->lastEvent);
     outbound.body = this->item.body;
-    outbound.longestIdle = longestIdle;
+    outbound.maxIdleTime = longestIdle;
     outbound.isAnswer = isAnswerTo(this->item.id.value());
     log(LogLevel::Info,
         "batch item sent",
@@ -330,7 +330,7 @@
     }
     if (end == CallEnd::NotSent) {
         this->continueElsewhere(PlacementVerdict::Unreachable, "no connection to the replica");
-    } else if (end == CallEnd::Broken) {
+    } else if (end == CallEnd::Incomplete) {
         this->recordLostConnection();
         this->continueElsewhere(PlacementVerdict::Broken, "the connection to the replica broke");
     } else if (this->splitter.hasRemainder() || (!this->lastEvent && this->answer->framing == BodyFraming::UntilClose)) {
--- a/Services/Gateway/OnlineCall.cpp
+++ b/Services/Gateway/OnlineCall.cpp
@@ -97,7 +97,7 @@
 void OnlineCall::start()
 {
     const std::shared_ptr<OnlineCall> self = this->shared_from_this();
-    this->exchange->whenGone([self] {
+    this->exchange->onDisconnect([self] {
         self->onCallerDisconnected();
     });
     const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(this->deadline - this->now()) - answerMargin;
@@ -301,7 +301,7 @@
         : this->arrived + this->route.objective;
     query.deadline = this->deadline;
     query.content = this->fingerprint;
-    query.mayRefuse = this->attempts == 0 && !this->exchange->isBegun();
+    query.mayRefuse = this->attempts == 0 && !this->exchange->isStarted();
     query.avoided = this->avoided;
     query.connected = connectedReplicas(this->context, this->service, this->maxConnectionIdle());
     query.version = this->startedVersion;
@@ -365,7 +365,7 @@
     outbound.address = replica.address;
     outbound.head = encodeReplicaRequest(this->exchange->head(), this->senderWorkspace(), replica, remaining, this->lastEvent);
     outbound.body = this->exchange->body();
-    outbound.longestIdle = this->maxConnectionIdle();
+    outbound.maxIdleTime = this->maxConnectionIdle();
     outbound.isAnswer = isAnswerTo(this->traits.id);
     this->call = this->context.replicaConnections.start(std::move(outbound), hooksFor(this->shared_from_this()));
     this->armStallTimer();
@@ -479,7 +479,7 @@
         this->retryUnexecuted(PlacementVerdict::Unreachable, "no connection to the replica");
         return;
     }
-    if (end == CallEnd::Broken) {
+    if (end == CallEnd::Incomplete) {
         this->recordDisconnect();
         this->recover(PlacementVerdict::Broken, "the connection to the replica broke");
         return;
@@ -497,8 +497,8 @@
     this->recordPromptServed();
     this->context.recordRequestServed(this->fingerprint);
     this->releaseReplica(PlacementVerdict::Finished);
-    if (this->exchange->isBegun()) {
-        this->exchange->breakOff();
+    if (this->exchange->isStarted()) {
+        this->exchange->abort();
         this->finish(0, "the stream could not be resumed");
         return;
     }
@@ -613,8 +613,8 @@
     }
     const bool mayHaveRun = this->attempts > 0;
     this->releaseReplica(PlacementVerdict::Finished);
-    if (this->exchange->isBegun()) {
-        this->exchange->breakOff();
+    if (this->exchange->isStarted()) {
+        this->exchange->abort();
         this->finish(0, "time is up");
     } else if (mayHaveRun) {
         this->exchange->send(statusGatewayTimeout, {}, {});
@@ -642,8 +642,8 @@
 
 void OnlineCall::fail(std::string_view reason)
 {
-    if (this->exchange->isBegun()) {
-        this->exchange->breakOff();
+    if (this->exchange->isStarted()) {
+        this->exchange->abort();
         this->finish(0, reason);
         return;
     }
--- a/Services/Lane/LaneService.cpp
+++ b/Services/Lane/LaneService.cpp
@@ -310,7 +310,7 @@
     }
     // The connection may have gone silent while the engine is well: what is left idle of its kind is not used again.
     if (const Replica *const replica = this->replicas.find(name)) {
-        this->http.retireIdle(replica->address);
+        this->http.closeIdle(replica->address);
     }
     for (HeldItem &item : silent) {
         if (++item.silences >= mostSilences) {
--- a/Tests/LibHttp/TestHttpServer.cpp
+++ b/Tests/LibHttp/TestHttpServer.cpp
@@ -279,7 +279,7 @@
                     [this, reply] {
                         reply->send({200, {}, "[" + std::to_string(this->seen) + "]"});
                     },
-                .onLost =
+                .onAborted =
                     [this] {
                         this->isLost = true;
                     }};
--- a/Tests/LibProxy/TestOutboundPool.cpp
+++ b/Tests/LibProxy/TestOutboundPool.cpp
@@ -43,7 +43,7 @@
         OutboundCall call;
         call.address = pooled.server.address();
         call.head = "GET / HTTP/1.1\r\nHost: h\r\n";
-        call.longestIdle = std::chrono::seconds(60);
+        call.maxIdleTime = std::chrono::seconds(60);
         pooled.pool.fetch(std::move(call), std::chrono::seconds(20), [&status](const CollectedResponse &response) {
             status.set_value(response.head.status);
         });
@@ -69,7 +69,7 @@
     CHECK(callOnce(host) == 200);
     CHECK(connectionsMade(host) == 1);
     host.ask<bool>([](Pooled &pooled) {
-        pooled.pool.dropIdle(pooled.server.address());
+        pooled.pool.closeIdle(pooled.server.address());
         return true;
     });
     CHECK(callOnce(host) == 200);
--- a/Tests/ServiceEntry/EntryBench.h
+++ b/Tests/ServiceEntry/EntryBench.h
@@ -65,7 +65,7 @@
     struct Answer
     {
         bool hasEnded = false;
-        ExchangeEnd end = ExchangeEnd::Broken;
+        ExchangeEnd end = ExchangeEnd::Incomplete;
         int status = 0;
         HttpHeaders headers;
         std::string body;
--- a/Tests/ServiceGateway/TestCrashNotices.cpp
+++ b/Tests/ServiceGateway/TestCrashNotices.cpp
@@ -35,7 +35,7 @@
             const std::string name = "i-" + std::to_string(number);
             bench.addReplica(name, "api", [&bench, name](const std::shared_ptr<CallerExchange> &exchange) {
                 bench.endReplica(name);
-                exchange->breakOff();
+                exchange->abort();
             });
         }
     });
--- a/Tests/ServiceGateway/TestCrashingPromptParts.cpp
+++ b/Tests/ServiceGateway/TestCrashingPromptParts.cpp
@@ -23,7 +23,7 @@
 {
     if (hasBadPart(exchange->head())) {
         exchange->begin(200, signedHeaders(exchange));
-        exchange->breakOff();
+        exchange->abort();
         return;
     }
     streamWhole(exchange);
--- a/Tests/ServiceGateway/TestGateway.cpp
+++ b/Tests/ServiceGateway/TestGateway.cpp
@@ -48,7 +48,7 @@
                 }
                 sendEvents(exchange, 2);
                 exchange->write("id: 3\ndata: ha");
-                exchange->breakOff();
+                exchange->abort();
             });
         }
     });
@@ -66,11 +66,11 @@
     RunningGateway running([](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", [](const std::shared_ptr<CallerExchange> &exchange) {
             sendEvents(exchange, 2);
-            exchange->breakOff();
+            exchange->abort();
         });
         bench.addReplica("i-2", "llm", [](const std::shared_ptr<CallerExchange> &exchange) {
             sendEvents(exchange, 2);
-            exchange->breakOff();
+            exchange->abort();
         });
     });
     const std::string answer = running.call("POST /o/x");
@@ -89,7 +89,7 @@
     RunningGateway running([](GatewayBench &bench) {
         for (const char *const instance : {"i-1", "i-2"}) {
             bench.addReplica(instance, "api", [](const std::shared_ptr<CallerExchange> &exchange) {
-                exchange->breakOff();
+                exchange->abort();
             });
         }
     });
@@ -167,7 +167,7 @@
     RunningGateway running([&isLeft](GatewayBench &bench) {
         bench.addReplica("i-1", "llm", [&isLeft](const std::shared_ptr<CallerExchange> &exchange) {
             sendEvents(exchange, 1);
-            exchange->whenGone([&isLeft] {
+            exchange->onDisconnect([&isLeft] {
                 isLeft = true;
             });
         });
--- a/Tests/ServiceGateway/TestRepeatedCrashes.cpp
+++ b/Tests/ServiceGateway/TestRepeatedCrashes.cpp
@@ -141,7 +141,7 @@
             if (this->stopsReplicas) {
                 bench.endReplica(entry.replica);
             }
-            entry.exchange->breakOff();
+            entry.exchange->abort();
         }
     }
 
--- a/Tests/ServiceGateway/TestStreamVersions.cpp
+++ b/Tests/ServiceGateway/TestStreamVersions.cpp
@@ -23,7 +23,7 @@
         return;
     }
     sendEvents(exchange, eventsBeforeLoss);
-    exchange->breakOff();
+    exchange->abort();
 }
 
 /** Registers replicas whose versions alternate in the order of their names. */
@@ -204,7 +204,7 @@
         addReplicas(bench, 1, [crashed = std::make_shared<bool>(false)](const std::shared_ptr<CallerExchange> &exchange) {
             if (!std::exchange(*crashed, true)) {
                 sendEvents(exchange, eventsBeforeLoss);
-                exchange->breakOff();
+                exchange->abort();
                 return;
             }
             streamWhole(exchange);
