--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -96,9 +96,9 @@
             exchange->client->end(*exchange, ExchangeEnd::Incomplete);
             return;
         }
-        // NOTE: evhttp tells of a connection that could not be made by a request without a response code.
-        const bool answered = evhttp_request_get_response_code(request) != 0;
-        exchange->client->end(*exchange, answered ? ExchangeEnd::Complete : ExchangeEnd::NotConnected);
+        // NOTE: evhttp reports a failed connection attempt as a request without a response code.
+        const bool hasStatus = evhttp_request_get_response_code(request) != 0;
+        exchange->client->end(*exchange, hasStatus ? ExchangeEnd::Complete : ExchangeEnd::NotConnected);
     }
 };
 
@@ -121,7 +121,7 @@
     }
 }
 
-void HttpClient::takeConnection(Exchange &exchange, ConnectionChoice choice)
+void HttpClient::acquireConnection(Exchange &exchange, ConnectionChoice choice)
 {
     const Address &address = exchange.address;
     std::vector<evhttp_connection *> &pool = this->idle[address];
@@ -132,7 +132,7 @@
         return;
     }
     exchange.connection = evhttp_connection_base_new(this->loop.base(), nullptr, address.ip.c_str(), address.port);
-    // The callers of this class set their own, shorter timeouts by cancelling.
+    // Users of this class implement their own, shorter timeouts by cancelling.
     constexpr int hour = 3600;
     evhttp_connection_set_timeout(exchange.connection, hour);
 }
@@ -145,7 +145,7 @@
     exchange->id = ++this->lastExchange;
     exchange->address = address;
     exchange->hooks = std::move(hooks);
-    this->takeConnection(*exchange, choice);
+    this->acquireConnection(*exchange, choice);
     this->exchanges.emplace(exchange->id, exchange);
 
     evhttp_request *const message = evhttp_request_new(&Callbacks::onDone, exchange.get());
@@ -162,7 +162,7 @@
     const int failed = evhttp_make_request(exchange->connection, message, commandOf(request.method), request.target().c_str());
     const int descriptor = bufferevent_getfd(evhttp_connection_get_bufferevent(exchange->connection));
     if (descriptor >= 0 && descriptor != before) {
-        // The last part of a body would otherwise wait for the acknowledgement of the part before: 40 ms at times.
+        // Nagle's algorithm would delay the last part of a body until the previous part is acknowledged, by up to 40 ms.
         sendWithoutDelay(descriptor);
     }
     if (failed != 0) {
@@ -178,16 +178,16 @@
 HttpClient::ExchangeId HttpClient::fetch(const Address &address,
                                          const HttpRequest &request,
                                          std::chrono::milliseconds timeout,
-                                         std::function<void(ExchangeEnd, HttpResponse)> answered)
+                                         std::function<void(ExchangeEnd, HttpResponse)> done)
 {
     struct Collected
     {
         HttpResponse response;
         TimerId timer = 0;
-        std::function<void(ExchangeEnd, HttpResponse)> answered;
+        std::function<void(ExchangeEnd, HttpResponse)> done;
     };
     const auto collected = std::make_shared<Collected>();
-    collected->answered = std::move(answered);
+    collected->done = std::move(done);
     ExchangeHooks hooks{
         .onHeaders =
             [collected](int status, const HttpHeaders &headers) {
@@ -201,13 +201,13 @@
         .onEnd =
             [this, collected](ExchangeEnd end) {
                 this->loop.cancel(collected->timer);
-                collected->answered(end, std::move(collected->response));
+                collected->done(end, std::move(collected->response));
             },
     };
     const ExchangeId id = this->start(address, request, ConnectionChoice::Pooled, std::move(hooks));
     collected->timer = this->loop.schedule(timeout, [this, id, collected] {
         this->cancel(id);
-        collected->answered(ExchangeEnd::Incomplete, {});
+        collected->done(ExchangeEnd::Incomplete, {});
     });
     return id;
 }
@@ -261,7 +261,7 @@
     }
     std::vector<evhttp_connection *> &pool = this->idle[exchange.address];
     if (how == ExchangeEnd::Complete && pool.size() < idlePerAddress) {
-        // NOTE: evhttp is still inside this connection's callback. It may be used again only after that has returned.
+        // NOTE: evhttp is still executing this connection's callback. The connection can be reused only after it returns.
         this->loop.post([this, connection = exchange.connection, address = exchange.address, alive = this->alive] {
             if (*alive) {
                 this->idle[address].push_back(connection);
--- a/Libraries/LibHttp/HttpClient.h
+++ b/Libraries/LibHttp/HttpClient.h
@@ -24,31 +24,31 @@
 enum class ExchangeEnd {
     /** The whole response arrived. */
     Complete,
-    /** Proved: no connection was made, so the request never left. */
+    /** No connection was established, so the request was certainly not sent. */
     NotConnected,
-    /** The connection broke; the request may have been carried out. */
+    /** The connection was lost; the server may have executed the request. */
     Incomplete,
 };
 
 /** Which connection an exchange may use. */
 enum class ConnectionChoice {
-    /** An idle one from the pool, if there is one. */
+    /** An idle one from the pool if available. */
     Pooled,
-    /** One made for it: the only kind known to be live, since an idle one may have gone silent unnoticed. */
+    /** A new one. A pooled one may have lost its peer without notice. */
     Fresh,
 };
 
-/** What an exchange tells. Nothing more comes after onEnd, nor after a cancel. */
+/** Callbacks of an exchange. None is called after onEnd or after the exchange is cancelled. */
 struct ExchangeHooks
 {
-    /** The response's status and headers. */
+    /** Called with the status and headers of the response. */
     std::function<void(int status, const HttpHeaders &headers)> onHeaders;
-    /** The next part of the body. */
+    /** Called with the next part of the body. */
     std::function<void(std::string_view data)> onData;
     std::function<void(ExchangeEnd end)> onEnd;
 };
 
-/** Sends HTTP/1.1 requests by evhttp, over pooled connections. Lives on one event loop. */
+/** Sends HTTP/1.1 requests with evhttp over pooled connections. Used on one event loop only. */
 class HttpClient
 {
 public:
@@ -60,40 +60,40 @@
     HttpClient &operator=(const HttpClient &) = delete;
 
     /**
-     * Send a request; the answer comes by the hooks, never from inside this call.
-     * @return an id to cancel it by
+     * Sends a request. The hooks are never called within this call.
+     * @return an id with which the exchange can be cancelled
      */
     ExchangeId start(const Address &address, const HttpRequest &request, ConnectionChoice choice, ExchangeHooks hooks);
 
     /**
-     * Send a request and collect the response.
-     * @param timeout after which it is cancelled and ends as Incomplete
-     * @param answered told once
+     * Sends a request and collects the response.
+     * @param timeout after which the exchange is cancelled and ends as Incomplete
+     * @param done called once
      */
     ExchangeId fetch(const Address &address,
                      const HttpRequest &request,
                      std::chrono::milliseconds timeout,
-                     std::function<void(ExchangeEnd, HttpResponse)> answered);
+                     std::function<void(ExchangeEnd, HttpResponse)> done);
 
-    /** Drop an exchange and its connection; its hooks are told nothing more. */
+    /** Cancels an exchange and closes its connection. Its hooks are not called any more. */
     void cancel(ExchangeId id);
 
-    /** @return whether an exchange's connection was made, so that its request may have left. False proves that not. */
+    /** @return whether the exchange's connection is established. If not, the request has certainly not been sent. */
     bool isConnected(ExchangeId id) const;
 
-    /** @return whether an exchange uses a connection that was idle before: it may have gone silent unnoticed. */
+    /** @return whether the exchange reuses a pooled connection, which may have lost its peer without notice. */
     bool isReused(ExchangeId id) const;
 
-    /** Close the idle connections to an address: they may be of the kind that went silent. */
+    /** Closes the idle connections to an address, for example after one of them turned out to be unresponsive. */
     void closeIdle(const Address &address);
 
-    /** What evhttp calls back; not for use elsewhere. */
+    /** Callbacks for evhttp; internal. */
     struct Callbacks;
 
 private:
     struct Exchange;
 
-    void takeConnection(Exchange &exchange, ConnectionChoice choice);
+    void acquireConnection(Exchange &exchange, ConnectionChoice choice);
     void end(Exchange &exchange, ExchangeEnd how);
     void freeLater(evhttp_connection *connection);
 
--- a/Libraries/LibHttp/HttpReply.cpp
+++ b/Libraries/LibHttp/HttpReply.cpp
@@ -16,7 +16,7 @@
 HttpReply::~HttpReply()
 {
     if (!this->started) {
-        // A handler that forgot its reply would otherwise leave the caller waiting for ever.
+        // If a handler never replied, the caller would otherwise wait forever.
         this->send({.status = 500, .body = "{\"error\":{\"message\":\"no answer was made\"}}\n"});
     } else {
         this->complete();
@@ -44,7 +44,7 @@
     } else if (this->request != nullptr) {
         this->addHeaders(response.headers);
         if (this->request->method == htp_method_HEAD) {
-            // RFC 9110 section 9.3.2: the length that GET would have, and no content.
+            // RFC 9110, section 9.3.2: the length that a GET response would have, and no content.
             const std::string length = std::to_string(response.body.size());
             evhtp_headers_add_header(this->request->headers_out, evhtp_header_new("Content-Length", length.c_str(), 1, 1));
         } else {
@@ -57,8 +57,8 @@
 
 void HttpReply::sendEarly(const HttpResponse &response)
 {
-    // Closing at once, with a part of the body unread, would reset the connection and take the answer from the caller
-    // with it. So the request is left open for libevhtp, and the server closes it when the body has come or after a while.
+    // Closing the connection while a part of the body is unread would reset it, and the caller could lose the response. So
+    // the request stays open for libevhtp, and the server closes it once the body has arrived or after a timeout.
     this->options.isLast = true;
     this->addHeaders(response.headers);
     const std::string length = std::to_string(response.body.size());
@@ -105,7 +105,7 @@
 void HttpReply::pauseBody()
 {
     if (this->request != nullptr && this->options.isBodyPending && !std::exchange(this->paused, true)) {
-        // NOTE: Not evhtp_request_pause: called from inside its body hook, libevhtp takes it for a broken request.
+        // NOTE: evhtp_request_pause cannot be used: in its body hook, libevhtp would treat the request as invalid.
         bufferevent_disable(evhtp_request_get_bev(this->request), EV_READ);
     }
 }
@@ -119,7 +119,7 @@
 
 bool HttpReply::isConnected() const
 {
-    // A paused connection that breaks is kept by libevhtp until it is resumed, with no hook called but this flag set.
+    // If a paused connection is lost, libevhtp sets this flag but calls no hook until the connection is resumed.
     return this->request != nullptr && (this->request->conn->flags & EVHTP_CONN_FLAG_ERROR) == 0;
 }
 
@@ -145,7 +145,7 @@
     }
     --*this->open;
     if (this->request != nullptr && !this->options.isBodyPending) {
-        // NOTE: libevhtp wants the connection resumed after the reply, not before.
+        // NOTE: libevhtp requires that the connection is resumed after the reply, not before.
         evhtp_request_resume(this->request);
     }
 }
--- a/Libraries/LibHttp/HttpReply.h
+++ b/Libraries/LibHttp/HttpReply.h
@@ -13,65 +13,65 @@
 {
 
 /**
- * The answer to one request. It may be given long after the request came, or before its whole body has come, and is
- * dropped if the caller has hung up by then. Used on the server's loop only.
+ * The response to one request. It may be sent long after the request arrived, or before its whole body has arrived, and is
+ * discarded if the caller has disconnected. Used on the server's event loop only.
  */
 class HttpReply
 {
 public:
-    /** What the server sets for one reply. */
+    /** Settings of one reply, made by the server. */
     struct Options
     {
-        /** Whether the connection is closed after this answer. */
+        /** Whether the connection is closed after this response. */
         bool isLast = false;
-        /** Whether the request's body is still to come. */
+        /** Whether the request body has not arrived completely. */
         bool isBodyPending = false;
-        /** What may wait to be read by the caller. */
+        /** Maximum size of response data that the caller has not read; 0 means no limit. */
         std::size_t unreadBytes = 0;
-        /** Closes the connection, after the current callback. */
+        /** Closes the connection after the current callback. */
         std::function<void()> close;
     };
 
     /**
-     * @param request libevhtp's request
-     * @param open counts the requests that are not yet answered
+     * @param request the request of libevhtp
+     * @param open number of requests without a complete response; shared by all replies of a server
      */
     HttpReply(evhtp_request *request, std::shared_ptr<std::size_t> open, Options options);
     ~HttpReply();
     HttpReply(const HttpReply &) = delete;
     HttpReply &operator=(const HttpReply &) = delete;
 
-    /** Send a whole response. */
+    /** Sends a complete response. */
     void send(const HttpResponse &response);
 
-    /** Start a response whose body comes in parts (chunked, RFC 9112 section 7.1). */
+    /** Starts a response whose body follows in chunks (RFC 9112, section 7.1). */
     void start(int status, const HttpHeaders &headers);
 
     /**
-     * Send the next part of the body. A caller that leaves too much unread loses its connection: the answer goes on
-     * without it, and is there to be read when it comes back.
+     * Sends the next chunk of the body. A caller that leaves too much unread is disconnected. The response is still
+     * produced, so that the caller can read it after it reconnects.
      */
     void write(std::string_view data);
 
-    /** End the body. */
+    /** Ends the body. */
     void finish();
 
-    /** Read no more of the request's body for now: what takes it is slow. */
+    /** Pauses reading of the request body, because its consumer is slow. */
     void pauseBody();
 
-    /** Go on reading the body. */
+    /** Resumes reading of the request body. */
     void resumeBody();
 
-    /** @return whether the caller is still connected, as far as is known. */
+    /** @return whether no disconnect of the caller has been detected. */
     bool isConnected() const;
 
     /** @return whether send() or start() was called. */
     bool isStarted() const;
 
-    /** The connection is gone: what is sent from now on is dropped. Called by the server. */
+    /** Detaches the reply from its closed connection; further output is discarded. Called by the server. */
     void disconnect();
 
-    /** The whole body has come. Called by the server. */
+    /** Records that the whole request body has arrived. Called by the server. */
     void endBody();
 
 private:
--- a/Libraries/LibHttp/HttpServer.cpp
+++ b/Libraries/LibHttp/HttpServer.cpp
@@ -23,10 +23,10 @@
 constexpr int statusBadRequest = 400;
 constexpr int statusTooLarge = 413;
 constexpr int statusHeadersTooLarge = 431;
-/** Watches that may find a connection's headers incomplete, or a refused body still coming, before it is closed. */
-constexpr int watchesUntilClosed = 2;
+/** Number of checks that may find incomplete headers or a refused body still arriving before the connection is closed. */
+constexpr int checksUntilClosed = 2;
 constexpr std::chrono::milliseconds sendCheckInterval{20};
-/** Headers that are taken beyond the bound, only so that the caller can be told. */
+/** Headers up to this multiple of the limits are still read, so that the caller can receive an error response. */
 constexpr std::size_t excessFactor = 4;
 
 int addHeader(evhtp_kv_t *header, void *headers)
@@ -42,8 +42,8 @@
 }
 
 /**
- * Read a request when its headers are in. libevhtp makes a form-encoded body the query of a request that had none, so
- * the query must be taken before the body comes.
+ * Reads the head of a request. libevhtp replaces an empty query with a form-encoded body, so the query must be read before
+ * the body arrives.
  */
 HttpRequest readHead(evhtp_request_t *request)
 {
@@ -77,15 +77,15 @@
     return count;
 }
 
-/** @return the length that the headers tell, 0 without one, or nothing if it is no number. */
+/** @return the value of Content-Length, 0 if absent, or nothing if it is not a number. */
 std::optional<std::uint64_t> lengthOf(const HttpHeaders &headers)
 {
     const std::string length = headerValue(headers, "Content-Length").value_or("0");
     return parseNumber(length);
 }
 
-/** @return whether all ends of the path must agree on where the body ends (RFC 9112 section 6.3). */
-bool isFramingClear(evhtp_request_t *request, const HttpHeaders &headers)
+/** @return whether the end of the body is unambiguous for every program on the path (RFC 9112, section 6.3). */
+bool isFramingUnambiguous(evhtp_request_t *request, const HttpHeaders &headers)
 {
     const std::size_t lengths = countOf(request->headers_in, "Content-Length");
     const std::size_t codings = countOf(request->headers_in, "Transfer-Encoding");
@@ -109,15 +109,15 @@
 
 } // namespace
 
-/** A connection and the request on it that is being read or answered. */
+/** A connection and its current request. */
 struct HttpServer::Connection
 {
     HttpServer *server = nullptr;
     evhtp_connection_t *handle = nullptr;
     std::size_t headerBytes = 0;
     std::size_t headerCount = 0;
-    /** How many watches have found the headers of one request incomplete, or a refused body still coming. */
-    int watches = 0;
+    /** Number of successive checks that found the headers incomplete or a refused body still arriving. */
+    int failedChecks = 0;
     bool isHeadRead = false;
     bool isBodyPending = false;
     bool isReplyMade = false;
@@ -126,15 +126,15 @@
     std::uint64_t bodyLimit = 0;
     HttpRequest head;
     std::weak_ptr<HttpReply> reply;
-    /** While the body is streamed. */
+    /** Set while the body is streamed. */
     BodyHooks hooks;
 
-    /** Forget the last request. */
+    /** Clears the state of the previous request. */
     void reset()
     {
         this->headerBytes = 0;
         this->headerCount = 0;
-        this->watches = 0;
+        this->failedChecks = 0;
         this->isHeadRead = false;
         this->isBodyPending = false;
         this->isReplyMade = false;
@@ -144,7 +144,7 @@
         this->hooks = {};
     }
 
-    /** @return whether the answer was given before the body came, so that the rest of the body is of no use. */
+    /** @return whether the response was started before the body arrived, so that the remaining body is discarded. */
     bool isAnsweredEarly() const
     {
         const std::shared_ptr<HttpReply> made = this->reply.lock();
@@ -185,9 +185,9 @@
         const HttpLimits &limits = connection->server->limits;
         connection->headerBytes += header->klen + header->vlen;
         ++connection->headerCount;
-        const bool isHopeless = connection->headerBytes > limits.headerBytes * excessFactor
+        const bool isExcessive = connection->headerBytes > limits.headerBytes * excessFactor
             || connection->headerCount > limits.headerCount * excessFactor;
-        return isHopeless ? EVHTP_RES_ERROR : EVHTP_RES_OK;
+        return isExcessive ? EVHTP_RES_ERROR : EVHTP_RES_OK;
     }
 
     static evhtp_res onHeaders(evhtp_request_t *request, evhtp_headers_t *, void *state)
@@ -195,7 +195,7 @@
         auto *const connection = static_cast<Connection *>(state);
         connection->head = readHead(request);
         connection->isHeadRead = true;
-        connection->watches = 0;
+        connection->failedChecks = 0;
         connection->isBodyPending = true;
         connection->server->admitBody(*connection, request);
         return EVHTP_RES_OK;
@@ -239,7 +239,7 @@
             HttpRequest read = std::move(connection.head);
             read.body = takeBody(request);
             const std::shared_ptr<HttpReply> reply = server->makeReply(connection, request);
-            runGuarded("request of a caller", [&] {
+            runGuarded("request from a caller", [&] {
                 server->handler(std::move(read), reply);
             });
         }
@@ -262,8 +262,8 @@
         if (const std::shared_ptr<HttpReply> open = connection->reply.lock()) {
             open->disconnect();
         }
-        HttpServer::lose(*connection);
-        // NOTE: libevhtp still tells of the request's end after this, so the state is freed later.
+        HttpServer::abortBody(*connection);
+        // NOTE: libevhtp still calls onRequestFinished after this, so the state is freed later.
         std::shared_ptr<Connection> finished = std::move(server->connections.at(handle));
         server->connections.erase(handle);
         server->loop.post([finished] {});
@@ -274,7 +274,7 @@
 HttpServer::HttpServer(EventLoop &loop, const Address &address, const Limits &limits, Handler handler, Admit admit)
     : loop(loop), limits(limits), handler(std::move(handler)), admit(std::move(admit)), server(evhtp_new(loop.base(), nullptr))
 {
-    // 100 Continue is sent here, after the length was found good.
+    // This class sends 100 Continue itself, after it has checked the length of the body.
     evhtp_disable_flag(this->server, EVHTP_FLAG_ENABLE_100_CONT);
     const timeval idle = intervalOf(this->limits.idleTimeout);
     evhtp_set_timeouts(this->server, &idle, &idle);
@@ -285,13 +285,13 @@
         throw std::runtime_error("cannot serve HTTP at " + address.toString());
     }
     this->listenAddress = boundAddress(evconnlistener_get_fd(this->server->server));
-    this->watch();
+    this->checkConnections();
 }
 
 HttpServer::~HttpServer()
 {
     *this->alive = false;
-    this->loop.cancel(this->watchTimer);
+    this->loop.cancel(this->checkTimer);
     while (!this->connections.empty()) {
         evhtp_connection_free(this->connections.begin()->first);
     }
@@ -352,7 +352,7 @@
     std::string body = R"({"error":{"reason":")";
     body.append(refusal.reason).append(R"(","message":")").append(refusal.message).append(R"(","run":"not_run"}})").append("\n");
     reply->send({refusal.status, {{"Content-Type", "application/json"}}, std::move(body)});
-    HttpServer::lose(connection);
+    HttpServer::abortBody(connection);
 }
 
 void HttpServer::admitBody(Connection &connection, evhtp_request *request)
@@ -362,7 +362,7 @@
             connection, request, {statusHeadersTooLarge, "headers_too_large", "there are too many or too large headers"});
         return;
     }
-    if (!isFramingClear(request, connection.head.headers)) {
+    if (!isFramingUnambiguous(request, connection.head.headers)) {
         this->refuse(connection, request, {statusBadRequest, "bad_framing", "the length of the body is not clear"});
         return;
     }
@@ -381,7 +381,7 @@
     }
 }
 
-void HttpServer::lose(Connection &connection)
+void HttpServer::abortBody(Connection &connection)
 {
     const BodyHooks hooks = std::exchange(connection.hooks, {});
     if (hooks.onAborted) {
@@ -416,20 +416,20 @@
     });
 }
 
-void HttpServer::watch()
+void HttpServer::checkConnections()
 {
     for (const auto &[handle, connection] : this->connections) {
         const evhtp_request_t *const request = handle->request;
         const bool isReadingHead
             = request != nullptr && (request->flags & EVHTP_REQ_FLAG_FINISHED) == 0 && !connection->isHeadRead;
         const bool isLingering = connection->isBodyPending && connection->isAnsweredEarly();
-        connection->watches = isReadingHead || isLingering ? connection->watches + 1 : 0;
-        if (connection->watches >= watchesUntilClosed) {
+        connection->failedChecks = isReadingHead || isLingering ? connection->failedChecks + 1 : 0;
+        if (connection->failedChecks >= checksUntilClosed) {
             this->closeLater(handle, connection->number);
         }
     }
-    this->watchTimer = this->loop.schedule(this->limits.headerTimeout, [this] {
-        this->watch();
+    this->checkTimer = this->loop.schedule(this->limits.headerTimeout, [this] {
+        this->checkConnections();
     });
 }
 
--- a/Libraries/LibHttp/HttpServer.h
+++ b/Libraries/LibHttp/HttpServer.h
@@ -20,85 +20,85 @@
 
 class EventLoop;
 
-/** What a server takes at most, so that no caller can make it hold more. */
+/** Limits that bound the memory and time that a caller can use. */
 struct HttpLimits
 {
-    /** Largest body of a request that is not admitted otherwise. */
+    /** Maximum size of a request body, unless the admission of the request sets another. */
     std::uint64_t bodyBytes = 0;
-    /** All headers of a request together. */
+    /** Maximum total size of the headers of a request. */
     std::size_t headerBytes = 65536;
     std::size_t headerCount = 100;
-    /** What may wait to be read by a caller before its connection is closed. */
+    /** Maximum size of response data that a caller has not read; beyond it the connection is closed. */
     std::size_t unreadBytes = 4194304;
-    /** How long a request's headers may take, from its first byte; found with a delay of up to the same time. */
+    /** Maximum time from the first byte of a request to the end of its headers; enforced with a delay of up to as long again. */
     std::chrono::milliseconds headerTimeout{10000};
-    /** How long a connection may be idle, a body may make no progress, and an answer may stay unread. */
+    /** Maximum time of a connection without a request, of a body without progress, and of a response that stays unread. */
     std::chrono::milliseconds idleTimeout{120000};
 };
 
-/** Gets a body as it arrives. Nothing more comes after onEnd or onAborted. */
+/** Callbacks for a body that is streamed. None is called after onEnd or onAborted. */
 struct BodyHooks
 {
     std::function<void(std::string_view data)> onData;
-    /** The whole body has come. */
+    /** The whole body has arrived. */
     std::function<void()> onEnd;
-    /** The caller hung up, or the body was longer than admitted; the caller has been told. */
+    /** The caller disconnected, or the body exceeded its limit and the caller received an error response. */
     std::function<void()> onAborted;
 };
 
-/** How one request's body is taken. */
+/** How the body of one request is received. */
 struct BodyAdmission
 {
-    /** Largest body taken. */
+    /** Maximum size of the body. */
     std::uint64_t bodyBytes = 0;
-    /** If set, the body is not collected: it goes to the hooks that this returns. */
+    /** If set, the body is not buffered but passed to the hooks that this function returns. */
     std::function<BodyHooks(HttpRequest head, std::shared_ptr<HttpReply> reply)> stream;
 };
 
-/** Serves HTTP/1.1 on one event loop, by libevhtp. */
+/** Serves HTTP/1.1 on one event loop with libevhtp. */
 class HttpServer
 {
 public:
-    /** Gets each whole request, and the handle to answer it by, now or later. */
+    /** Called with each complete request and its reply, which may be sent later. */
     using Handler = std::function<void(HttpRequest, std::shared_ptr<HttpReply>)>;
 
-    /** Decides, when a request's headers are in, how its body is taken. */
+    /** Decides how the body of a request is received; called once the headers have arrived. */
     using Admit = std::function<BodyAdmission(const HttpRequest &head)>;
 
     using Limits = HttpLimits;
 
     /**
-     * @param address where to listen; port 0 takes a free one
-     * @param admit if set, asked for each request; else limits.bodyBytes holds for all
-     * @throws std::runtime_error if it cannot listen there
+     * @param address where to listen; port 0 selects a free port
+     * @param admit called for each request; if not set, limits.bodyBytes applies to all requests
+     * @throws std::runtime_error if the address cannot be bound
      */
     HttpServer(EventLoop &loop, const Address &address, const Limits &limits, Handler handler, Admit admit = {});
     ~HttpServer();
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    /** @return where it listens. */
+    /** @return the address on which the server listens. */
     const Address &address() const;
 
     /**
-     * Close each connection after its next answer, and say so in it (Connection: close, RFC 9112 section 9.6). New
-     * connections are taken as before.
+     * Closes each connection after its next response, which carries `Connection: close` (RFC 9112, section 9.6). New
+     * connections are still accepted.
      */
     void closeAfterAnswers();
 
-    /** Take no new connections, and close each open one after its next answer. */
+    /** Stops accepting connections and closes each open one after its next response. */
     void drain();
 
-    /** @return requests that were taken and not yet fully answered. */
+    /** @return the number of accepted requests without a complete response. */
     std::size_t openRequests() const;
 
-    /** What libevhtp calls back; not for use elsewhere. */
+    /** Callbacks for libevhtp; internal. */
     struct Callbacks;
 
 private:
     struct Connection;
 
-    /** Why a request is answered before its body has come. */
+    /** Error response that is sent before the request body has arrived. */
     struct HeadRefusal
     {
         int status = 0;
@@ -109,10 +109,10 @@
     std::shared_ptr<HttpReply> makeReply(Connection &connection, evhtp_request *request);
     void refuse(Connection &connection, evhtp_request *request, const HeadRefusal &refusal);
     void admitBody(Connection &connection, evhtp_request *request);
-    static void lose(Connection &connection);
+    static void abortBody(Connection &connection);
     void closeLater(evhtp_connection *handle, std::uint64_t number);
     void closeWhenSent(evhtp_connection *handle, std::uint64_t number);
-    void watch();
+    void checkConnections();
 
     EventLoop &loop;
     Limits limits;
@@ -122,7 +122,7 @@
     Address listenAddress;
     bool draining = false;
     bool closing = false;
-    std::uint64_t watchTimer = 0;
+    std::uint64_t checkTimer = 0;
     std::uint64_t lastConnection = 0;
     std::unordered_map<evhtp_connection *, std::unique_ptr<Connection>> connections;
     std::shared_ptr<std::size_t> open = std::make_shared<std::size_t>(0);
--- a/Libraries/LibHttp/HttpTypes.cpp
+++ b/Libraries/LibHttp/HttpTypes.cpp
@@ -24,29 +24,29 @@
 
 HttpHeaders forwardedHeaders(const HttpHeaders &headers)
 {
-    static constexpr std::array<std::string_view, 15> passed{"Cache-Control",
-                                                             "Content-Disposition",
-                                                             "Content-Encoding",
-                                                             "Content-Language",
-                                                             "Content-Location",
-                                                             "Content-Type",
-                                                             "ETag",
-                                                             "Expires",
-                                                             "Last-Modified",
-                                                             "Link",
-                                                             "Location",
-                                                             "Retry-After",
-                                                             "Vary",
-                                                             "Warning",
-                                                             "WWW-Authenticate"};
-    HttpHeaders kept;
-    for (const std::string_view name : passed) {
+    static constexpr std::array<std::string_view, 15> forwardedNames{"Cache-Control",
+                                                                     "Content-Disposition",
+                                                                     "Content-Encoding",
+                                                                     "Content-Language",
+                                                                     "Content-Location",
+                                                                     "Content-Type",
+                                                                     "ETag",
+                                                                     "Expires",
+                                                                     "Last-Modified",
+                                                                     "Link",
+                                                                     "Location",
+                                                                     "Retry-After",
+                                                                     "Vary",
+                                                                     "Warning",
+                                                                     "WWW-Authenticate"};
+    HttpHeaders forwarded;
+    for (const std::string_view name : forwardedNames) {
         const auto found = headers.find(name);
         if (found != headers.end()) {
-            kept.insert(*found);
+            forwarded.insert(*found);
         }
     }
-    return kept;
+    return forwarded;
 }
 
 std::string HttpRequest::target() const
--- a/Libraries/LibHttp/HttpTypes.h
+++ b/Libraries/LibHttp/HttpTypes.h
@@ -10,7 +10,7 @@
 namespace Dogwoodkeel
 {
 
-/** Orders header names without regard to case (RFC 9110, section 5.1). */
+/** Orders header names, ignoring case (RFC 9110, section 5.1). */
 struct HeaderNameLess
 {
     using is_transparent = void;
@@ -23,29 +23,29 @@
 std::optional<std::string> headerValue(const HttpHeaders &headers, std::string_view name);
 
 /**
- * @return the headers of an endpoint's answer that mean something to the caller: what describes the content, caching and
- * when to come back. All else is between the system and the endpoint (RFC 9110 section 7.6.1) or is set anew.
+ * @return the headers of an endpoint's response that are forwarded to the caller: those that describe the content, caching
+ * and retries. All others are hop-by-hop (RFC 9110, section 7.6.1) or are set by the system.
  */
 HttpHeaders forwardedHeaders(const HttpHeaders &headers);
 
-/** A whole request. */
+/** A complete request. */
 struct HttpRequest
 {
     std::string method;
     /** Path without the query. */
     std::string path;
-    /** What stands behind the question mark, undecoded. */
+    /** The part after the question mark, not decoded. */
     std::string query;
     HttpHeaders headers;
     std::string body;
-    /** At a server: where the connection comes from. */
+    /** Set by a server: remote address of the connection. */
     Address peer;
 
-    /** @return path and query, as in the request line. */
+    /** @return path and query as in the request line. */
     std::string target() const;
 };
 
-/** A whole response. */
+/** A complete response. */
 struct HttpResponse
 {
     int status = 0;
@@ -54,7 +54,7 @@
 };
 
 /**
- * @param query the part behind the question mark
+ * @param query the part after the question mark
  * @param name of the parameter
  * @return its decoded value, or nothing
  */
--- a/Libraries/LibHttp/ServerSentEvents.h
+++ b/Libraries/LibHttp/ServerSentEvents.h
@@ -11,15 +11,16 @@
 class ServerSentEvents
 {
 public:
-    /** @param limit largest event taken, in bytes: a longer one makes the stream broken */
+    /** @param limit maximum size of an event in bytes; a larger one makes the stream invalid */
     explicit ServerSentEvents(std::size_t limit);
 
     /**
-     * @param bytes what arrived next
-     * @return the data of the events that are now whole
+     * @param bytes the next part of the stream
+     * @return the data of the events that are now complete
      */
     std::vector<std::string> feed(std::string_view bytes);
 
+    /** @return whether an event exceeded the limit. */
     bool isBroken() const;
 
     /** @return an event that carries the data. */
--- a/Libraries/LibProxy/CallerConnection.cpp
+++ b/Libraries/LibProxy/CallerConnection.cpp
@@ -18,9 +18,9 @@
 namespace
 {
 
-/** Requests that a caller sends ahead wait unread beyond this, so that it cannot make the node hold more. */
+/** Maximum size of buffered input. It bounds the memory that pipelined requests of one caller can use. */
 constexpr std::size_t readAheadBytes = 65536;
-/** How long a caller may take to close its side after the last answer; enough for a round trip to any caller. */
+/** How long to wait for a caller to close its side after the last response; longer than any round trip. */
 constexpr std::chrono::milliseconds lingerTime{1000};
 
 } // namespace
@@ -56,12 +56,12 @@
 
 void CallerConnection::checkTimeouts()
 {
-    const std::chrono::nanoseconds quiet = this->clock.now() - this->lastProgress;
+    const std::chrono::nanoseconds sinceProgress = this->clock.now() - this->lastProgress;
     const CallerLimits &limits = this->hooks.limits();
     const bool isReading = this->state == State::ReadingBody || (this->state == State::AwaitingHead && this->isBusy());
-    const bool isSlow = isReading && quiet > limits.headTimeout;
-    const bool isIdle = this->state == State::AwaitingHead && quiet > limits.idleTimeout;
-    const bool hasLingered = this->state == State::Closing && quiet > std::max(limits.headTimeout, lingerTime);
+    const bool isSlow = isReading && sinceProgress > limits.headTimeout;
+    const bool isIdle = this->state == State::AwaitingHead && sinceProgress > limits.idleTimeout;
+    const bool hasLingered = this->state == State::Closing && sinceProgress > std::max(limits.headTimeout, lingerTime);
     if (isSlow || isIdle || hasLingered) {
         this->close();
     }
@@ -77,11 +77,11 @@
 void CallerConnection::onReadable(bufferevent *, void *self)
 {
     auto *const connection = static_cast<CallerConnection *>(self);
-    const bool isHandled = runGuarded("bytes of a caller", [connection] {
+    const bool isHandled = runGuarded("data from a caller", [connection] {
         connection->advance();
     });
     if (!isHandled) {
-        runGuarded("end of a caller's connection", [connection] {
+        runGuarded("closing a caller connection", [connection] {
             connection->close();
         });
     }
@@ -91,7 +91,7 @@
 {
     auto *const connection = static_cast<CallerConnection *>(self);
     if (connection->state == State::Closing && !std::exchange(connection->isShutDown, true)) {
-        // Closing at once would reset the connection if the caller has sent more, and a reset can overtake the answer.
+        // If unread input remains, closing now would reset the connection, and the caller could lose the response.
         ::shutdown(bufferevent_getfd(stream), SHUT_WR);
         connection->lastProgress = connection->clock.now();
     }
@@ -99,8 +99,8 @@
 
 void CallerConnection::onEvent(bufferevent *, short, void *self)
 {
-    // Both ends of file and errors: a caller that closed its side does not wait for an answer any more.
-    runGuarded("end of a caller's connection", [self] {
+    // Handles errors and end of file alike: a caller that closed its side no longer waits for a response.
+    runGuarded("closing a caller connection", [self] {
         static_cast<CallerConnection *>(self)->close();
     });
 }
@@ -191,7 +191,7 @@
 
 void CallerConnection::refuse(int status, std::string_view reason)
 {
-    // Where the rest of what was sent begins and ends is not known, so nothing more is read from this connection.
+    // The end of the refused request is unknown, so no further request can be read from this connection.
     this->isLast = true;
     this->state = State::Answering;
     HeaderList headers;
@@ -253,7 +253,7 @@
 {
     this->exchange.reset();
     this->lastProgress = this->clock.now();
-    // What has been written still goes out; the missing last chunk shows the caller that more was to come.
+    // Data already written is still sent. The missing last chunk marks the response as incomplete.
     const bool isSent = this->stream == nullptr || evbuffer_get_length(bufferevent_get_output(this->stream)) == 0;
     if (isSent) {
         this->close();
--- a/Libraries/LibProxy/CallerConnection.h
+++ b/Libraries/LibProxy/CallerConnection.h
@@ -15,36 +15,38 @@
 namespace Dogwoodkeel
 {
 
-/** What callers may send, and how long they may take or stay idle. */
+/** Size and time limits for the connections of callers. */
 struct CallerLimits
 {
+    /** Maximum size of a request's start line and headers. */
     std::size_t headBytes = 16384;
+    /** Maximum size of a request body. */
     std::size_t bodyBytes = 4194304;
-    /** From a request's first byte to its head's end, and between two parts of its body. */
+    /** Maximum time from the first byte of a request to the end of its head, and between two parts of its body. */
     std::chrono::milliseconds headTimeout{3000};
-    /** How long a connection is kept without a request. */
+    /** How long a connection without a request stays open. */
     std::chrono::milliseconds idleTimeout{15000};
-    /** What may wait to be read by a caller before its connection is closed. */
+    /** Maximum size of unsent response data; a caller that reads too slowly and exceeds it is disconnected. */
     std::size_t unreadBytes = 4194304;
 };
 
-/** Serves the requests of one connection, one after the other. */
+/** Serves the requests of one connection, one at a time. */
 class CallerConnection
 {
 public:
-    /** What the owner of the connections is asked and told. */
+    /** Callbacks to the server that owns the connection. */
     struct Hooks
     {
         std::function<const CallerLimits &()> limits;
         std::function<bool()> isClosing;
         std::function<void(const std::shared_ptr<CallerExchange> &)> onRequest;
-        /** The connection is closed; the owner frees it later, not from inside this call. */
+        /** Called when the connection is closed. The owner must not destroy it within this call. */
         std::function<void()> onClosed;
     };
 
     /**
-     * @param stream the accepted socket, taken over
-     * @param hooks shared by all connections of a server; onClosed is this connection's own
+     * @param stream the accepted socket; the connection takes ownership
+     * @param hooks shared by all connections of a server, except onClosed, which belongs to this connection
      */
     CallerConnection(const Clock &clock, bufferevent *stream, Hooks hooks);
     ~CallerConnection();
@@ -54,10 +56,10 @@
     /** @return whether a request is being read or answered. */
     bool isBusy() const;
 
-    /** Close the connection if it has been idle, or slow to send a request, for too long. */
+    /** Closes the connection if it has exceeded one of the time limits. */
     void checkTimeouts();
 
-    /** Close the connection if no request is being read or answered. */
+    /** Closes the connection if no request is being read or answered. */
     void closeIfIdle();
 
 private:
@@ -67,7 +69,7 @@
         AwaitingHead,
         ReadingBody,
         Answering,
-        /** The last answer is being sent; what the caller still sends is dropped. */
+        /** The last response is being sent; further input is discarded. */
         Closing,
         Closed,
     };
--- a/Libraries/LibProxy/CallerExchange.cpp
+++ b/Libraries/LibProxy/CallerExchange.cpp
@@ -32,17 +32,17 @@
     return this->started;
 }
 
-void CallerExchange::onDisconnect(std::function<void()> gone)
+void CallerExchange::onDisconnect(std::function<void()> handler)
 {
-    this->gone = std::move(gone);
+    this->disconnectHandler = std::move(handler);
 }
 
 void CallerExchange::send(int status, const HeaderList &headers, std::string_view body)
 {
-    if (CallerConnection *const answering = std::exchange(this->connection, nullptr)) {
+    if (CallerConnection *const active = std::exchange(this->connection, nullptr)) {
         this->started = true;
-        this->gone = nullptr;
-        answering->sendWhole(status, headers, body);
+        this->disconnectHandler = nullptr;
+        active->sendWhole(status, headers, body);
     }
 }
 
@@ -62,25 +62,25 @@
 
 void CallerExchange::end()
 {
-    if (CallerConnection *const answering = std::exchange(this->connection, nullptr)) {
-        this->gone = nullptr;
-        answering->sendEnd();
+    if (CallerConnection *const active = std::exchange(this->connection, nullptr)) {
+        this->disconnectHandler = nullptr;
+        active->sendEnd();
     }
 }
 
 void CallerExchange::abort()
 {
-    if (CallerConnection *const answering = std::exchange(this->connection, nullptr)) {
-        this->gone = nullptr;
-        answering->abort();
+    if (CallerConnection *const active = std::exchange(this->connection, nullptr)) {
+        this->disconnectHandler = nullptr;
+        active->abort();
     }
 }
 
 void CallerExchange::disconnect()
 {
     this->connection = nullptr;
-    if (const std::function<void()> tell = std::exchange(this->gone, nullptr)) {
-        tell();
+    if (const std::function<void()> handler = std::exchange(this->disconnectHandler, nullptr)) {
+        handler();
     }
 }
 
--- a/Libraries/LibProxy/CallerExchange.h
+++ b/Libraries/LibProxy/CallerExchange.h
@@ -11,7 +11,7 @@
 
 class CallerConnection;
 
-/** One request of a caller, and the way to answer it. After the caller has gone, answering does nothing. */
+/** One request of a caller and its response. Once the caller has disconnected, sending has no effect. */
 class CallerExchange
 {
 public:
@@ -21,43 +21,43 @@
 
     const MessageHead &head() const;
 
-    /** @return the whole body, without its framing. */
+    /** @return the complete request body, without its framing. */
     const std::string &body() const;
 
-    /** @return whether the caller closed its connection, or the answer is complete or broken off. */
+    /** @return whether the caller has disconnected, or the response is complete or aborted. */
     bool isOver() const;
 
-    /** @return whether the answer's head has been sent. */
+    /** @return whether the response head has been sent. */
     bool isStarted() const;
 
-    /** @param gone told once if the caller closes its connection before the answer is complete */
-    void onDisconnect(std::function<void()> gone);
+    /** @param handler called once if the caller disconnects before the response is complete */
+    void onDisconnect(std::function<void()> handler);
 
-    /** Send a whole answer. */
+    /** Sends a complete response. */
     void send(int status, const HeaderList &headers, std::string_view body);
 
-    /** Send the head of an answer whose body follows in parts of unknown number. */
+    /** Sends the head of a response whose body follows in chunks. */
     void begin(int status, const HeaderList &headers);
 
-    /** Send the next part of the body. */
+    /** Sends the next chunk of the body. */
     void write(std::string_view data);
 
-    /** Complete the body. */
+    /** Ends the body. */
     void end();
 
-    /** Close the connection with the answer incomplete, so that the caller sees that it is. */
+    /** Closes the connection without ending the body, so that the caller detects an incomplete response. */
     void abort();
 
 private:
     friend class CallerConnection;
 
-    /** The connection is closed. */
+    /** Detaches the exchange from its closed connection and calls the disconnect handler. */
     void disconnect();
 
     CallerConnection *connection;
     MessageHead requestHead;
     std::string requestBody;
-    std::function<void()> gone;
+    std::function<void()> disconnectHandler;
     bool started = false;
 };
 
--- a/Libraries/LibProxy/CallerServer.cpp
+++ b/Libraries/LibProxy/CallerServer.cpp
@@ -21,11 +21,11 @@
 {
 
 constexpr int listenBacklog = 1024;
-/** How often idle and slow connections are looked for; the limits they are held to are seconds. */
+/** How often connections are checked for timeouts, which are of the order of seconds. */
 constexpr std::chrono::milliseconds sweepInterval{500};
 /**
- * A caller whose VM lost power or its network never acknowledges what it is sent: without a bound its connection, and what
- * waits in it, would stay for many minutes. Longer than any pause that a caller on a working network makes.
+ * TCP user timeout. A caller whose VM lost power or network access never acknowledges data; without this limit its
+ * connection and the buffered data would be kept for many minutes. Longer than any pause on a working network.
  */
 constexpr unsigned int unacknowledgedMilliseconds = 10000;
 
@@ -96,7 +96,7 @@
 
 void CallerServer::onAccept(evconnlistener *, int descriptor, sockaddr *, int, void *self)
 {
-    runGuarded("new connection of a caller", [self, descriptor] {
+    runGuarded("accepting a caller connection", [self, descriptor] {
         static_cast<CallerServer *>(self)->accept(descriptor);
     });
 }
--- a/Libraries/LibProxy/CallerServer.h
+++ b/Libraries/LibProxy/CallerServer.h
@@ -16,35 +16,35 @@
 namespace Dogwoodkeel
 {
 
-/** Takes the connections of callers on one event loop. */
+/** Accepts and serves the connections of callers on one event loop. */
 class CallerServer
 {
 public:
     using Handler = std::function<void(const std::shared_ptr<CallerExchange> &)>;
 
     /**
-     * @param address where to listen; port 0 takes a free one
-     * @param handler gets each whole request
-     * @throws std::runtime_error if it cannot listen there
+     * @param address where to listen; port 0 selects a free port
+     * @param handler called with each complete request
+     * @throws std::runtime_error if the address cannot be bound
      */
     CallerServer(EventLoop &loop, const Clock &clock, const Address &address, const CallerLimits &limits, Handler handler);
     ~CallerServer();
     CallerServer(const CallerServer &) = delete;
     CallerServer &operator=(const CallerServer &) = delete;
 
-    /** @return where it listens. */
+    /** @return the address on which the server listens. */
     const Address &address() const;
 
-    /** Change the limits; they hold for open connections too, but for the size of a head. */
+    /** Changes the limits. They apply to open connections too, except the maximum size of a head. */
     void setLimits(const CallerLimits &limits);
 
-    /** From now on tell each caller with its answer that the connection closes; new connections are still taken. */
+    /** Closes each connection after its next response, which carries `Connection: close`. New connections are still accepted. */
     void closeAfterAnswers();
 
-    /** Take no new connections, and close those that are idle. */
+    /** Stops accepting connections and closes idle ones. */
     void stopAccepting();
 
-    /** @return connections on which a request is being read or answered. */
+    /** @return the number of connections on which a request is being read or answered. */
     std::size_t busyConnections() const;
 
 private:
--- a/Libraries/LibProxy/ConnectProbe.cpp
+++ b/Libraries/LibProxy/ConnectProbe.cpp
@@ -54,7 +54,7 @@
     const sockaddr_in address = socketAddress(target);
     bufferevent_setcb(attempt.stream, nullptr, nullptr, &onEvent, &attempt);
     const int failed = bufferevent_socket_connect(attempt.stream, reinterpret_cast<const sockaddr *>(&address), sizeof(address));
-    // No descriptor could be had: that tells nothing of the other side.
+    // No socket could be created locally, so the state of the other side is unknown.
     attempt.timer = this->loop.schedule(failed != 0 ? std::chrono::milliseconds(0) : timeout, [this, number] {
         this->finish(number, ConnectOutcome::Unanswered);
     });
@@ -65,7 +65,7 @@
     const int error = EVUTIL_SOCKET_ERROR();
     const Attempt &ended = *static_cast<Attempt *>(attempt);
     const bool isConnected = (what & BEV_EVENT_CONNECTED) != 0;
-    runGuarded("outcome of a probe", [&ended, isConnected, error] {
+    runGuarded("result of a connection probe", [&ended, isConnected, error] {
         ended.probe->finish(ended.number, isConnected ? ConnectOutcome::Connected : outcomeOfError(error));
     });
 }
--- a/Libraries/LibProxy/ConnectProbe.h
+++ b/Libraries/LibProxy/ConnectProbe.h
@@ -15,17 +15,17 @@
 namespace Dogwoodkeel
 {
 
-/** What an attempt to connect shows of the process that listened at an address. */
+/** Result of an attempt to connect to an address. */
 enum class ConnectOutcome {
-    /** Something listens there. */
+    /** A process listens at the address. */
     Connected,
-    /** The VM answers, and nothing listens there. */
+    /** The VM is reachable, but no process listens at the address. */
     Refused,
-    /** No answer in time, or no path: nothing is known. */
+    /** Timeout or no network route: the state of the process is unknown. */
     Unanswered,
 };
 
-/** Connects to servers and closes the connections at once. Lives on one event loop. */
+/** Checks whether servers accept connections; closes each connection immediately. Used on one event loop only. */
 class ConnectProbe
 {
 public:
@@ -36,7 +36,7 @@
     ConnectProbe(const ConnectProbe &) = delete;
     ConnectProbe &operator=(const ConnectProbe &) = delete;
 
-    /** Try to connect; the outcome never comes from inside this call, nor after this object is gone. */
+    /** Starts an attempt to connect. `done` is never called within this call, nor after the probe is destroyed. */
     void start(const Address &target, std::chrono::milliseconds timeout, Done done);
 
 private:
--- a/Libraries/LibProxy/HeaderList.cpp
+++ b/Libraries/LibProxy/HeaderList.cpp
@@ -72,13 +72,13 @@
         if (!isSameToken(field.name, name)) {
             continue;
         }
-        std::string_view rest = field.value;
-        while (!rest.empty()) {
-            const std::size_t comma = std::min(rest.find(','), rest.size());
-            if (isSameToken(trimmed(rest.substr(0, comma)), token)) {
+        std::string_view remainder = field.value;
+        while (!remainder.empty()) {
+            const std::size_t comma = std::min(remainder.find(','), remainder.size());
+            if (isSameToken(trimmed(remainder.substr(0, comma)), token)) {
                 return true;
             }
-            rest.remove_prefix(std::min(comma + 1, rest.size()));
+            remainder.remove_prefix(std::min(comma + 1, remainder.size()));
         }
     }
     return false;
--- a/Libraries/LibProxy/HeaderList.h
+++ b/Libraries/LibProxy/HeaderList.h
@@ -16,36 +16,36 @@
     std::string value;
 };
 
-/** @return whether two header names or tokens are the same without regard to case (RFC 9110, section 5.1). */
+/** @return whether two header names or tokens are equal, ignoring case (RFC 9110, section 5.1). */
 bool isSameToken(std::string_view left, std::string_view right);
 
-/** @return the text without the spaces and tabs around it. */
+/** @return the text without leading and trailing spaces and tabs. */
 std::string_view trimmed(std::string_view text);
 
-/** The header lines of a message in their order, repeated names included, so that they can be passed on unchanged. */
+/** The header lines of a message. Keeps their order and repeated names, so that they can be forwarded unchanged. */
 class HeaderList
 {
 public:
     void add(std::string name, std::string value);
 
-    /** @return the value of the first line of that name, or nothing. */
+    /** @return the value of the first line with the name, or nothing. */
     std::optional<std::string_view> find(std::string_view name) const;
 
-    /** @return how many lines have that name. */
+    /** @return the number of lines with the name. */
     std::size_t count(std::string_view name) const;
 
-    /** @return whether a comma-separated list header holds a token. */
+    /** @return whether a comma-separated list header contains a token. */
     bool hasToken(std::string_view name, std::string_view token) const;
 
     const std::vector<HeaderField> &fields() const;
 
     /**
-     * @return the lines that a proxy passes on: all but those that concern one connection only (RFC 9110, section 7.6.1)
-     * and those that tell the body's framing, which is set anew.
+     * @return the lines that a proxy forwards: all except the hop-by-hop headers (RFC 9110, section 7.6.1) and the headers
+     * that define the framing of the body, which the proxy sets itself.
      */
     HeaderList forwarded() const;
 
-    /** @return the lines as they stand in a message, each with its line end. */
+    /** @return the lines in wire format, each with its line end. */
     std::string toText() const;
 
 private:
--- a/Libraries/LibProxy/HttpStatus.h
+++ b/Libraries/LibProxy/HttpStatus.h
@@ -3,8 +3,8 @@
 namespace Dogwoodkeel
 {
 
-// Status codes of HTTP (RFC 9110, RFC 6585) by name.
-/** Whatever is below it is not the final answer to a request. */
+// HTTP status codes (RFC 9110, RFC 6585).
+/** Lower status codes are interim responses. */
 inline constexpr int firstFinalStatus = 200;
 inline constexpr int statusOk = 200;
 inline constexpr int statusAccepted = 202;
@@ -26,7 +26,7 @@
 inline constexpr int statusGatewayTimeout = 504;
 inline constexpr int statusInsufficientStorage = 507;
 
-/** @return whether a status code tells of success (RFC 9110, section 15.3). */
+/** @return whether a status code means success (RFC 9110, section 15.3). */
 constexpr bool isSuccess(int status)
 {
     constexpr int firstRedirection = 300;
--- a/Libraries/LibProxy/MessageReader.cpp
+++ b/Libraries/LibProxy/MessageReader.cpp
@@ -17,11 +17,11 @@
 
 constexpr std::string_view headEnd = "\r\n\r\n";
 constexpr std::string_view tokenCharacters = "!#$%&'*+-.^_`|~0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz";
-/** Opens the parser for the chunks of a body: it decodes them only behind a head that announces them. */
+/** Fed to the parser before a chunked body, because it decodes chunks only after a head that announces them. */
 constexpr std::string_view chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 constexpr int stopParsing = 1;
 
-/** What the parser's hooks collect. */
+/** Output of the parser's hooks. */
 struct Collected
 {
     HeaderList *headers = nullptr;
@@ -49,7 +49,7 @@
 int onHeaderValue(htparser *parser, const char *text, std::size_t size)
 {
     Collected &collected = collectedOf(parser);
-    // A value without a name continues the line before: obsolete folding, read differently by different programs.
+    // A value without a name continues the previous line (obsolete line folding), which implementations parse differently.
     collected.isFolded = collected.isFolded || !collected.isNamePending;
     collected.isNamePending = false;
     collected.headers->add(collected.name, std::string(trimmed({text, size})));
@@ -102,13 +102,13 @@
     return !text.empty() && text.find_first_not_of(tokenCharacters) == std::string_view::npos;
 }
 
-/** @return whether every line ends with CR LF and there is no NUL: other ends are read differently by different programs. */
-bool hasCleanLines(std::string_view text)
+/** @return whether every line ends with CR LF and there is no NUL. Implementations parse other line ends differently. */
+bool hasValidLineEnds(std::string_view text)
 {
-    for (std::size_t place = 0; place < text.size(); ++place) {
-        const char character = text[place];
-        const bool isBareFeed = character == '\n' && (place == 0 || text[place - 1] != '\r');
-        const bool isBareReturn = character == '\r' && (place + 1 == text.size() || text[place + 1] != '\n');
+    for (std::size_t position = 0; position < text.size(); ++position) {
+        const char character = text[position];
+        const bool isBareFeed = character == '\n' && (position == 0 || text[position - 1] != '\r');
+        const bool isBareReturn = character == '\r' && (position + 1 == text.size() || text[position + 1] != '\n');
         if (isBareFeed || isBareReturn || character == '\0') {
             return false;
         }
@@ -142,7 +142,7 @@
 
 ReadProgress MessageReader::readHead(evbuffer *input)
 {
-    // An empty line before a message is passed over (RFC 9112, section 2.2).
+    // Empty lines before a message are skipped (RFC 9112, section 2.2).
     while (evbuffer_get_length(input) >= 2) {
         const auto *const start = reinterpret_cast<const char *>(evbuffer_pullup(input, 2));
         if (std::string_view(start, 2) != "\r\n") {
@@ -166,7 +166,7 @@
 ReadProgress MessageReader::parseHead(const std::string &text)
 {
     const std::string_view startLine(text.data(), text.find("\r\n"));
-    if (!hasCleanLines(text) || !this->parseStartLine(startLine)) {
+    if (!hasValidLineEnds(text) || !this->parseStartLine(startLine)) {
         return ReadProgress::Malformed;
     }
     Collected collected;
@@ -179,11 +179,11 @@
     if (read != text.size() || !isStopped || collected.isFolded) {
         return ReadProgress::Malformed;
     }
-    const bool areNamesClean = std::ranges::all_of(this->current.headers.fields(), [](const HeaderField &field) {
+    const bool areNamesValid = std::ranges::all_of(this->current.headers.fields(), [](const HeaderField &field) {
         return isToken(field.name);
     });
     const bool isHttp10 = startLine.find("HTTP/1.0") != std::string_view::npos;
-    return areNamesClean && this->findFraming(isHttp10) ? ReadProgress::Done : ReadProgress::Malformed;
+    return areNamesValid && this->findFraming(isHttp10) ? ReadProgress::Done : ReadProgress::Malformed;
 }
 
 bool MessageReader::parseStartLine(std::string_view line)
@@ -201,8 +201,8 @@
     const std::string_view version = line.substr(last + 1);
     this->current.method = line.substr(0, first);
     this->current.target = first < last ? line.substr(first + 1, last - first - 1) : std::string_view();
-    const bool isClean = this->current.target.find(' ') == std::string::npos && this->current.target.starts_with("/");
-    return isToken(this->current.method) && isClean && (version == "HTTP/1.1" || version == "HTTP/1.0");
+    const bool isTargetValid = this->current.target.find(' ') == std::string::npos && this->current.target.starts_with("/");
+    return isToken(this->current.method) && isTargetValid && (version == "HTTP/1.1" || version == "HTTP/1.0");
 }
 
 bool MessageReader::findFraming(bool isHttp10)
@@ -210,8 +210,8 @@
     MessageHead &head = this->current;
     const std::size_t lengths = head.headers.count("Content-Length");
     const std::size_t codings = head.headers.count("Transfer-Encoding");
-    const bool wantsKept = head.headers.hasToken("Connection", "keep-alive");
-    head.isPersistent = !head.headers.hasToken("Connection", "close") && (!isHttp10 || wantsKept);
+    const bool hasKeepAlive = head.headers.hasToken("Connection", "keep-alive");
+    head.isPersistent = !head.headers.hasToken("Connection", "close") && (!isHttp10 || hasKeepAlive);
     if (lengths + codings > 1 || (codings > 0 && isHttp10)) {
         return false;
     }
@@ -226,8 +226,8 @@
         }
         head.framing = BodyFraming::Chunked;
         htparser_init(this->parser.get(), htp_type_response);
-        htparse_hooks none{};
-        htparser_run(this->parser.get(), &none, chunkedHead.data(), chunkedHead.size());
+        htparse_hooks noHooks{};
+        htparser_run(this->parser.get(), &noHooks, chunkedHead.data(), chunkedHead.size());
         return true;
     }
     if (lengths == 1) {
@@ -280,7 +280,7 @@
     const std::size_t read = htparser_run(this->parser.get(), &hooks, bytes, size);
     const htpparse_error error = htparser_get_error(this->parser.get());
     htparser_set_userdata(this->parser.get(), nullptr);
-    // NOTE: This parser loses its place behind a trailer, so a body with one counts as malformed.
+    // NOTE: The parser cannot determine the end of a message with trailers, so such a body is treated as malformed.
     if (collected.hasTrailer) {
         return ReadProgress::Malformed;
     }
--- a/Libraries/LibProxy/MessageReader.h
+++ b/Libraries/LibProxy/MessageReader.h
@@ -13,47 +13,47 @@
 namespace Dogwoodkeel
 {
 
-/** How the end of a message's body is found (RFC 9112, section 6.3). */
+/** How the end of a message body is determined (RFC 9112, section 6.3). */
 enum class BodyFraming {
     None,
     Length,
     Chunked,
-    /** A response whose body ends with its connection. */
+    /** The body of a response ends when the connection closes. */
     UntilClose,
 };
 
 /** Start line and headers of a message. */
 struct MessageHead
 {
-    /** Of a request. */
+    /** Requests only. */
     std::string method;
-    /** Of a request: path and query as they were sent. */
+    /** Requests only: path and query as sent. */
     std::string target;
-    /** Of a response. */
+    /** Responses only. */
     int status = 0;
     HeaderList headers;
     BodyFraming framing = BodyFraming::None;
-    /** With BodyFraming::Length. */
+    /** Only with BodyFraming::Length. */
     std::uint64_t length = 0;
     /** Whether the connection may carry another message after this one. */
     bool isPersistent = true;
 };
 
-/** What came of reading. */
+/** Result of a read. */
 enum class ReadProgress {
-    /** All that has arrived was taken; more has to come. */
+    /** More input is required. */
     NeedMore,
     Done,
-    /** The bytes are no message, or it is not clear where it ends. */
+    /** The input is not a valid message, or the end of the message is ambiguous. */
     Malformed,
-    /** The head is larger than allowed. */
+    /** The head exceeds the maximum size. */
     TooLarge,
 };
 
 /**
- * Reads HTTP/1.1 messages out of a connection's buffer, by libevhtp's parser. It is strict: a message whose end the two
- * sides could see at different places is malformed, because the bytes in doubt would be taken for another message. It
- * never takes a byte behind the message's end.
+ * Reads HTTP/1.1 messages from a connection's buffer, with libevhtp's parser. Rejects a message whose end the two sides could
+ * place differently, because one side would parse the bytes in between as another message (request smuggling). Never
+ * consumes input beyond the end of the message.
  */
 class MessageReader
 {
@@ -63,19 +63,19 @@
         Response,
     };
 
-    /** @param headBytes largest head taken */
+    /** @param headBytes maximum size of a head */
     MessageReader(Kind kind, std::size_t headBytes);
     ~MessageReader();
     MessageReader(const MessageReader &) = delete;
     MessageReader &operator=(const MessageReader &) = delete;
 
-    /** Begin with the next message. */
+    /** Prepares for the next message. */
     void reset();
 
-    /** Take the head. @return Done once it is complete; head() tells it */
+    /** Reads the head. @return Done once it is complete and available from head() */
     ReadProgress readHead(evbuffer *input);
 
-    /** Take what has come of the body. @param data what was taken is appended */
+    /** Reads the available part of the body. @param data the part is appended to it */
     ReadProgress readBody(evbuffer *input, std::string &data);
 
     const MessageHead &head() const;
--- a/Libraries/LibProxy/OutboundConnection.cpp
+++ b/Libraries/LibProxy/OutboundConnection.cpp
@@ -20,15 +20,15 @@
 {
 
 constexpr std::size_t responseHeadBytes = 65536;
-/** Answers to earlier requests that may lie on a connection before the one that is waited for. */
-constexpr int mostSkipped = 4;
-/** How long an idle connection counts as kept if the server does not say: servers that keep one for less than a second
- * cannot say so in whole seconds. */
-constexpr std::chrono::milliseconds unstatedKeepAlive{250};
+/** Maximum number of responses to earlier requests that are skipped before the expected one. */
+constexpr int maxSkipped = 4;
+/** Assumed keep-alive time if the server states none: one below a second cannot be stated, as the header has whole
+ * seconds. */
+constexpr std::chrono::milliseconds defaultKeepAlive{250};
 /**
- * Bytes that the other side has not acknowledged for so long are lost with its network path or its power. Without a bound
- * the call would hang until its own deadline. A round trip takes some milliseconds; the kernel repeats a lost packet
- * several times within this time.
+ * TCP user timeout: data unacknowledged for this long means that the other side lost its network or power. Without this
+ * limit the call would hang until its own deadline. A round trip takes some milliseconds, and the kernel retransmits a
+ * lost packet several times within this time.
  */
 constexpr unsigned int unacknowledgedMilliseconds = 1500;
 
@@ -36,11 +36,11 @@
 {
     constexpr std::string_view name = "timeout=";
     const std::string_view value = headers.find("Keep-Alive").value_or(std::string_view());
-    const std::size_t place = value.find(name);
-    if (place == std::string_view::npos) {
+    const std::size_t position = value.find(name);
+    if (position == std::string_view::npos) {
         return std::nullopt;
     }
-    const std::string_view digits = value.substr(place + name.size());
+    const std::string_view digits = value.substr(position + name.size());
     std::int64_t seconds = 0;
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), seconds);
     return error == std::errc() ? std::optional(std::chrono::seconds(seconds)) : std::nullopt;
@@ -101,7 +101,7 @@
     this->call.body.clear();
 }
 
-void OutboundConnection::forget()
+void OutboundConnection::detachCall()
 {
     this->current = 0;
     this->hooks.reset();
@@ -140,24 +140,24 @@
 void OutboundConnection::onEvent(bufferevent *, short what, void *self)
 {
     static_cast<OutboundConnection *>(self)->handle([what](OutboundConnection &connection) {
-        connection.takeEvent(what);
+        connection.handleEvent(what);
     });
 }
 
 void OutboundConnection::handle(const std::function<void(OutboundConnection &)> &event)
 {
-    const std::shared_ptr<bool> stillHere = this->alive;
-    const bool isHandled = runGuarded("connection to a server", [this, &event] {
+    const std::shared_ptr<bool> isAlive = this->alive;
+    const bool isHandled = runGuarded("event of a server connection", [this, &event] {
         event(*this);
     });
-    if (!isHandled && *stillHere && this->current != 0) {
-        runGuarded("end of a connection to a server", [this] {
+    if (!isHandled && *isAlive && this->current != 0) {
+        runGuarded("closing a server connection", [this] {
             this->finish(CallEnd::Incomplete);
         });
     }
 }
 
-void OutboundConnection::takeEvent(short what)
+void OutboundConnection::handleEvent(short what)
 {
     if ((what & BEV_EVENT_CONNECTED) != 0) {
         this->isConnected = true;
@@ -182,12 +182,12 @@
 void OutboundConnection::read()
 {
     if (this->current == 0) {
-        // Bytes that no request asked for would be taken for the next one's answer.
+        // Unsolicited data would be parsed as the response to the next request.
         this->pool.closeIdle(*this);
         return;
     }
-    const std::shared_ptr<bool> stillHere = this->alive;
-    while (*stillHere && this->current != 0 && (this->isHeadRead ? this->readBody() : this->readHead())) { }
+    const std::shared_ptr<bool> isAlive = this->alive;
+    while (*isAlive && this->current != 0 && (this->isHeadRead ? this->readBody() : this->readHead())) { }
 }
 
 bool OutboundConnection::readHead()
@@ -218,11 +218,11 @@
 {
     std::string data;
     const ReadProgress progress = this->reader.readBody(bufferevent_get_input(this->stream), data);
-    const std::shared_ptr<bool> stillHere = this->alive;
+    const std::shared_ptr<bool> isAlive = this->alive;
     if (!data.empty() && !this->isSkipping) {
         const std::shared_ptr<const CallHooks> reported = this->hooks;
         reported->onBody(data);
-        if (!*stillHere || this->current == 0) {
+        if (!*isAlive || this->current == 0) {
             return false;
         }
     }
@@ -237,7 +237,7 @@
         this->finish(CallEnd::Complete);
         return false;
     }
-    const bool hasMore = this->reader.head().isPersistent && ++this->skipped < mostSkipped;
+    const bool hasMore = this->reader.head().isPersistent && ++this->skipped < maxSkipped;
     this->reader.reset();
     this->isHeadRead = false;
     this->isSkipping = false;
@@ -249,8 +249,8 @@
 
 bool OutboundConnection::isReusable() const
 {
-    // A server may answer before it has read the whole request, and read on later: the next request's bytes would be taken
-    // for the rest of this one's. So the connection is used again only once all has left, and nothing unasked has come.
+    // A server may respond before it has read the whole request; it would then parse the next request as the remainder of
+    // this one. So the connection is reused only if the request is fully sent and no unsolicited data has arrived.
     const bool isFlushed = evbuffer_get_length(bufferevent_get_output(this->stream)) == 0;
     const bool isEmpty = evbuffer_get_length(bufferevent_get_input(this->stream)) == 0;
     return this->reader.head().isPersistent && isFlushed && isEmpty;
@@ -265,7 +265,7 @@
     this->keepUntil = this->idleStart;
     if (isKept) {
         const std::optional<std::chrono::seconds> stated = statedKeepAlive(this->reader.head().headers);
-        this->keepUntil += stated ? std::chrono::milliseconds(*stated) / 2 : unstatedKeepAlive;
+        this->keepUntil += stated ? std::chrono::milliseconds(*stated) / 2 : defaultKeepAlive;
     }
     this->pool.finished(ended, isKept);
     if (reported && reported->onEnd) {
--- a/Libraries/LibProxy/OutboundConnection.h
+++ b/Libraries/LibProxy/OutboundConnection.h
@@ -7,7 +7,7 @@
 namespace Dogwoodkeel
 {
 
-/** One connection to another server: carries one call at a time. */
+/** A connection to another server. Carries one call at a time. */
 class OutboundConnection
 {
 public:
@@ -16,21 +16,21 @@
     OutboundConnection(const OutboundConnection &) = delete;
     OutboundConnection &operator=(const OutboundConnection &) = delete;
 
-    /** Begin a call; the connection is made if it is not yet. */
+    /** Starts a call; connects first if necessary. */
     void begin(OutboundPool::CallId id, OutboundCall call, CallHooks hooks);
 
-    /** Tell the call nothing more. */
-    void forget();
+    /** Detaches the current call; its hooks are not called any more. */
+    void detachCall();
 
     const Address &address() const;
 
-    /** @return when the last call on it ended. */
+    /** @return when the last call on this connection ended. */
     SteadyTime idleSince() const;
 
     /**
-     * @return until when the other side surely keeps it open while idle: half of what its Keep-Alive header says, or a
-     * short while after the last answer if it says nothing. Half, because it counts from when it sent the answer, and the
-     * next request has to arrive in time.
+     * @return until when the server is expected to keep the idle connection open: half the timeout in its Keep-Alive header,
+     * or a short default without one. Half, because the server counts from when it sent its response, and the next request
+     * has to arrive before the timeout.
      */
     SteadyTime keptUntil() const;
 
@@ -38,7 +38,7 @@
     static void onReadable(bufferevent *stream, void *self);
     static void onEvent(bufferevent *stream, short what, void *self);
     void handle(const std::function<void(OutboundConnection &)> &event);
-    void takeEvent(short what);
+    void handleEvent(short what);
 
     void connect(std::chrono::milliseconds timeout);
     void read();
@@ -55,7 +55,7 @@
     MessageReader reader;
     OutboundPool::CallId current = 0;
     OutboundCall call;
-    /** Held beside the connection while one of them runs: it may cancel the call, and must not be destroyed by that. */
+    /** Shared, because a hook that cancels the call must not be destroyed while it runs. */
     std::shared_ptr<const CallHooks> hooks;
     bool isHeadRead = false;
     bool isSkipping = false;
--- a/Libraries/LibProxy/OutboundPool.cpp
+++ b/Libraries/LibProxy/OutboundPool.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** How often idle connections that are past their time are looked for. */
+/** How often expired idle connections are closed. */
 constexpr std::chrono::milliseconds sweepInterval{1000};
 
 } // namespace
@@ -31,7 +31,7 @@
 OutboundPool::CallId OutboundPool::start(OutboundCall call, CallHooks hooks)
 {
     const CallId id = ++this->lastCall;
-    std::unique_ptr<OutboundConnection> connection = this->takeIdle(call);
+    std::unique_ptr<OutboundConnection> connection = this->acquireIdle(call);
     if (!connection) {
         connection = std::make_unique<OutboundConnection>(*this, call.address);
         ++this->made;
@@ -85,7 +85,7 @@
     }
     std::unique_ptr<OutboundConnection> connection = std::move(found->second);
     this->active.erase(found);
-    connection->forget();
+    connection->detachCall();
     this->freeLater(std::move(connection));
 }
 
@@ -111,23 +111,23 @@
     return now < idle.keptUntil() && now - idle.idleSince() <= maxIdleTime;
 }
 
-std::unique_ptr<OutboundConnection> OutboundPool::takeIdle(const OutboundCall &call)
+std::unique_ptr<OutboundConnection> OutboundPool::acquireIdle(const OutboundCall &call)
 {
     const auto found = this->idle.find(call.address);
     if (found == this->idle.end() || call.maxIdleTime.count() == 0) {
         return nullptr;
     }
-    // The one used last: it has been idle for the shortest time.
+    // The most recently used connection has the shortest idle time.
     Connections &connections = found->second;
     if (!this->isUsable(*connections.back(), call.maxIdleTime)) {
         return nullptr;
     }
-    std::unique_ptr<OutboundConnection> taken = std::move(connections.back());
+    std::unique_ptr<OutboundConnection> acquired = std::move(connections.back());
     connections.pop_back();
     if (connections.empty()) {
         this->idle.erase(found);
     }
-    return taken;
+    return acquired;
 }
 
 void OutboundPool::finished(CallId id, bool isReusable)
@@ -152,7 +152,7 @@
 
 void OutboundPool::freeLater(std::unique_ptr<OutboundConnection> connection)
 {
-    // It may be inside one of its own callbacks.
+    // The connection may be executing one of its own callbacks.
     std::shared_ptr<OutboundConnection> held = std::move(connection);
     this->loop.post([held] {});
 }
@@ -175,10 +175,10 @@
     if (found == this->idle.end()) {
         return;
     }
-    const auto place = std::ranges::find(found->second, &connection, &std::unique_ptr<OutboundConnection>::get);
-    if (place != found->second.end()) {
-        this->freeLater(std::move(*place));
-        found->second.erase(place);
+    const auto position = std::ranges::find(found->second, &connection, &std::unique_ptr<OutboundConnection>::get);
+    if (position != found->second.end()) {
+        this->freeLater(std::move(*position));
+        found->second.erase(position);
     }
     if (found->second.empty()) {
         this->idle.erase(found);
--- a/Libraries/LibProxy/OutboundPool.h
+++ b/Libraries/LibProxy/OutboundPool.h
@@ -24,9 +24,9 @@
 enum class CallEnd {
     /** The whole response arrived. */
     Complete,
-    /** Proved: no connection was made, so the request never left. */
+    /** No connection was established, so the request was certainly not sent. */
     NotSent,
-    /** The connection broke, or what came is no response to this request; the request may have been carried out. */
+    /** The connection was lost, or the response was invalid; the server may have executed the request. */
     Incomplete,
 };
 
@@ -34,24 +34,24 @@
 struct OutboundCall
 {
     Address address;
-    /** Request line and headers, without the empty line and the body's length. */
+    /** Request line and headers, without Content-Length and the final empty line. */
     std::string head;
     std::string body;
     /**
-     * How long a connection may have been idle to be used for this call; zero takes a new one. An idle connection can be
-     * closed by the other side at the very moment it is used, and it then cannot be known whether the request was run.
+     * Maximum idle time of a connection that is reused for this call; zero requires a new connection. The other side may
+     * close an idle connection just as it is reused; it is then unknown whether the request was executed.
      */
     std::chrono::milliseconds maxIdleTime{0};
-    /** Within which a new connection must be made. */
+    /** Timeout for establishing a new connection. */
     std::chrono::milliseconds connectTimeout{300};
     /**
-     * @return whether a response answers this call. One that does not is passed over: it is the late or second answer to
-     * a request that was sent before on the same connection. Not set: every response does.
+     * @return whether a response belongs to this call. Others are skipped: they are late or duplicate responses to an
+     * earlier request on the same connection. If not set, every response belongs to the call.
      */
     std::function<bool(const MessageHead &)> isAnswer;
 };
 
-/** What a call tells. Nothing more comes after onEnd, nor after a cancel. */
+/** Callbacks of a call. None is called after onEnd or after the call is cancelled. */
 struct CallHooks
 {
     std::function<void(const MessageHead &)> onHead;
@@ -59,7 +59,7 @@
     std::function<void(CallEnd)> onEnd;
 };
 
-/** A response that was collected whole. */
+/** A response with its complete body. */
 struct CollectedResponse
 {
     CallEnd end = CallEnd::Incomplete;
@@ -67,40 +67,40 @@
     std::string body;
 };
 
-/** Sends HTTP/1.1 requests over connections that are kept for reuse. Lives on one event loop. */
+/** Sends HTTP/1.1 requests over pooled connections. Used on one event loop only. */
 class OutboundPool
 {
 public:
     using CallId = std::uint64_t;
 
-    /** @param idlePerAddress idle connections kept to one address */
+    /** @param idlePerAddress maximum number of idle connections per address */
     OutboundPool(EventLoop &loop, const Clock &clock, std::size_t idlePerAddress);
     ~OutboundPool();
     OutboundPool(const OutboundPool &) = delete;
     OutboundPool &operator=(const OutboundPool &) = delete;
 
-    /** Send a request; the answer comes by the hooks, never from inside this call. */
+    /** Sends a request. The hooks are never called within this call. */
     CallId start(OutboundCall call, CallHooks hooks);
 
     /**
-     * Send a request and collect the response.
+     * Sends a request and collects the response.
      * @param timeout after which the call is cancelled and ends as Incomplete
      */
     CallId fetch(OutboundCall call, std::chrono::milliseconds timeout, std::function<void(CollectedResponse)> done);
 
-    /** Drop a call and close its connection; its hooks are told nothing more. */
+    /** Cancels a call and closes its connection. Its hooks are not called any more. */
     void cancel(CallId id);
 
     /**
-     * @param maxIdleTime how long a connection may have been idle to be of use
-     * @return the addresses to which there is an idle connection that a call may use now
+     * @param maxIdleTime maximum idle time of a connection to be counted
+     * @return the addresses with an idle connection that a call can reuse now
      */
     std::vector<Address> connectedAddresses(std::chrono::milliseconds maxIdleTime) const;
 
-    /** Close the idle connections to an address: who listened there is over. */
+    /** Closes the idle connections to an address whose server has stopped. */
     void closeIdle(const Address &address);
 
-    /** @return connections made so far. */
+    /** @return the number of connections created so far. */
     std::uint64_t connectionsMade() const;
 
 private:
@@ -108,7 +108,7 @@
     using Connections = std::list<std::unique_ptr<OutboundConnection>>;
 
     bool isUsable(const OutboundConnection &idle, std::chrono::milliseconds maxIdleTime) const;
-    std::unique_ptr<OutboundConnection> takeIdle(const OutboundCall &call);
+    std::unique_ptr<OutboundConnection> acquireIdle(const OutboundCall &call);
     void finished(CallId id, bool isReusable);
     void freeLater(std::unique_ptr<OutboundConnection> connection);
     void closeIdle(const OutboundConnection &connection);
--- a/Tests/LibHttp/TestHttpReply.cpp
+++ b/Tests/LibHttp/TestHttpReply.cpp
@@ -7,12 +7,12 @@
 
 using namespace Dogwoodkeel;
 
-// A caller hangs up in the middle of a streamed answer. Its connection is paused while the answer is made, and libevhtp
-// keeps a paused connection that breaks without calling any hook: the server would go on making the answer, for an engine
-// that means to the last token. The reply must tell that the caller is gone soon after the next writes.
-TEST_CASE("a reply tells that the caller has hung up while it is streamed")
+// A caller disconnects during a streamed response. Its connection is paused while the response is produced, and libevhtp calls
+// no hook when a paused connection is lost; the server would go on to produce the whole response, for an engine up to the
+// last token. The reply must report the disconnect soon after the next writes.
+TEST_CASE("a reply reports that the caller has disconnected while it is streamed")
 {
-    constexpr int mostWrites = 2000;
+    constexpr int maxWrites = 2000;
     EventLoop loop;
     std::shared_ptr<HttpReply> open;
     HttpServer server(loop, {"127.0.0.1", 0}, {1024}, [&](const HttpRequest &, const std::shared_ptr<HttpReply> &reply) {
@@ -35,7 +35,7 @@
     int writes = 0;
     std::function<void()> write = [&] {
         const bool isOver = open && !open->isConnected();
-        if (isOver || ++writes == mostWrites) {
+        if (isOver || ++writes == maxWrites) {
             loop.stop();
             return;
         }
--- a/Tests/LibHttp/TestHttpServer.cpp
+++ b/Tests/LibHttp/TestHttpServer.cpp
@@ -23,7 +23,7 @@
     return limits;
 }
 
-/** A server that answers each request with what it took it for. */
+/** A server that responds with the method, target and body that it parsed. */
 class EchoServer
 {
 public:
@@ -57,8 +57,8 @@
 
 } // namespace
 
-// A caller posts a form to a path without a query. libevhtp parses such a body as the query, so a plain service would be
-// passed a query that its caller never wrote.
+// A caller posts a form to a path without a query. libevhtp parses such a body as the query, so a plain service would receive
+// a query that the caller did not send.
 TEST_CASE("A form in the body does not become the query")
 {
     TaskHost<EchoServer> host("http");
@@ -71,7 +71,7 @@
     CHECK(with.readUntil("]").find("[POST /lookup?console=snes key=now]") != std::string::npos);
 }
 
-TEST_CASE("A body larger than the bound is refused when its length is told, before it is sent")
+TEST_CASE("A body larger than the limit is refused by its stated length, before it is sent")
 {
     TaskHost<EchoServer> host("http");
     RawConnection caller(addressOf(host));
@@ -81,7 +81,7 @@
     CHECK(answer.find("\"run\":\"not_run\"") != std::string::npos);
 }
 
-TEST_CASE("A body in chunks that grows beyond the bound is refused")
+TEST_CASE("A chunked body that exceeds the limit is refused")
 {
     TaskHost<EchoServer> host("http");
     RawConnection caller(addressOf(host));
@@ -91,8 +91,8 @@
     CHECK(caller.readAll().starts_with("HTTP/1.1 413 "));
 }
 
-// The caller sends all of a large body before it reads. If the server closed the connection with a part of it unread,
-// the system would reset it and throw the refusal away: the caller would see a broken connection and try again.
+// The caller sends all of a large body before it reads. If the server closed the connection with a part of the body unread,
+// the kernel would reset it and discard the error response; the caller would see a lost connection and retry.
 TEST_CASE("A caller that sends its whole body first still reads the refusal")
 {
     TaskHost<EchoServer> host("http");
@@ -105,7 +105,7 @@
     CHECK(answer.ends_with("\n"));
 }
 
-TEST_CASE("A body as large as the bound is taken, whole and in chunks")
+TEST_CASE("A body as large as the limit is accepted, whole and in chunks")
 {
     TaskHost<EchoServer> host("http");
     RawConnection whole(addressOf(host));
@@ -128,7 +128,7 @@
     CHECK(caller.readAll().starts_with("HTTP/1.1 431 "));
 }
 
-TEST_CASE("A body whose length is not clear is refused")
+TEST_CASE("A body whose length is ambiguous is refused")
 {
     TaskHost<EchoServer> host("http");
     for (const char *const headers : {"Content-Length: 3\r\nContent-Length: 4\r\n",
@@ -142,7 +142,7 @@
     }
 }
 
-TEST_CASE("Requests sent one behind the other are answered in their order")
+TEST_CASE("Pipelined requests are answered in order")
 {
     TaskHost<EchoServer> host("http");
     RawConnection caller(addressOf(host));
@@ -157,7 +157,7 @@
     CHECK(third != std::string::npos);
 }
 
-TEST_CASE("HEAD is answered with the length alone")
+TEST_CASE("HEAD is answered with the length only")
 {
     TaskHost<EchoServer> host("http");
     RawConnection caller(addressOf(host));
@@ -168,7 +168,7 @@
     CHECK(answers.find("[HEAD") == std::string::npos);
 }
 
-TEST_CASE("A caller that waits to be told to go on is told so, or refused")
+TEST_CASE("A caller that expects 100 Continue receives it or is refused")
 {
     TaskHost<EchoServer> host("http");
     RawConnection small(addressOf(host));
@@ -181,7 +181,7 @@
     CHECK(large.readUntil("not_run").starts_with("HTTP/1.1 413 "));
 }
 
-TEST_CASE("Whatever bytes come, the server lives and answers the next caller")
+TEST_CASE("After arbitrary input the server still answers the next caller")
 {
     TaskHost<EchoServer> host("http");
     const Address address = addressOf(host);
@@ -220,7 +220,7 @@
 namespace
 {
 
-/** A server that takes bodies as they come, and answers with what it saw. */
+/** A server that streams request bodies and responds with the number of bytes received. */
 class StreamServer
 {
 public:
@@ -232,8 +232,8 @@
               limits(),
               [](const HttpRequest &, const std::shared_ptr<HttpReply> &) {},
               [this](const HttpRequest &) {
-                  return BodyAdmission{mostBytes, [this](const HttpRequest &head, const std::shared_ptr<HttpReply> &reply) {
-                                           return this->take(head, reply);
+                  return BodyAdmission{maxBytes, [this](const HttpRequest &head, const std::shared_ptr<HttpReply> &reply) {
+                                           return this->admit(head, reply);
                                        }};
               })
     {
@@ -244,14 +244,14 @@
         return this->server.address();
     }
 
-    static constexpr std::uint64_t mostBytes = 3000000;
+    static constexpr std::uint64_t maxBytes = 3000000;
     bool isFlooding() const
     {
         return !this->isFloodCut;
     }
 
-    bool isLost = false;
-    /** Bytes that came while the body was held back: only what had been read from the connection before. */
+    bool isAborted = false;
+    /** Bytes received while the body was paused: only data that had already been read from the connection. */
     std::size_t whilePaused = 0;
 
 private:
@@ -262,7 +262,7 @@
         return limits;
     }
 
-    BodyHooks take(const HttpRequest &head, const std::shared_ptr<HttpReply> &reply)
+    BodyHooks admit(const HttpRequest &head, const std::shared_ptr<HttpReply> &reply)
     {
         if (head.path == "/flood") {
             reply->start(200, {});
@@ -281,7 +281,7 @@
                     },
                 .onAborted =
                     [this] {
-                        this->isLost = true;
+                        this->isAborted = true;
                     }};
     }
 
@@ -329,9 +329,9 @@
 
 } // namespace
 
-// A caller sends a large body faster than what takes it can store it. The server stops reading until told to go on, so
-// that the rest waits with the caller and not in the memory of the node.
-TEST_CASE("A streamed body waits while its taker is slow")
+// A caller sends a large body faster than its consumer can store it. The server pauses reading until it is resumed, so that
+// the remaining data is not buffered in the memory of the node.
+TEST_CASE("A streamed body is paused while its consumer is slow")
 {
     TaskHost<StreamServer> host("http");
     RawConnection caller(addressOf(host));
@@ -344,7 +344,7 @@
     CHECK(whilePaused < 200000);
 }
 
-TEST_CASE("A streamed body in chunks beyond its bound is refused, and its taker is told")
+TEST_CASE("A streamed chunked body over its limit is refused, and its consumer is notified")
 {
     TaskHost<StreamServer> host("http");
     RawConnection caller(addressOf(host));
@@ -355,30 +355,30 @@
     caller.send("0\r\n\r\n");
     CHECK(caller.readAll().starts_with("HTTP/1.1 413 "));
     CHECK(host.ask<bool>([](StreamServer &server) {
-        return server.isLost;
+        return server.isAborted;
     }));
 }
 
-TEST_CASE("A caller that hangs up amid its body is told to the taker")
+TEST_CASE("The consumer is notified of a caller that disconnects within its body")
 {
     TaskHost<StreamServer> host("http");
     {
         RawConnection caller(addressOf(host));
         caller.send("POST /fast HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\nxyz");
     }
-    bool isLost = false;
-    for (int i = 0; i < 10000 && !isLost; ++i) {
-        isLost = host.ask<bool>([](StreamServer &server) {
-            return server.isLost;
+    bool isAborted = false;
+    for (int i = 0; i < 10000 && !isAborted; ++i) {
+        isAborted = host.ask<bool>([](StreamServer &server) {
+            return server.isAborted;
         });
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
-    CHECK(isLost);
+    CHECK(isAborted);
 }
 
-// A caller asks for a long stream and reads none of it. What is written waits in this process, and would grow until the
-// whole answer is held, for each such caller. The connection is closed once a bound is passed.
-TEST_CASE("A caller that reads nothing loses its connection")
+// A caller requests a long stream and reads none of it. The unread data is buffered in this process, and without a limit
+// would grow to the whole response for each such caller. The connection is closed once the limit is exceeded.
+TEST_CASE("A caller that reads nothing is disconnected")
 {
     TaskHost<StreamServer> host("http");
     RawConnection caller(addressOf(host));
@@ -393,9 +393,9 @@
     CHECK(!isOpen);
 }
 
-// A caller sends its headers so slowly that each byte alone is in time. Without a bound on all of them together, each
-// such connection would be held for ever.
-TEST_CASE("Headers that never end lose their connection")
+// A caller sends its headers so slowly that each byte alone is within the timeout. Without a limit on their total time, each
+// such connection would stay open forever.
+TEST_CASE("A connection whose headers never end is closed")
 {
     TaskHost<EchoServer> host("http");
     RawConnection caller(addressOf(host));
--- a/Tests/LibProxy/TestCallerServer.cpp
+++ b/Tests/LibProxy/TestCallerServer.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/** A server that fails at each request for /bad/. */
+/** A server whose handler throws for each request for /bad/. */
 class Served
 {
 public:
@@ -34,9 +34,9 @@
 
 } // namespace
 
-// One request meets a fault of the program. Its caller's connection is closed, which promises nothing; the other callers of the
-// node, with connections that are open already among them, see no difference.
-TEST_CASE("a request whose handler throws costs its own connection alone")
+// A bug in the handler makes one request throw. Only that caller's connection is closed; other callers, including those whose
+// connections are already open, are not affected.
+TEST_CASE("a request whose handler throws closes only its own connection")
 {
     TaskHost<Served> host("server");
     const Address address = host.ask<Address>([](Served &served) {
--- a/Tests/LibProxy/TestConnectProbe.cpp
+++ b/Tests/LibProxy/TestConnectProbe.cpp
@@ -16,7 +16,7 @@
 /** Longer than any test takes. */
 constexpr std::chrono::seconds timeout{60};
 
-/** A probe, and a server that may stop. */
+/** A probe and a server that can be stopped. */
 class Probed
 {
 public:
@@ -35,8 +35,8 @@
 {
     std::promise<ConnectOutcome> outcome;
     host.post([&outcome](Probed &probed) {
-        probed.probe.start(probed.server.address(), timeout, [&outcome](ConnectOutcome got) {
-            outcome.set_value(got);
+        probed.probe.start(probed.server.address(), timeout, [&outcome](ConnectOutcome result) {
+            outcome.set_value(result);
         });
     });
     return outcome.get_future().get();
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("a probe tells a server that listens from one that has stopped")
+TEST_CASE("a probe distinguishes a listening server from a stopped one")
 {
     TaskHost<Probed> host("probe");
     CHECK(outcomeAt(host) == ConnectOutcome::Connected);
@@ -55,21 +55,21 @@
     CHECK(outcomeAt(host) == ConnectOutcome::Refused);
 }
 
-// A node that stops while a replica is asked: nobody is there to be told.
-TEST_CASE("a probe that is destroyed tells nothing more")
+// A node may stop while a probe is in progress; the callback's target may no longer exist then.
+TEST_CASE("a destroyed probe reports no outcome")
 {
     TaskHost<Probed> host("probe");
-    const auto isTold = std::make_shared<bool>(false);
-    host.ask<bool>([isTold](Probed &probed) {
+    const auto isCalled = std::make_shared<bool>(false);
+    host.ask<bool>([isCalled](Probed &probed) {
         ConnectProbe other(probed.loop);
-        other.start(probed.server.address(), timeout, [isTold](ConnectOutcome) {
-            *isTold = true;
+        other.start(probed.server.address(), timeout, [isCalled](ConnectOutcome) {
+            *isCalled = true;
         });
         return true;
     });
-    // The outcome of a later one comes after that of the first would have come.
+    // The outcome of this later probe arrives after that of the destroyed probe would have.
     CHECK(outcomeAt(host) == ConnectOutcome::Connected);
-    CHECK_FALSE(host.ask<bool>([isTold](Probed &) {
-        return *isTold;
+    CHECK_FALSE(host.ask<bool>([isCalled](Probed &) {
+        return *isCalled;
     }));
 }
--- a/Tests/LibProxy/TestMessageReader.cpp
+++ b/Tests/LibProxy/TestMessageReader.cpp
@@ -28,7 +28,7 @@
     return buffer;
 }
 
-std::string restOf(const Buffer &buffer)
+std::string remainderOf(const Buffer &buffer)
 {
     std::string text(evbuffer_get_length(buffer.get()), '\0');
     evbuffer_copyout(buffer.get(), text.data(), text.size());
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("a request is read with its target and headers as they were sent, and nothing behind it is taken")
+TEST_CASE("a request is read with its target and headers as they were sent, and no input after it is consumed")
 {
     MessageReader reader(MessageReader::Kind::Request, 4096);
     const Buffer buffer = bufferOf(
@@ -62,12 +62,12 @@
     std::string body;
     REQUIRE(reader.readBody(buffer.get(), body) == ReadProgress::Done);
     CHECK(body == "abc");
-    CHECK(restOf(buffer) == "GET /next");
+    CHECK(remainderOf(buffer) == "GET /next");
 }
 
-// A caller that sends two lengths, or a length and chunks, makes two programs on the path see the end of the body at two
-// places: the bytes between are a request that nobody sent. Every such request is malformed.
-TEST_CASE("a request whose end is not clear is malformed")
+// Request smuggling: with two lengths, or a length and chunks, two programs on the path can place the end of the body
+// differently, and one parses the bytes in between as another request. Every such request must be rejected.
+TEST_CASE("a request whose end is ambiguous is malformed")
 {
     CHECK(request("Content-Length: 3\r\n") == ReadProgress::Done);
     CHECK(request("Content-Length: 3\r\nContent-Length: 3\r\n") == ReadProgress::Malformed);
@@ -84,14 +84,14 @@
     CHECK(headOf(MessageReader::Kind::Request, "GET http://x/a HTTP/1.1\r\nHost: h\r\n\r\n") == ReadProgress::Malformed);
 }
 
-TEST_CASE("a head over the bound is refused, whole or not")
+TEST_CASE("a head over the limit is rejected, complete or not")
 {
     const std::string large = "GET /a HTTP/1.1\r\nX: " + std::string(5000, 'x');
     CHECK(headOf(MessageReader::Kind::Request, large) == ReadProgress::TooLarge);
     CHECK(headOf(MessageReader::Kind::Request, large + "\r\n\r\n") == ReadProgress::TooLarge);
 }
 
-TEST_CASE("chunks are joined, and a trailer or a broken size makes the body malformed")
+TEST_CASE("chunks are joined, and a trailer or an invalid size makes the body malformed")
 {
     const auto readAll = [](std::string_view chunks, std::string &body) {
         MessageReader reader(MessageReader::Kind::Response, 4096);
@@ -107,7 +107,7 @@
     CHECK(readAll("0\r\nX-Late: 1\r\n\r\n", body) == ReadProgress::Malformed);
 }
 
-TEST_CASE("an answer without a length ends with its connection, and its connection carries no other")
+TEST_CASE("a response without a length ends when its connection closes, and the connection is not reused")
 {
     MessageReader reader(MessageReader::Kind::Response, 4096);
     const Buffer buffer = bufferOf("HTTP/1.1 200 OK\r\nX: 1\r\n\r\nabc");
@@ -119,7 +119,7 @@
     CHECK(body == "abc");
 }
 
-TEST_CASE("a message that comes in any pieces is read as if it came whole")
+TEST_CASE("a message that arrives in any chunks is read as if it arrived at once")
 {
     rc::check([] {
         const auto chunks = *rc::gen::container<std::vector<std::string>>(rc::gen::nonEmpty(rc::gen::string<std::string>()));
@@ -146,6 +146,6 @@
         }
         RC_ASSERT(progress == ReadProgress::Done);
         RC_ASSERT(body == expected);
-        RC_ASSERT(restOf(buffer) == "NEXT");
+        RC_ASSERT(remainderOf(buffer) == "NEXT");
     });
 }
--- a/Tests/LibProxy/TestOutboundPool.cpp
+++ b/Tests/LibProxy/TestOutboundPool.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** A pool, and a server that keeps its connections. */
+/** A pool and a server that keeps its connections open. */
 class Pooled
 {
 public:
@@ -60,9 +60,9 @@
 
 } // namespace
 
-// A replica has started again at the address that it had. What is sent on a connection to the one before gets no answer, and a
-// request that may run only once is lost.
-TEST_CASE("a connection to a server that is over is not used again")
+// A replica restarts at the same address. A request on a connection to the previous process gets no response, and a request
+// that may run only once cannot be retried.
+TEST_CASE("a connection to a stopped server is not reused")
 {
     TaskHost<Pooled> host("pool");
     CHECK(callOnce(host) == 200);
