--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -64,7 +64,7 @@
     ExchangeHooks hooks;
     evhttp_connection *connection = nullptr;
     bool isReused = false;
-    bool ended = false;
+    bool hasEnded = false;
 };
 
 struct HttpClient::Callbacks
@@ -72,7 +72,7 @@
     static int onHeaders(evhttp_request *request, void *argument)
     {
         auto *const exchange = static_cast<Exchange *>(argument);
-        if (!exchange->ended) {
+        if (!exchange->hasEnded) {
             exchange->hooks.onHeaders(evhttp_request_get_response_code(request), headersOf(request));
         }
         return 0;
@@ -83,7 +83,7 @@
         auto *const exchange = static_cast<Exchange *>(argument);
         evbuffer *const input = evhttp_request_get_input_buffer(request);
         const std::size_t size = evbuffer_get_length(input);
-        if (!exchange->ended && size > 0) {
+        if (!exchange->hasEnded && size > 0) {
             const auto *const data = reinterpret_cast<const char *>(evbuffer_pullup(input, -1));
             exchange->hooks.onData(std::string_view(data, size));
         }
@@ -110,7 +110,7 @@
 {
     *this->alive = false;
     for (const auto &[id, exchange] : this->exchanges) {
-        if (!exchange->ended) {
+        if (!exchange->hasEnded) {
             evhttp_connection_free(exchange->connection);
         }
     }
@@ -215,11 +215,11 @@
 void HttpClient::cancel(ExchangeId id)
 {
     const auto found = this->exchanges.find(id);
-    if (found == this->exchanges.end() || found->second->ended) {
+    if (found == this->exchanges.end() || found->second->hasEnded) {
         return;
     }
     Exchange &exchange = *found->second;
-    exchange.ended = true;
+    exchange.hasEnded = true;
     exchange.hooks = {};
     this->freeLater(exchange.connection);
     this->loop.post([this, id, alive = this->alive] {
@@ -232,7 +232,7 @@
 bool HttpClient::isConnected(ExchangeId id) const
 {
     const auto found = this->exchanges.find(id);
-    if (found == this->exchanges.end() || found->second->ended) {
+    if (found == this->exchanges.end() || found->second->hasEnded) {
         return false;
     }
     sockaddr_storage peer{};
@@ -256,7 +256,7 @@
 
 void HttpClient::end(Exchange &exchange, ExchangeEnd how)
 {
-    if (std::exchange(exchange.ended, true)) {
+    if (std::exchange(exchange.hasEnded, true)) {
         return;
     }
     std::vector<evhttp_connection *> &pool = this->idle[exchange.address];
--- a/Libraries/LibHttp/HttpReply.cpp
+++ b/Libraries/LibHttp/HttpReply.cpp
@@ -15,7 +15,7 @@
 
 HttpReply::~HttpReply()
 {
-    if (!this->started) {
+    if (!this->hasStarted) {
         // If a handler never replied, the caller would otherwise wait forever.
         this->send({.status = 500, .body = "{\"error\":{\"message\":\"no answer was made\"}}\n"});
     } else {
@@ -36,7 +36,7 @@
 
 void HttpReply::send(const HttpResponse &response)
 {
-    if (std::exchange(this->started, true)) {
+    if (std::exchange(this->hasStarted, true)) {
         return;
     }
     if (this->request != nullptr && this->options.isBodyPending) {
@@ -70,7 +70,7 @@
 
 void HttpReply::start(int status, const HttpHeaders &headers)
 {
-    if (std::exchange(this->started, true) || this->request == nullptr) {
+    if (std::exchange(this->hasStarted, true) || this->request == nullptr) {
         return;
     }
     this->addHeaders(headers);
@@ -79,7 +79,7 @@
 
 void HttpReply::write(std::string_view data)
 {
-    if (!this->isConnected() || this->completed || data.empty()) {
+    if (!this->isConnected() || this->isCompleted || data.empty()) {
         return;
     }
     const std::size_t unread = evbuffer_get_length(bufferevent_get_output(evhtp_request_get_bev(this->request)));
@@ -96,7 +96,7 @@
 
 void HttpReply::finish()
 {
-    if (this->isConnected() && !this->completed) {
+    if (this->isConnected() && !this->isCompleted) {
         evhtp_send_reply_chunk_end(this->request);
     }
     this->complete();
@@ -104,7 +104,7 @@
 
 void HttpReply::pauseBody()
 {
-    if (this->request != nullptr && this->options.isBodyPending && !std::exchange(this->paused, true)) {
+    if (this->request != nullptr && this->options.isBodyPending && !std::exchange(this->isPaused, true)) {
         // NOTE: evhtp_request_pause cannot be used: in its body hook, libevhtp would treat the request as invalid.
         bufferevent_disable(evhtp_request_get_bev(this->request), EV_READ);
     }
@@ -112,7 +112,7 @@
 
 void HttpReply::resumeBody()
 {
-    if (this->request != nullptr && this->options.isBodyPending && std::exchange(this->paused, false)) {
+    if (this->request != nullptr && this->options.isBodyPending && std::exchange(this->isPaused, false)) {
         bufferevent_enable(evhtp_request_get_bev(this->request), EV_READ);
     }
 }
@@ -125,7 +125,7 @@
 
 bool HttpReply::isStarted() const
 {
-    return this->started;
+    return this->hasStarted;
 }
 
 void HttpReply::disconnect()
@@ -140,7 +140,7 @@
 
 void HttpReply::complete()
 {
-    if (std::exchange(this->completed, true)) {
+    if (std::exchange(this->isCompleted, true)) {
         return;
     }
     --*this->open;
--- a/Libraries/LibHttp/HttpReply.h
+++ b/Libraries/LibHttp/HttpReply.h
@@ -82,9 +82,9 @@
     evhtp_request *request;
     std::shared_ptr<std::size_t> open;
     Options options;
-    bool started = false;
-    bool completed = false;
-    bool paused = false;
+    bool hasStarted = false;
+    bool isCompleted = false;
+    bool isPaused = false;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibHttp/HttpServer.cpp
+++ b/Libraries/LibHttp/HttpServer.cpp
@@ -295,7 +295,7 @@
     while (!this->connections.empty()) {
         evhtp_connection_free(this->connections.begin()->first);
     }
-    if (!this->draining) {
+    if (!this->isDraining) {
         evhtp_unbind_socket(this->server);
     }
     evhtp_free(this->server);
@@ -308,13 +308,13 @@
 
 void HttpServer::closeAfterAnswers()
 {
-    this->closing = true;
+    this->isClosing = true;
 }
 
 void HttpServer::drain()
 {
-    this->closing = true;
-    if (!std::exchange(this->draining, true)) {
+    this->isClosing = true;
+    if (!std::exchange(this->isDraining, true)) {
         evhtp_unbind_socket(this->server);
     }
 }
@@ -327,7 +327,7 @@
 std::shared_ptr<HttpReply> HttpServer::makeReply(Connection &connection, evhtp_request *request)
 {
     HttpReply::Options options{
-        .isLast = this->closing,
+        .isLast = this->isClosing,
         .isBodyPending = connection.isBodyPending,
         .unreadBytes = this->limits.unreadBytes,
         .close =
--- a/Libraries/LibHttp/HttpServer.h
+++ b/Libraries/LibHttp/HttpServer.h
@@ -120,8 +120,8 @@
     Admit admit;
     evhtp *server = nullptr;
     Address listenAddress;
-    bool draining = false;
-    bool closing = false;
+    bool isDraining = false;
+    bool isClosing = false;
     std::uint64_t checkTimer = 0;
     std::uint64_t lastConnection = 0;
     std::unordered_map<evhtp_connection *, std::unique_ptr<Connection>> connections;
--- a/Libraries/LibProxy/CallerExchange.cpp
+++ b/Libraries/LibProxy/CallerExchange.cpp
@@ -29,7 +29,7 @@
 
 bool CallerExchange::isStarted() const
 {
-    return this->started;
+    return this->hasStarted;
 }
 
 void CallerExchange::onDisconnect(std::function<void()> handler)
@@ -40,7 +40,7 @@
 void CallerExchange::send(int status, const HeaderList &headers, std::string_view body)
 {
     if (CallerConnection *const active = std::exchange(this->connection, nullptr)) {
-        this->started = true;
+        this->hasStarted = true;
         this->disconnectHandler = nullptr;
         active->sendWhole(status, headers, body);
     }
@@ -48,7 +48,7 @@
 
 void CallerExchange::begin(int status, const HeaderList &headers)
 {
-    if (this->connection != nullptr && !std::exchange(this->started, true)) {
+    if (this->connection != nullptr && !std::exchange(this->hasStarted, true)) {
         this->connection->sendHead(status, headers);
     }
 }
--- a/Libraries/LibProxy/CallerExchange.h
+++ b/Libraries/LibProxy/CallerExchange.h
@@ -58,7 +58,7 @@
     MessageHead requestHead;
     std::string requestBody;
     std::function<void()> disconnectHandler;
-    bool started = false;
+    bool hasStarted = false;
 };
 
 } // namespace Dogwoodkeel
