--- a/Libraries/LibProxy/CallerExchange.cpp
+++ b/Libraries/LibProxy/CallerExchange.cpp
@@ -27,28 +27,28 @@
     return this->connection == nullptr;
 }
 
-bool CallerExchange::isBegun() const
+bool CallerExchange::isStarted() const
 {
-    return this->begun;
+    return this->hasStarted;
 }
 
-void CallerExchange::whenGone(std::function<void()> gone)
+void CallerExchange::onDisconnect(std::function<void()> handler)
 {
-    this->gone = std::move(gone);
+    this->disconnectHandler = std::move(handler);
 }
 
 void CallerExchange::send(int status, const HeaderList &headers, std::string_view body)
 {
-    if (CallerConnection *const answering = std::exchange(this->connection, nullptr)) {
-        this->begun = true;
-        this->gone = nullptr;
-        answering->sendWhole(status, headers, body);
+    if (CallerConnection *const active = std::exchange(this->connection, nullptr)) {
+        this->hasStarted = true;
+        this->disconnectHandler = nullptr;
+        active->sendWhole(status, headers, body);
     }
 }
 
 void CallerExchange::begin(int status, const HeaderList &headers)
 {
-    if (this->connection != nullptr && !std::exchange(this->begun, true)) {
+    if (this->connection != nullptr && !std::exchange(this->hasStarted, true)) {
         this->connection->sendHead(status, headers);
     }
 }
@@ -62,25 +62,25 @@
 
 void CallerExchange::end()
 {
-    if (CallerConnection *const answering = std::exchange(this->connection, nullptr)) {
-        this->gone = nullptr;
-        answering->sendEnd();
+    if (CallerConnection *const active = std::exchange(this->connection, nullptr)) {
+        this->disconnectHandler = nullptr;
+        active->sendEnd();
     }
 }
 
-void CallerExchange::breakOff()
+void CallerExchange::abort()
 {
-    if (CallerConnection *const answering = std::exchange(this->connection, nullptr)) {
-        this->gone = nullptr;
-        answering->breakOff();
+    if (CallerConnection *const active = std::exchange(this->connection, nullptr)) {
+        this->disconnectHandler = nullptr;
+        active->abort();
     }
 }
 
-void CallerExchange::lose()
+void CallerExchange::disconnect()
 {
     this->connection = nullptr;
-    if (const std::function<void()> tell = std::exchange(this->gone, nullptr)) {
-        tell();
+    if (const std::function<void()> handler = std::exchange(this->disconnectHandler, nullptr)) {
+        handler();
     }
 }
 
--- a/Tests/LibProxy/TestOutboundPool.cpp
+++ b/Tests/LibProxy/TestOutboundPool.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** A pool, and a server that keeps its connections. */
+/** A pool and a server that keeps its connections open. */
 class Pooled
 {
 public:
@@ -43,7 +43,7 @@
         OutboundCall call;
         call.address = pooled.server.address();
         call.head = "GET / HTTP/1.1\r\nHost: h\r\n";
-        call.longestIdle = std::chrono::seconds(60);
+        call.maxIdleTime = std::chrono::seconds(60);
         pooled.pool.fetch(std::move(call), std::chrono::seconds(20), [&status](const CollectedResponse &response) {
             status.set_value(response.head.status);
         });
@@ -60,16 +60,16 @@
 
 } // namespace
 
-// A replica has started again at the address that it had. What is sent on a connection to the one before gets no answer, and a
-// request that may run only once is lost.
-TEST_CASE("a connection to a server that is over is not used again")
+// A replica restarts at the same address. A request on a connection to the previous process gets no response, and a request
+// that may run only once cannot be retried.
+TEST_CASE("a connection to a stopped server is not reused")
 {
     TaskHost<Pooled> host("pool");
     CHECK(callOnce(host) == 200);
     CHECK(callOnce(host) == 200);
     CHECK(connectionsMade(host) == 1);
     host.ask<bool>([](Pooled &pooled) {
-        pooled.pool.dropIdle(pooled.server.address());
+        pooled.pool.closeIdle(pooled.server.address());
         return true;
     });
     CHECK(callOnce(host) == 200);
