--- a/Libraries/LibControl/OrderLease.cpp
+++ b/Libraries/LibControl/OrderLease.cpp
@@ -53,7 +53,7 @@
     this->lookLater();
 }
 
-bool OrderLease::mayOrder() const
+bool OrderLease::maySendOrders() const
 {
     const SteadyTime now = this->clock.now();
     return this->held && !this->releasing && now >= this->orderFrom && now < this->validUntil - this->options.margin;
@@ -69,7 +69,7 @@
     return this->current;
 }
 
-bool OrderLease::covers(std::uint64_t configVersion)
+bool OrderLease::ensureConfigVersion(std::uint64_t configVersion)
 {
     if (configVersion > this->wantedVersion) {
         this->wantedVersion = configVersion;
@@ -78,7 +78,7 @@
     return this->current.configVersion == configVersion;
 }
 
-void OrderLease::setStopped(std::vector<std::string> rollouts)
+void OrderLease::setStoppedRollouts(std::vector<std::string> rollouts)
 {
     this->wantedStopped = std::move(rollouts);
 }
--- a/Libraries/LibControl/OrderLease.h
+++ b/Libraries/LibControl/OrderLease.h
@@ -50,7 +50,7 @@
     void setSession(SessionNumber session);
 
     /** @return whether orders may be sent at this moment; asked again before each one. */
-    bool mayOrder() const;
+    bool maySendOrders() const;
 
     /** @return the fencing number of orders, while mayOrder(). */
     std::uint64_t fence() const;
@@ -62,10 +62,10 @@
      * Have the row say that orders are given by a version, before the first one is.
      * @return whether it does; false also if orders were given by a newer one, which this must not undo
      */
-    bool covers(std::uint64_t configVersion);
+    bool ensureConfigVersion(std::uint64_t configVersion);
 
     /** Have the row remember which rollouts are stopped, from its next renewal on. */
-    void setStopped(std::vector<std::string> rollouts);
+    void setStoppedRollouts(std::vector<std::string> rollouts);
 
     /** An engine refused the fencing number: someone else holds the lease. */
     void lost();
--- a/Libraries/LibJournal/IdFilter.cpp
+++ b/Libraries/LibJournal/IdFilter.cpp
@@ -59,7 +59,7 @@
     return this->bits;
 }
 
-bool IdFilter::mayHold(std::string_view bytes, std::string_view id)
+bool IdFilter::mayContain(std::string_view bytes, std::string_view id)
 {
     if (bytes.empty()) {
         return false;
--- a/Libraries/LibJournal/IdFilter.h
+++ b/Libraries/LibJournal/IdFilter.h
@@ -23,7 +23,7 @@
     const std::string &bytes() const;
 
     /** @return false if the id is certainly not in the set that the bytes were made from. */
-    static bool mayHold(std::string_view bytes, std::string_view id);
+    static bool mayContain(std::string_view bytes, std::string_view id);
 
 private:
     std::string bits;
--- a/Libraries/LibJournal/JournalWriter.cpp
+++ b/Libraries/LibJournal/JournalWriter.cpp
@@ -54,7 +54,7 @@
     this->pace.setWritesPerSecond(rate, this->clock.now());
 }
 
-void JournalWriter::lookForSeal()
+void JournalWriter::checkForSeal()
 {
     this->platform.tables().readRange(JournalKeys::group(this->session, this->number),
                                       JournalKeys::groupsEnd(this->session),
--- a/Libraries/LibJournal/JournalWriter.h
+++ b/Libraries/LibJournal/JournalWriter.h
@@ -67,7 +67,7 @@
     void setWritesPerSecond(double rate);
 
     /** Find out whether another session has sealed this journal, without waiting for the next append to fail. */
-    void lookForSeal();
+    void checkForSeal();
 
     /** @return the number that the next group to be started will have. */
     GroupNumber nextGroup() const;
--- a/Libraries/LibJournal/RequestTable.cpp
+++ b/Libraries/LibJournal/RequestTable.cpp
@@ -76,7 +76,7 @@
 {
     const auto found = this->entries.find(id);
     if (found == this->entries.end() || found->second.stage != Stage::IntentPending) {
-        return IntentVerdict::Gone;
+        return IntentVerdict::NotPending;
     }
     Entry &entry = found->second;
     entry.hasIntent = true;
--- a/Libraries/LibJournal/RequestTable.h
+++ b/Libraries/LibJournal/RequestTable.h
@@ -57,7 +57,7 @@
     /** Its claimer has been told not to run, or is gone unanswered: journal a withdrawal. */
     Withdraw,
     /** It is not waited for any more. */
-    Gone,
+    NotPending,
 };
 
 /**
--- a/Libraries/LibJournal/ResultIndex.cpp
+++ b/Libraries/LibJournal/ResultIndex.cpp
@@ -42,14 +42,14 @@
 
 const BlockEntry *ResultIndex::blockOf(const ResultRun &run, const RequestId &id)
 {
-    if (!IdFilter::mayHold(run.filter, id.value())) {
+    if (!IdFilter::mayContain(run.filter, id.value())) {
         return nullptr;
     }
     const auto block = std::ranges::lower_bound(run.blocks, id, {}, &BlockEntry::last);
     return block != run.blocks.end() && block->first <= id ? &*block : nullptr;
 }
 
-bool ResultIndex::mayHold(const RequestId &id) const
+bool ResultIndex::mayContain(const RequestId &id) const
 {
     return std::ranges::any_of(this->loaded, [&id](const LoadedRun &each) {
         return blockOf(each.run, id) != nullptr;
--- a/Libraries/LibJournal/ResultIndex.h
+++ b/Libraries/LibJournal/ResultIndex.h
@@ -48,7 +48,7 @@
     std::uint64_t generation() const;
 
     /** @return false if the id is certainly in no run. */
-    bool mayHold(const RequestId &id) const;
+    bool mayContain(const RequestId &id) const;
 
     /** Look an id up in the runs, youngest first. */
     void find(const RequestId &id, Looked looked);
--- a/Libraries/LibJournal/WritePace.cpp
+++ b/Libraries/LibJournal/WritePace.cpp
@@ -64,10 +64,10 @@
 
 SteadyTime WritePace::nextStart(SteadyTime now) const
 {
-    SteadyTime earliest = std::max(now, this->lastStart + this->options.shortest);
-    const bool gathers = this->recordRate * Seconds(this->options.gather).count() >= this->options.gatherAtLeast;
+    SteadyTime earliest = std::max(now, this->lastStart + this->options.minInterval);
+    const bool gathers = this->recordRate * Seconds(this->options.gatherTime).count() >= this->options.minGatherRecords;
     if (gathers) {
-        earliest = std::max(earliest, this->lastStart + this->options.gather);
+        earliest = std::max(earliest, this->lastStart + this->options.gatherTime);
     }
     const double missing = 1.0 - this->tokensAt(now);
     if (missing > 0) {
@@ -81,7 +81,7 @@
     return writesPerSecond * journalShare / static_cast<double>(std::max<std::size_t>(journals, 1));
 }
 
-std::size_t journalsWithin(double writesPerSecond)
+std::size_t maxJournals(double writesPerSecond)
 {
     return std::max<std::size_t>(1, static_cast<std::size_t>(writesPerSecond * journalShare / slowestJournal));
 }
--- a/Libraries/LibJournal/WritePace.h
+++ b/Libraries/LibJournal/WritePace.h
@@ -22,11 +22,11 @@
     struct Options
     {
         /** Shortest time between the starts of two writes. */
-        std::chrono::milliseconds shortest{5};
+        std::chrono::milliseconds minInterval{5};
         /** Longest wait for more records to share a write. */
-        std::chrono::milliseconds gather{75};
+        std::chrono::milliseconds gatherTime{75};
         /** Records that must be expected within that time for it to be worth waiting. */
-        double gatherAtLeast = 4;
+        double minGatherRecords = 4;
         /** Writes a second that this journal may make over time. */
         double writesPerSecond = 200;
         /** Writes that may follow each other faster, after a quiet time: so many seconds' worth. */
@@ -71,6 +71,6 @@
  * @param writesPerSecond the platform's budget for all nodes
  * @return how many nodes may hold a journal so that each can still write often enough for its callers
  */
-std::size_t journalsWithin(double writesPerSecond);
+std::size_t maxJournals(double writesPerSecond);
 
 } // namespace Dogwoodkeel
--- a/Programs/dogwoodkeel/Node.cpp
+++ b/Programs/dogwoodkeel/Node.cpp
@@ -328,7 +328,7 @@
 void Node::spread(const MemberViewPointer &seen)
 {
     const auto writesPerSecond = static_cast<double>(this->settings->platform.writesPerSecond);
-    const MemberViewPointer view = seen->withJournalLimit(journalsWithin(writesPerSecond));
+    const MemberViewPointer view = seen->withJournalLimit(maxJournals(writesPerSecond));
     this->platformBudget->setMembers(seen->members().size());
     this->owner->post([view](OwnerTask &task) {
         task.owner().setView(view);
--- a/Services/Control/Reconciler.cpp
+++ b/Services/Control/Reconciler.cpp
@@ -64,13 +64,13 @@
 bool Reconciler::begin(Round &round)
 {
     round.configuration = this->hooks.configuration();
-    if (!this->lease.mayOrder()) {
+    if (!this->lease.maySendOrders()) {
         this->waits.clear();
         this->managed = 0;
         this->asIntended = 0;
         return false;
     }
-    if (!this->lease.covers(round.configuration.version)) {
+    if (!this->lease.ensureConfigVersion(round.configuration.version)) {
         // Older in the row: its renewal is on its way, and orders wait for that only.
         const std::uint64_t given = this->lease.row().configVersion;
         this->waits.clear();
@@ -144,13 +144,13 @@
     }
     // One that an operator took out of the configuration may be tried again later.
     this->stopped = std::set<std::string>(running.begin(), running.end());
-    this->lease.setStopped(std::move(running));
+    this->lease.setStoppedRollouts(std::move(running));
 }
 
 void Reconciler::sendNext(const RoundPointer &round)
 {
     // Asked before each order, not once a round: the node may have been paused between two of them.
-    if (round->orders.empty() || !this->lease.mayOrder()) {
+    if (round->orders.empty() || !this->lease.maySendOrders()) {
         this->nextTick();
         return;
     }
@@ -178,7 +178,7 @@
 StatusPart Reconciler::status() const
 {
     StatusPart part;
-    const bool isHolder = this->lease.mayOrder();
+    const bool isHolder = this->lease.maySendOrders();
     part.json = nlohmann::json({{"gives_orders", isHolder},
                                 {"holder_session", this->lease.row().holder.value()},
                                 {"fence", this->lease.row().epoch},
--- a/Services/Owner/OwnerService.cpp
+++ b/Services/Owner/OwnerService.cpp
@@ -65,8 +65,8 @@
 JournalWriter::Options OwnerService::journalOptions()
 {
     JournalWriter::Options options;
-    options.pace.shortest = this->settings->owner.groupInterval;
-    options.pace.gather = this->settings->owner.groupGather;
+    options.pace.minInterval = this->settings->owner.groupInterval;
+    options.pace.gatherTime = this->settings->owner.groupGather;
     options.rowBytes = static_cast<std::size_t>(this->settings->platform.rowBytes);
     options.onFenced = [this] {
         this->keeper.fenced();
@@ -169,7 +169,7 @@
         then(nullptr, true);
         return;
     }
-    if (state->requests.state(id) != RequestState::Absent || !state->index.mayHold(id)) {
+    if (state->requests.state(id) != RequestState::Absent || !state->index.mayContain(id)) {
         then(state, true);
         return;
     }
@@ -286,7 +286,7 @@
         respond({ClaimDecision::Unavailable, {}});
         this->writeWithdrawal(shard, request.requestId);
         return;
-    case IntentVerdict::Gone:
+    case IntentVerdict::NotPending:
         respond({ClaimDecision::NotOwner, {}});
         return;
     }
--- a/Services/Owner/ShardKeeper.cpp
+++ b/Services/Owner/ShardKeeper.cpp
@@ -193,7 +193,7 @@
     }
     // Whoever took a shard has sealed this journal first. What this node would take now, it could not write for.
     if (isAnyLost) {
-        this->journal.lookForSeal();
+        this->journal.checkForSeal();
     }
 }
 
--- a/Tests/LibJournal/TestWritePace.cpp
+++ b/Tests/LibJournal/TestWritePace.cpp
@@ -61,7 +61,7 @@
 TEST_CASE("writes stay within the budget whatever comes in")
 {
     for (const double rate : {10.0, 100.0, 900.0}) {
-        WritePace pace({.gather = 0ms, .writesPerSecond = 20});
+        WritePace pace({.gatherTime = 0ms, .writesPerSecond = 20});
         CHECK(run(pace, rate, 60s).writes <= 20 * 60 + 20 + 1);
     }
 }
@@ -86,9 +86,9 @@
 TEST_CASE("all journals together stay under the platform's writes at the target size")
 {
     constexpr double budget = 300;
-    const std::size_t journals = std::min<std::size_t>(390, journalsWithin(budget));
+    const std::size_t journals = std::min<std::size_t>(390, maxJournals(budget));
     CHECK(journals < 390);
     CHECK(journalWritesPerSecond(budget, journals) * static_cast<double>(journals) <= budget);
     CHECK(journalWritesPerSecond(budget, journals) >= 8);
-    CHECK(journalsWithin(1) == 1);
+    CHECK(maxJournals(1) == 1);
 }
--- a/Tests/ServiceControl/TestReconciler.cpp
+++ b/Tests/ServiceControl/TestReconciler.cpp
@@ -191,7 +191,7 @@
     CHECK(site.countOf("v2") == 3);
     site.run(5s);
     CHECK(site.countOf("v2") == 3);
-    CHECK(!first.lease.mayOrder());
+    CHECK(!first.lease.maySendOrders());
 }
 
 TEST_CASE("an engine that ignores fencing numbers is put right after a paused holder's late order")
@@ -224,9 +224,9 @@
     Site::Node first(site, SessionNumber(1));
     Site::Node second(site, SessionNumber(2));
     site.run(20s);
-    Site::Node &holder = first.lease.mayOrder() ? first : second;
-    Site::Node &other = first.lease.mayOrder() ? second : first;
-    REQUIRE(holder.lease.mayOrder());
+    Site::Node &holder = first.lease.maySendOrders() ? first : second;
+    Site::Node &other = first.lease.maySendOrders() ? second : first;
+    REQUIRE(holder.lease.maySendOrders());
     const std::uint64_t before = holder.lease.fence();
     holder.platform.setDown(true);
     std::size_t both = 0;
@@ -234,15 +234,15 @@
     std::size_t waiting = 0;
     for (int i = 0; i < 400; ++i) {
         site.clock.advance(100ms);
-        both += holder.lease.mayOrder() && other.lease.mayOrder() ? 1 : 0;
-        neither += !holder.lease.mayOrder() && !other.lease.mayOrder() ? 1 : 0;
-        waiting += other.lease.row().epoch == before + 1 && !other.lease.mayOrder() ? 1 : 0;
+        both += holder.lease.maySendOrders() && other.lease.maySendOrders() ? 1 : 0;
+        neither += !holder.lease.maySendOrders() && !other.lease.maySendOrders() ? 1 : 0;
+        waiting += other.lease.row().epoch == before + 1 && !other.lease.maySendOrders() ? 1 : 0;
     }
     CHECK(both == 0);
     // Both margins of 2 s, in steps of 100 ms.
     CHECK(neither >= 40);
     CHECK(waiting >= 19);
-    CHECK(other.lease.mayOrder());
+    CHECK(other.lease.maySendOrders());
     CHECK(other.lease.fence() == before + 1);
 }
 
@@ -351,7 +351,7 @@
     Site::Node second(site, SessionNumber(2));
     site.configure(second, 3);
     site.run(40s);
-    CHECK(second.lease.mayOrder());
+    CHECK(second.lease.maySendOrders());
     CHECK(site.countOf("v2") == 3);
 
     site.settings.models[0].nextShare = 0;
