--- a/Libraries/LibJournal/IdFilter.cpp
+++ b/Libraries/LibJournal/IdFilter.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint64_t secondSeed = 12;
 constexpr unsigned bitsPerByte = 8;
 
-/** The places of an id's bits: two hashes give all of them (Kirsch and Mitzenmacher, 2006). */
+/** Generates the bit positions of an id from two hashes by double hashing (Kirsch and Mitzenmacher, 2006). */
 class Probes
 {
 public:
--- a/Libraries/LibJournal/IdFilter.h
+++ b/Libraries/LibJournal/IdFilter.h
@@ -8,13 +8,13 @@
 {
 
 /**
- * Tells of most ids that they are not in a set, in two bytes an id (Bloom, 1970). With 16 bits and 8 probes an id, it is
- * wrong about one in 1,700 ids that are not in the set, and never about one that is.
+ * A Bloom filter over ids (Bloom, 1970) that uses two bytes per id. With 16 bits and 8 probes per id, the false-positive
+ * rate is about 1 in 1,700; there are no false negatives.
  */
 class IdFilter
 {
 public:
-    /** @param expected how many ids there will be */
+    /** @param expected expected number of ids; sizes the filter */
     explicit IdFilter(std::size_t expected);
 
     void add(std::string_view id);
@@ -22,7 +22,7 @@
     /** @return the filter as bytes, for mayHold(). */
     const std::string &bytes() const;
 
-    /** @return false if the id is certainly not in the set that the bytes were made from. */
+    /** @return false if the id is certainly not in the set that the serialized filter was built from. */
     static bool mayContain(std::string_view bytes, std::string_view id);
 
 private:
--- a/Libraries/LibJournal/JournalKeys.cpp
+++ b/Libraries/LibJournal/JournalKeys.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** Fixed width, so that keys sort as their numbers do. */
+/** Formats a number with a fixed width, so that keys sort in numeric order. */
 std::string padded(std::uint64_t number)
 {
     std::array<char, 24> text{};
--- a/Libraries/LibJournal/JournalRecovery.cpp
+++ b/Libraries/LibJournal/JournalRecovery.cpp
@@ -70,15 +70,15 @@
 
 bool JournalRecovery::take(const Row &row)
 {
-    // A row behind a gap says nothing of the gap. When several nodes take over different shards of one owner, one of
-    // them may have sealed behind a group that is still on its way: read on past the gap, that group would be missing
-    // here while its writer could still acknowledge it. The journal's end is where the first row is absent.
+    // The journal ends at the first absent row, even if there are rows after the gap. When several nodes take over
+    // different shards of one owner, one of them may have sealed the journal after a group whose write is still in flight.
+    // Reading past the gap would omit that group, while its writer could still acknowledge it.
     if (JournalKeys::groupOf(row.key).value() != this->nextNumber()) {
         return false;
     }
     auto group = decode<JournalGroup>(row.value);
     if (!group) {
-        log(LogLevel::Error, "journal group cannot be read", {{"key", row.key}});
+        log(LogLevel::Error, "journal group cannot be decoded", {{"key", row.key}});
         return false;
     }
     if (group->sealedBy.value() != 0) {
@@ -101,7 +101,7 @@
     const std::string &key = this->groups[this->loaded].group.objectKey;
     this->platform.objects().get(key, [self = this->shared_from_this()](const ObjectResult &result) {
         if (result.outcome == ReadOutcome::Absent) {
-            // Objects are written before their rows: this one was there, and was deleted since.
+            // Objects are written before their rows, so an absent object was deleted after its row was read.
             self->tell(false);
             return;
         }
@@ -131,8 +131,8 @@
 
 void JournalRecovery::tell(bool isComplete)
 {
-    // Counted before the groups are moved away: an end taken from the emptied list would close the span before its first
-    // group, and the next owner after this one would replay nothing.
+    // Computed before the groups are moved: an end computed from the empty list would close the span before its first
+    // group, and the next owner would replay nothing.
     const GroupNumber end(this->nextNumber() - 1);
     this->recovered({std::move(this->groups), end, isComplete});
 }
@@ -149,8 +149,8 @@
             self->finish();
             return;
         }
-        // Refused: the owner wrote one more group, or another node sealed. Unknown: the seal may stand. Reading on
-        // from the same place tells which, for all three.
+        // Refused: the owner wrote one more group, or another node sealed the journal. NotApplied: no seal was written.
+        // Unknown: the seal may have been written. Reading from the same group number resolves all three cases.
         self->atEnd = false;
         self->retry(&JournalRecovery::readPage);
     });
--- a/Libraries/LibJournal/JournalRecovery.h
+++ b/Libraries/LibJournal/JournalRecovery.h
@@ -11,30 +11,30 @@
 namespace Dogwoodkeel
 {
 
-/** A group as it was read from a journal, with its records. */
+/** A group read from a journal, with its records. */
 struct RecoveredGroup
 {
     GroupNumber number;
     JournalGroup group;
 };
 
-/** What a journal holds. */
+/** The result of reading a journal. */
 struct RecoveredJournal
 {
-    /** Groups of records in order, without the seal. */
+    /** Groups of records in order, excluding the seal. */
     std::vector<RecoveredGroup> groups;
-    /** The last group of records: first - 1 if there is none. */
+    /** Number of the last group of records; first - 1 if there is none. */
     GroupNumber last;
     /**
-     * False if a group of a closed span is gone: whoever owns the shard has written a checkpoint since its row was
-     * read, and deleted what the row no longer needs. The row is to be read again.
+     * False if a group of a closed span was deleted: after the shard's row was read, the shard's owner wrote a checkpoint
+     * and deleted the groups that the checkpoint covers. The caller must read the shard's row again.
      */
     bool isComplete = true;
 };
 
 /**
- * Reads a journal from a group on. For a journal whose owner may still write, it inserts the seal at the tail, and
- * counts as done only when the seal stands there: what was read is then all that the journal will ever hold.
+ * Reads a journal from a given group. If the journal's owner may still write, the recovery inserts a seal at the tail and
+ * completes only when the seal is in place, so that the groups read are all that the journal will ever contain.
  */
 class JournalRecovery : public std::enable_shared_from_this<JournalRecovery>
 {
@@ -42,10 +42,10 @@
     using Recovered = std::function<void(RecoveredJournal)>;
 
     /**
-     * @param sealer the session that takes over
-     * @param session whose journal
-     * @param first the group to read from
-     * @param last the last group to read, or 0: read to the end and seal it
+     * @param sealer session that takes over the journal's shards
+     * @param session session whose journal is read
+     * @param first first group to read
+     * @param last last group to read; 0 reads to the end and seals the journal
      */
     JournalRecovery(Platform &platform,
                     Scheduler &scheduler,
@@ -55,8 +55,8 @@
                     GroupNumber last);
 
     /**
-     * Start. Tries until the platform answers.
-     * @param recovered told once
+     * Starts the recovery. Retries until the platform responds.
+     * @param recovered called once with the result
      */
     void start(Recovered recovered);
 
--- a/Libraries/LibJournal/JournalWriter.cpp
+++ b/Libraries/LibJournal/JournalWriter.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr std::size_t nonceBytes = 12;
-/** What a record takes beside its payload. */
+/** Estimated encoded size of a record without its payload, in bytes. */
 constexpr std::size_t recordOverhead = 32;
 
 } // namespace
@@ -60,7 +60,7 @@
                                       JournalKeys::groupsEnd(this->session),
                                       1,
                                       [this, alive = this->alive](const RowsResult &result) {
-                                          // A write in flight finds the seal by itself.
+                                          // A write in flight detects the seal itself.
                                           if (!*alive || this->fenced || !this->inFlight.empty() || result.rows.empty()) {
                                               return;
                                           }
@@ -159,7 +159,7 @@
             if (!*alive) {
                 return;
             }
-            // Refused: the key has this group's nonce, so what is there is what an earlier try of this write put there.
+            // Refused: the key contains this group's nonce, so the existing object was written by an earlier attempt.
             if (outcome == WriteOutcome::Done || outcome == WriteOutcome::Refused) {
                 this->objectValue.clear();
                 this->writeRow();
@@ -186,10 +186,10 @@
         this->completeGroup();
         return;
     case WriteOutcome::Refused:
-        // The row is there: this very group, if the answer to an earlier try was lost, or a seal.
+        // The row exists: it is this group, if the response to an earlier attempt was lost, or a seal.
     case WriteOutcome::Unknown:
-        // The answer may have been lost after the write took effect. Writing a new group now could leave the same
-        // records in the journal twice, and giving up could lose them: the row itself says which it is.
+        // The response may have been lost after the write took effect. Writing a new group could duplicate the records
+        // in the journal, and giving up could lose them; reading the row back resolves the outcome.
         this->readBack();
         return;
     case WriteOutcome::NotApplied:
@@ -210,7 +210,7 @@
                                          return;
                                      }
                                      if (result.outcome == ReadOutcome::Absent) {
-                                         // A late arrival of the lost write is harmless: it has the same nonce.
+                                         // A delayed arrival of the lost write is harmless, because it has the same nonce.
                                          this->retry(&JournalWriter::writeRow);
                                          return;
                                      }
@@ -227,7 +227,7 @@
 {
     if (!std::exchange(this->stalled, true)) {
         log(LogLevel::Warning,
-            "journal write waits for the platform",
+            "journal write failed, retrying until the platform responds",
             {{"group", static_cast<std::int64_t>(this->number.value())}});
     }
     this->timer = this->scheduler.schedule(this->backoff, [this, step] {
@@ -256,7 +256,9 @@
 
 void JournalWriter::fence()
 {
-    log(LogLevel::Warning, "journal was sealed by another session", {{"group", static_cast<std::int64_t>(this->number.value())}});
+    log(LogLevel::Warning,
+        "journal was sealed by another session, rejecting further appends",
+        {{"group", static_cast<std::int64_t>(this->number.value())}});
     this->fenced = true;
     std::vector<Pending> lost = std::exchange(this->inFlight, {});
     std::ranges::move(this->pending, std::back_inserter(lost));
--- a/Libraries/LibJournal/JournalWriter.h
+++ b/Libraries/LibJournal/JournalWriter.h
@@ -16,38 +16,38 @@
 namespace Dogwoodkeel
 {
 
-/** What became of an appended record. */
+/** Outcome of appending a record. */
 enum class AppendOutcome {
-    /** It is in the journal for good. */
+    /** The record is durable in the journal. */
     Written,
-    /** The journal was sealed by another session before it: it is not in it, and nothing more will be. */
+    /** Another session sealed the journal first: neither this record nor any later one will be in the journal. */
     Fenced,
 };
 
 /**
- * Appends records to one session's journal, many to a row.
+ * Appends records to one session's journal by group commit: one row holds many records.
  *
- * Group n goes to row n by insert-if-absent, one write in flight. Whoever takes the session's shards over inserts a
- * seal at the next row in the same way: then this writer's insert is refused by the platform, whatever its clock or
- * its view of the other nodes says. So a paused owner that wakes up can decide nothing that lasts.
+ * Group n is written to row n by insert-if-absent, with one write in flight. A node that takes over the session's shards
+ * inserts a seal at the next row in the same way. From then on the platform refuses this writer's inserts, regardless of
+ * the writer's clock or member view, so an owner that resumes after a pause cannot make any decision durable.
  */
 class JournalWriter
 {
 public:
     using Appended = std::function<void(AppendOutcome)>;
 
-    /** How groups are made. */
+    /** Size limits, rates and retry delays of group writes. */
     struct Options
     {
         WritePace::Options pace;
-        /** Largest row; a larger group goes to an object that the row names. */
+        /** Max size of a row; a larger group is written to an object that the row references. */
         std::size_t rowBytes = 32768;
-        /** Largest group. */
+        /** Max size of a group. */
         std::size_t groupBytes = 4194304;
-        /** First and longest wait before a write is tried again. */
+        /** Initial and max delay before a write is retried. */
         std::chrono::milliseconds firstBackoff{20};
         std::chrono::milliseconds longestBackoff{1000};
-        /** Told once, before the records that are lost: another session has sealed this journal. */
+        /** Called once when another session has sealed this journal, before the callbacks of the lost records. */
         std::function<void()> onFenced;
     };
 
@@ -57,39 +57,39 @@
     JournalWriter &operator=(const JournalWriter &) = delete;
 
     /**
-     * Append a record. Records become durable in the order of the calls.
-     * @param appended told when it is in the journal, or when it is certain that it never will be; while the platform
-     * is down, neither comes
+     * Appends a record. Records become durable in the order of the calls.
+     * @param appended called when the record is durable, or when it is certain that it never will be; not called while
+     * the platform is down
      */
     void append(JournalRecord record, Appended appended);
 
-    /** Change how many writes a second this journal may make. */
+    /** Sets how many writes per second this journal may make. */
     void setWritesPerSecond(double rate);
 
-    /** Find out whether another session has sealed this journal, without waiting for the next append to fail. */
+    /** Checks whether another session has sealed this journal, without waiting for the next append to fail. */
     void checkForSeal();
 
-    /** @return the number that the next group to be started will have. */
+    /** @return the number of the next group to be started. */
     GroupNumber nextGroup() const;
 
     /** @return the last group that is durable; 0 if there is none. */
     GroupNumber lastDurableGroup() const;
 
-    /** @return since when the write in flight has not gone through, if its platform call has failed at least once. */
+    /** @return whether a platform call of the write in flight has failed and the write has not completed since. */
     bool isStalled() const;
 
     bool isFenced() const;
 
-    /** @return records that are not yet durable. */
+    /** @return number of records that are not yet durable. */
     std::size_t waiting() const;
 
-    /** @return records appended so far, durable or not. */
+    /** @return number of records appended so far, durable or not. */
     std::uint64_t appended() const;
 
-    /** @return records durable so far: those before it in the order of append(). */
+    /** @return number of records that are durable; they are the first ones in the order of append(). */
     std::uint64_t durable() const;
 
-    /** @return groups written. */
+    /** @return number of groups written. */
     std::uint64_t groupsWritten() const;
 
 private:
--- a/Libraries/LibJournal/RequestTable.cpp
+++ b/Libraries/LibJournal/RequestTable.cpp
@@ -44,12 +44,13 @@
         }
         return ClaimVerdict::Join;
     case Stage::IntentDurable:
-        // The answer to this very claim was lost on its way. The runner acts on one answer only, so it has not run yet.
+        // The response to this claim was lost. The runner acts on one response only, so the request has not run yet.
         if (isHolder(entry, request)) {
             return ClaimVerdict::Run;
         }
-        // Its claimer lives, but never learnt that it may run, or never got round to telling: a resend would wait for
-        // ever. It may have run, so the resend is told just that. A result that still comes is taken.
+        // The claimer's session has not ended, but the claimer may not have received the permission to run, or may not have
+        // reported the result. A resend would wait forever, so after the lease it gets an unknown outcome, because the
+        // request may have run. A result that still arrives is accepted.
         return hasLapsed ? ClaimVerdict::OutcomeUnknown : ClaimVerdict::Join;
     case Stage::IntentPending:
     case Stage::WithdrawPending:
@@ -107,7 +108,7 @@
 
 CommitVerdict RequestTable::commit(const CommitRequest &request)
 {
-    // A commit for an unknown id is taken: its claim was lost with a former owner, the work was done all the same.
+    // A commit for an unknown id is accepted: the claim was lost with a former owner, but the request has run.
     Entry &entry = this->entries.try_emplace(request.requestId).first->second;
     if (entry.stage == Stage::Done) {
         return CommitVerdict::Superseded;
@@ -179,7 +180,7 @@
 {
     this->bytesOfRecent += sizeOf(id, entry);
     this->recent.push_back(id);
-    // The one just added stays, whatever its size: whoever restored it is about to answer from it.
+    // The result just added stays regardless of its size, because the caller of restore() is about to answer from it.
     while (this->bytesOfRecent > this->recentBytes && this->recent.size() > 1) {
         const auto oldest = this->entries.find(this->recent.front());
         this->bytesOfRecent -= sizeOf(oldest->first, oldest->second);
@@ -255,7 +256,7 @@
             this->remove(current);
             break;
         case Stage::IntentPending:
-            // It was not told to run yet, and now is not told.
+            // The claimer has not received permission to run, and will not receive it.
             each.isAbandoned = true;
             break;
         default:
@@ -312,7 +313,7 @@
     if (!isNew) {
         return;
     }
-    // Its runner may live: the owner that journalled the intent is gone, not the node that runs it. dropRunners() tells.
+    // The owner that journalled the intent is gone, but the runner may still be active; dropRunners() decides.
     Entry &entry = found->second;
     entry.stage = Stage::IntentDurable;
     entry.hasIntent = true;
--- a/Libraries/LibJournal/RequestTable.h
+++ b/Libraries/LibJournal/RequestTable.h
@@ -14,126 +14,128 @@
 namespace Dogwoodkeel
 {
 
-/** What the owner of a shard decides about a claim, before anything is journalled. */
+/** Decision of a shard's owner about a claim, before anything is journalled. */
 enum class ClaimVerdict {
-    /** The asking node may run it at once. */
+    /** The claiming node may run the request at once. */
     Run,
-    /** It may run it as soon as an intent record is durable. */
+    /** The claiming node may run the request as soon as an intent record is durable. */
     RunAfterIntent,
-    /** Another node runs it: wait for its result. */
+    /** Another claim runs the request: wait for its result. */
     Join,
-    /** Its result is durable. */
+    /** The request's result is durable. */
     Done,
-    /** The id stands for another request. */
+    /** The id belongs to a request with another fingerprint. */
     Mismatch,
-    /** Non-idempotent, and its runner was lost. */
+    /** The request is non-idempotent and may have run, but its runner was lost or its lease expired. */
     OutcomeUnknown,
 };
 
-/** What the owner of a shard decides about a result. */
+/** Decision of a shard's owner about a result. */
 enum class CommitVerdict {
-    /** It is the first: journal it. */
+    /** This is the first result: journal it. */
     Journal,
-    /** The first result is being journalled: wait for that. */
+    /** The first result is being journalled: wait until it is durable. */
     Wait,
     /** Another result is durable. */
     Superseded,
 };
 
-/** What the owner of a shard decides about a claim that is given back. */
+/** Decision of a shard's owner about the release of a claim. */
 enum class ReleaseVerdict {
-    /** The asker does not hold it. */
+    /** The caller does not hold the claim, or it can no longer be released. */
     Refused,
-    /** It is free again, or will be when its intent's fate is known. */
+    /** The request may be claimed again, at the latest when its pending intent has been withdrawn. */
     Released,
-    /** It is free again when its withdrawal is durable: journal that. */
+    /** The request may be claimed again once its withdrawal is durable: journal the withdrawal. */
     Withdraw,
 };
 
-/** What the owner does when an intent has become durable. */
+/** Decision of a shard's owner when an intent has become durable. */
 enum class IntentVerdict {
-    /** Tell its claimer to run. */
+    /** Allow the claimer to run the request. */
     Run,
-    /** Its claimer has been told not to run, or is gone unanswered: journal a withdrawal. */
+    /** The claimer was refused, or its session ended before a response was sent: journal a withdrawal. */
     Withdraw,
-    /** It is not waited for any more. */
+    /** No claim waits for this intent any more. */
     NotPending,
 };
 
 /**
- * The requests of one shard: who runs them, and their results. Decides; the owner task journals and answers.
+ * Tracks the requests of one shard, their runners and their results. The table only makes decisions; the owner task
+ * journals records and sends responses.
  *
- * An idempotent claim is a lease in memory: if it is lost with its owner, two nodes may run the request, and the first
- * result to be journalled is the one that all callers get. A non-idempotent claim is an intent in the journal, and is
- * given out again only after a withdrawal in the journal, which needs proof that the request never left for an endpoint.
+ * An idempotent claim is a lease in memory. If it is lost with its owner, two nodes may run the request, and all callers
+ * get the first result that is journalled. A non-idempotent claim is an intent in the journal. It is granted again only
+ * after a journalled withdrawal, which requires proof that the request was never sent to an endpoint.
  */
 class RequestTable
 {
 public:
     /**
-     * @param clock measures the leases
-     * @param lease how long a runner may keep a request
-     * @param recentBytes results that are in a run and kept in memory all the same, at most
+     * @param clock clock that measures the leases
+     * @param lease duration of a runner's claim
+     * @param recentBytes max size of the results that are in a run and still kept in memory
      */
     RequestTable(const Clock &clock, std::chrono::milliseconds lease, std::size_t recentBytes);
 
     ClaimVerdict claim(const ClaimRequest &request);
 
-    /** The intent is durable. @return whether its claimer may run */
+    /** Records that an intent is durable. @return whether its claimer may run the request */
     IntentVerdict intentJournalled(const RequestId &id);
 
-    /** The claimer of an intent that is not durable yet is told that it must not run. */
+    /** Abandons an intent that is not durable yet, because its claimer was refused permission to run. */
     void abandonIntent(const ClaimRequest &request);
 
-    /** The withdrawal of an intent is durable: the request may be claimed again. */
+    /** Records that the withdrawal of an intent is durable: the request may be claimed again. */
     void withdrawn(const RequestId &id);
 
     CommitVerdict commit(const CommitRequest &request);
 
-    /** The first result is durable: it is told to those who wait. */
+    /** Records that the first result is durable, and notifies the waiting callers. */
     void resultJournalled(const RequestId &id);
 
-    /** Give a claim back that was proved not to have run. */
+    /** Releases a claim whose request is proved not to have run. */
     ReleaseVerdict release(const ReleaseRequest &request);
 
     /**
-     * A session is gone, and what it ran with it: its idempotent claims are free again, its intents end as unknown. Claims
-     * whose leases ended long ago are dropped too: their runners gave them up in a way that was never heard of.
-     * @param isGone tells whether a session is
+     * Drops the claims of ended sessions: idempotent requests may be claimed again, durable intents get an unknown outcome.
+     * Also drops idempotent claims whose lease expired at least one lease duration ago, because the runner's release may
+     * have been lost.
+     * @param hasEnded returns whether a session has ended
      */
     void dropRunners(const std::function<bool(SessionNumber)> &isGone);
 
-    /** Forget everything and tell all who wait: this node does not own the shard any more. */
+    /** Clears the table and notifies all waiting callers, because this node no longer owns the shard. */
     void abandon();
 
-    /** @return where a request stands. */
+    /** @return the state of a request. */
     RequestState state(const RequestId &id) const;
 
-    /** @return the durable answer, or null. */
+    /** @return the durable answer, or null if there is none. */
     const Answer *answer(const RequestId &id) const;
 
     /**
-     * Wait for a request's result, or for its runner to give up.
-     * @param reported called once: then claim() or answer() has news
+     * Waits for a request's result or for a change of its claim.
+     * @param reported called once, when claim() or answer() may return something new
      */
     void await(const RequestId &id, std::function<void()> reported);
 
-    /** @return durable results that are in no run of the shard's index yet, sorted by id. */
+    /** @return durable results that are not yet in a run of the shard's index, sorted by id. */
     std::vector<ResultRecord> unindexed() const;
 
-    /** @return bytes of the results that are in no run yet. */
+    /** @return size in bytes of the results that are not yet in a run. */
     std::size_t unindexedBytes() const;
 
-    /** These results are in a run now: only the youngest are kept in memory. */
+    /** Records that these results are now in a run; only the most recent of them stay in memory. */
     void indexed(const std::vector<ResultRecord> &results);
 
-    /** A result was read from a run. */
+    /** Adds a result that was read from a run. */
     void restore(const ResultRecord &result);
 
-    /** @return the records that bring back all durable state but the results: kind and encoded record. */
+    /** @return the records that restore all durable state except the results: kind and encoded record. */
     std::vector<std::pair<RecordKind, std::string>> checkpointRecords() const;
 
-    /** Take over what a journal says. */
+    /** Applies a record read from a journal. */
     void replay(const IntentRecord &record);
     void replay(const WithdrawRecord &record);
     void replay(const ResultRecord &record);
@@ -145,7 +147,7 @@
         Claimed,
         IntentPending,
         IntentDurable,
-        /** The intent of a runner that is gone: it may have run, and nobody will tell. */
+        /** The intent's runner has ended: the request may have run, and its outcome will not be reported. */
         IntentOrphaned,
         WithdrawPending,
         ResultPending,
@@ -157,14 +159,14 @@
         Stage stage = Stage::Claimed;
         std::uint64_t fingerprint = 0;
         SessionNumber runner;
-        /** Of the runner: tells a repeated call from another caller's resend at the same node. */
+        /** Claim number of the runner; distinguishes a repeated call from another caller's resend at the same node. */
         std::uint64_t claim = 0;
         SteadyTime leaseEnd{};
-        /** With IntentPending: its claimer will not run. */
+        /** With IntentPending: the claimer will not run the request. */
         bool isAbandoned = false;
-        /** Its intent is durable: a checkpoint has to hold it until there is a result. */
+        /** The intent is durable: checkpoints must include it until there is a result. */
         bool hasIntent = false;
-        /** With Done: whether it is in a run. */
+        /** With Done: whether the result is in a run. */
         bool isIndexed = false;
         Answer answer;
         std::vector<std::function<void()>> waiting;
--- a/Libraries/LibJournal/ResultIndex.cpp
+++ b/Libraries/LibJournal/ResultIndex.cpp
@@ -82,7 +82,7 @@
         }
         const auto block = result.outcome == ReadOutcome::Found ? decode<ResultBlock>(result.content) : std::nullopt;
         if (!block) {
-            // NOTE: Also when the object is gone. Runs may have been merged since; that the id is not there is not known.
+            // NOTE: An absent object also counts as a failure: the runs may have been merged since, so the id may exist.
             looked(ReadOutcome::Failed, std::nullopt);
             return;
         }
--- a/Libraries/LibJournal/ResultIndex.h
+++ b/Libraries/LibJournal/ResultIndex.h
@@ -13,7 +13,7 @@
 namespace Dogwoodkeel
 {
 
-/** A run of results, and the object that describes it. */
+/** A run of results, and the key of the object that describes it. */
 struct LoadedRun
 {
     std::string key;
@@ -21,13 +21,13 @@
 };
 
 /**
- * Finds results that are not in memory any more. Keeps for each run its blocks' first and last ids and a filter, about two
- * bytes a result; the results themselves stay in the object store, and one read brings the block that holds an id.
+ * Finds results that are no longer in memory. For each run, the index keeps the first and last ids of its blocks and a
+ * filter of about two bytes per result. The results stay in the object store; one read loads the block that may hold an id.
  */
 class ResultIndex
 {
 public:
-    /** @param found gets whether the id is in a run (Absent is certain, Failed is not), and the result */
+    /** Receives whether the id is in a run (Absent is certain, Failed is not), and the result. */
     using Looked = std::function<void(ReadOutcome, std::optional<ResultRecord>)>;
 
     explicit ResultIndex(ObjectStore &objects);
@@ -35,22 +35,22 @@
     ResultIndex(const ResultIndex &) = delete;
     ResultIndex &operator=(const ResultIndex &) = delete;
 
-    /** Add a run, younger than those there are. */
+    /** Adds a run that is newer than all existing ones. */
     void add(LoadedRun run);
 
-    /** Put these runs in the place of all there are. */
+    /** Replaces all runs. */
     void replace(std::vector<LoadedRun> runs);
 
     /** @return the runs, oldest first. */
     const std::vector<LoadedRun> &runs() const;
 
-    /** @return a number that changes whenever the runs do. */
+    /** @return a number that changes whenever the runs change. */
     std::uint64_t generation() const;
 
-    /** @return false if the id is certainly in no run. */
+    /** @return false if the id is certainly not in any run. */
     bool mayContain(const RequestId &id) const;
 
-    /** Look an id up in the runs, youngest first. */
+    /** Looks up an id in the runs, newest first. */
     void find(const RequestId &id, Looked looked);
 
 private:
--- a/Libraries/LibJournal/SessionRegistry.h
+++ b/Libraries/LibJournal/SessionRegistry.h
@@ -12,11 +12,11 @@
 namespace Dogwoodkeel
 {
 
-/** Takes session numbers from the platform, and tells of the sessions there are. */
+/** Allocates session numbers on the platform, and lists the open sessions. */
 class SessionRegistry
 {
 public:
-    /** A session and its row. */
+    /** The number and row of an open session. */
     struct Listed
     {
         SessionNumber number;
@@ -29,18 +29,18 @@
     SessionRegistry &operator=(const SessionRegistry &) = delete;
 
     /**
-     * Take the next session number. Tries until the platform answers. A number whose transaction was lost is left
-     * unused: numbers only have to grow.
+     * Allocates the next session number. Retries until the platform responds. If the response to a transaction is lost, its
+     * number stays unused; session numbers only have to increase.
      */
     void open(SessionRow row, std::function<void(SessionNumber)> opened);
 
-    /** Remove a session's row, best effort: it only tells starting nodes whom to ask. */
+    /** Removes a session's row, best effort: starting nodes only use the rows to find nodes to contact. */
     void close(SessionNumber number);
 
-    /** Write the row of this node's session again, which another node has removed. */
+    /** Writes the row of this node's session again after another node has removed it. */
     void restore(SessionNumber number);
 
-    /** @param listed gets the sessions that are not closed, or nothing if the platform did not answer */
+    /** @param listed receives the open sessions, or nothing if the platform did not respond */
     void list(std::function<void(std::optional<std::vector<Listed>>)> listed);
 
 private:
--- a/Libraries/LibJournal/WritePace.cpp
+++ b/Libraries/LibJournal/WritePace.cpp
@@ -11,11 +11,11 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** The part of the budget that group commits may take. */
+/** Share of the budget that group commits may use. */
 constexpr double journalShare = 0.75;
-/** Below this rate a journal's records wait too long: fewer nodes hold journals then. */
+/** Min writes per second of one journal. Below it records wait too long, so fewer nodes hold journals. */
 constexpr double slowestJournal = 8;
-/** Over how long the rate of records is averaged. */
+/** Time constant of the moving average of the record rate. */
 constexpr Seconds memory{0.5};
 
 SteadyTime after(SteadyTime time, Seconds wait)
--- a/Libraries/LibJournal/WritePace.h
+++ b/Libraries/LibJournal/WritePace.h
@@ -11,37 +11,37 @@
 /**
  * Decides when a journal may write its next group.
  *
- * A write after a quiet time starts at once. While records come in fast, a write waits a little so that more of them share
- * it. Whatever comes in, writes stay under this journal's part of the platform's budget (a token bucket): records then
- * wait, and the groups grow.
+ * After an idle period a write starts at once. At a high record rate a write is delayed briefly, so that more records share
+ * it. A token bucket keeps the writes within this journal's share of the platform's budget at any load; when it is empty,
+ * records wait and the groups grow.
  */
 class WritePace
 {
 public:
-    /** Times and rates. */
+    /** Intervals and rates. */
     struct Options
     {
-        /** Shortest time between the starts of two writes. */
+        /** Min interval between the starts of two writes. */
         std::chrono::milliseconds minInterval{5};
-        /** Longest wait for more records to share a write. */
+        /** Max delay of a write to gather more records. */
         std::chrono::milliseconds gatherTime{75};
-        /** Records that must be expected within that time for it to be worth waiting. */
+        /** Min number of records expected within gatherTime for a write to be delayed. */
         double minGatherRecords = 4;
-        /** Writes a second that this journal may make over time. */
+        /** Average writes per second that this journal may make. */
         double writesPerSecond = 200;
-        /** Writes that may follow each other faster, after a quiet time: so many seconds' worth. */
+        /** Capacity of the token bucket, as the time in which it fills. */
         std::chrono::milliseconds burst{1000};
     };
 
     explicit WritePace(Options options);
 
-    /** Change the rate: there are other journals, or another budget. */
+    /** Sets the rate, after a change of the number of journals or of the budget. */
     void setWritesPerSecond(double rate, SteadyTime now);
 
-    /** A record came in. */
+    /** Records the arrival of a record. */
     void recordAdded(SteadyTime now);
 
-    /** A write starts. @param writes what it takes: a row, and an object if it is large */
+    /** Records the start of a write. @param writes platform writes used: one for the row, one more for a large group's object */
     void writeStarted(SteadyTime now, double writes);
 
     /** @return the earliest time at which the next write may start. */
@@ -55,21 +55,21 @@
     SteadyTime lastStart{};
     double tokens = 0;
     SteadyTime tokensSince{};
-    /** Records a second, a moving average. */
+    /** Records per second, as a moving average. */
     double recordRate = 0;
     SteadyTime lastRecord{};
 };
 
 /**
  * @param writesPerSecond the platform's budget for all nodes
- * @param journals how many nodes hold a journal
- * @return writes a second that one journal may make; the rest of the budget is for checkpoints, rows and jobs' items
+ * @param journals number of nodes that hold a journal
+ * @return writes per second that one journal may make; the remaining budget is for checkpoints, rows and batch items
  */
 double journalWritesPerSecond(double writesPerSecond, std::size_t journals);
 
 /**
  * @param writesPerSecond the platform's budget for all nodes
- * @return how many nodes may hold a journal so that each can still write often enough for its callers
+ * @return max number of nodes that may hold a journal, such that each can still write often enough for its callers
  */
 std::size_t maxJournals(double writesPerSecond);
 
--- a/Tests/LibJournal/TestJournalWriter.cpp
+++ b/Tests/LibJournal/TestJournalWriter.cpp
@@ -52,11 +52,10 @@
 
 } // namespace
 
-TEST_CASE("an append whose answer was lost is read back, not written twice and not lost")
+TEST_CASE("an append whose response was lost is read back, neither duplicated nor lost")
 {
-    // The caller sees its answer confirmed once. The platform takes the group and loses the answer; the writer cannot
-    // know. Writing the records again in a new group would double them, giving up would lose them: the row's nonce
-    // tells that they are there.
+    // The platform stores the group but its response is lost, so the writer does not know the outcome. Writing the
+    // records in a new group would duplicate them, and giving up would lose them. The nonce in the row identifies the group.
     Fixture fixture;
     fixture.platform.loseAnswers(1);
     fixture.append("offer note");
@@ -65,7 +64,7 @@
     CHECK(fixture.recover() == Payloads{"offer note"});
 }
 
-TEST_CASE("an append that did not reach the platform is written when it is back")
+TEST_CASE("an append that did not reach the platform is written when the platform is available again")
 {
     Fixture fixture;
     fixture.platform.setDown(true);
@@ -79,10 +78,10 @@
     CHECK_FALSE(fixture.writer.isStalled());
 }
 
-TEST_CASE("an owner that was paused while its journal was sealed can add nothing")
+TEST_CASE("an owner that was paused while its journal was sealed cannot append")
 {
-    // The owner is paused, another node takes over, and the owner wakes and goes on as if nothing had been. Its callers
-    // must not be told that a result is kept which the new owner does not have.
+    // Another node takes over while the owner is paused, and the owner then resumes. It must not acknowledge a result that
+    // the new owner does not have.
     Fixture fixture;
     fixture.append("before the pause");
     fixture.clock.advance(100ms);
@@ -105,7 +104,7 @@
     CHECK(fixture.recover() == Payloads{large});
 }
 
-TEST_CASE("a burst of appends takes two platform writes: the first alone, the rest together")
+TEST_CASE("a burst of appends needs two platform writes: one for the first record, one for the remaining records")
 {
     Fixture fixture;
     fixture.append("first");
@@ -118,11 +117,11 @@
     CHECK(fixture.platform.rowWrites() == 2);
 }
 
-TEST_CASE("a seal behind a group that is still on its way is not taken for the journal's end")
+TEST_CASE("a seal after a group that is still in flight does not count as the journal's end")
 {
-    // Two nodes take over different shards of one owner. The first reads from behind the group that the owner has in
-    // flight, and seals there. The second reads from the start, finds the seal with the gap before it, and must not
-    // stop there: the group could still arrive, be acknowledged, and be missing at the new owner.
+    // Two nodes take over different shards of one owner. The first reads from after the group that the owner has in
+    // flight, and seals there. The second reads from the start and finds a gap before that seal. It must seal at the gap:
+    // otherwise the group could still be written and acknowledged, and be missing at the new owner.
     Fixture fixture;
     fixture.append("in group 1");
     fixture.clock.advance(100ms);
@@ -142,10 +141,10 @@
     CHECK(fixture.fenced == Payloads{"in group 2"});
 }
 
-TEST_CASE("a recovery tells where the journal ends")
+TEST_CASE("a recovery returns the last group of the journal")
 {
-    // The taker closes the span in the shard's row with it. Closed too early, the span would drop out of the row, and the
-    // owner after the taker would not know of the results in it.
+    // The session that takes over closes the span in the shard's row with this number. If it were too low, the span would
+    // be dropped from the row, and the next owner would not find the results in it.
     Fixture fixture;
     fixture.append("group 1");
     fixture.clock.advance(100ms);
--- a/Tests/LibJournal/TestWritePace.cpp
+++ b/Tests/LibJournal/TestWritePace.cpp
@@ -18,7 +18,7 @@
     std::chrono::milliseconds longestWait{0};
 };
 
-/** Records come in at random times; each write takes all that wait. */
+/** Simulates records that arrive at random times; each write includes all waiting records. */
 Load run(WritePace &pace, double recordsPerSecond, std::chrono::seconds time)
 {
     std::mt19937_64 random(7);
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("a lone record is written at once, and a stream of them shares writes")
+TEST_CASE("a single record is written at once, and records at a high rate share writes")
 {
     WritePace quiet({});
     CHECK(run(quiet, 5, 20s).longestWait <= 6ms);
@@ -58,7 +58,7 @@
     CHECK(load.longestWait <= 80ms);
 }
 
-TEST_CASE("writes stay within the budget whatever comes in")
+TEST_CASE("writes stay within the budget at any record rate")
 {
     for (const double rate : {10.0, 100.0, 900.0}) {
         WritePace pace({.gatherTime = 0ms, .writesPerSecond = 20});
@@ -66,7 +66,7 @@
     }
 }
 
-TEST_CASE("a lowered budget holds from then on")
+TEST_CASE("a lowered budget takes effect at once")
 {
     ManualClock clock;
     WritePace pace({.writesPerSecond = 1000});
