--- a/Libraries/LibControl/ConfigurationCheck.cpp
+++ b/Libraries/LibControl/ConfigurationCheck.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t largestContent = 64UL * 1024 * 1024;
 
-/** Stands for a VM's own file where a version is checked for a site and not for a node. */
+/** Replaces a VM's own file when a version is checked for a site and not for a node. */
 constexpr const char *anyNode = "[node]\nvm = \"any\"\nfailure_domain = \"any\"\n";
 
 std::size_t sizeOf(const ConfigurationContent &content)
@@ -39,7 +39,7 @@
     }
 }
 
-/** A version must not open the system to everyone, nor shut out those who could change it back. */
+/** Checks that a version neither opens a system with keys to everyone, nor leaves no operator who could change it again. */
 void checkAccess(const Settings &settings, const std::string &site, Access access, Findings &findings)
 {
     const std::string file = site.empty() ? baseFileName : overlayFileName(site);
--- a/Libraries/LibControl/ConfigurationCheck.h
+++ b/Libraries/LibControl/ConfigurationCheck.h
@@ -11,35 +11,35 @@
 namespace Dogwoodkeel
 {
 
-/** File names by which findings name the texts of a version; `config show --directory` writes them so. */
+/** File names that identify the texts of a version in findings; `config show --directory` writes the same names. */
 inline constexpr const char *baseFileName = "base.toml";
 std::string overlayFileName(const std::string &site);
 
 /**
- * Make the settings of one node out of a version.
- * @param content of the version
- * @param site whose overlay counts; a site without one works by the base alone
- * @param ownFiles the VM's own files: only their local sections count
- * @param findings gets every mistake with its place
- * @return the settings, or nothing if there was a mistake
+ * Builds the settings of one node from a version.
+ * @param content content of the version
+ * @param site site whose overlay applies; a site without an overlay uses the base only
+ * @param ownFiles the VM's own files; only their local sections apply
+ * @param findings receives every error with its location
+ * @return the settings, or nothing if there is an error
  */
 std::optional<Settings> loadVersion(const ConfigurationContent &content,
                                     const std::string &site,
                                     const std::vector<SettingsSource> &ownFiles,
                                     Findings &findings);
 
-/** Who may call a node that works by a configuration. */
+/** Whether a configuration may leave a node open to callers without a key. */
 enum class Access {
-    /** A configuration without tenants lets everyone in, as an operator: a trial. */
+    /** A configuration without tenants is valid: it accepts every caller as an operator, for trials. */
     MayBeOpen,
-    /** There are keys today; a version that takes all of them away is a mistake, not a trial. */
+    /** Keys are in use already, so a version without tenants is an error and not a trial. */
     NeedsKeys,
 };
 
 /**
- * Check a version as every site's nodes will load it.
- * @param access whether it may leave every caller in without a key
- * @param findings gets all mistakes of all sites together; one that several sites meet in the base is told once
+ * Checks a version as the nodes of every site will load it.
+ * @param access whether the version may accept callers without a key
+ * @param findings receives the errors of all sites; an error in the base that affects several sites is reported once
  */
 void checkConfiguration(const ConfigurationContent &content, Access access, Findings &findings);
 
--- a/Libraries/LibControl/ConfigurationKeys.cpp
+++ b/Libraries/LibControl/ConfigurationKeys.cpp
@@ -24,8 +24,8 @@
 
 std::string part(std::string_view content)
 {
-    // Two contents under one key would put a mixed configuration into force; 128 bits of the same SHA-256 as for API
-    // keys leave no chance of that, and a row that names hundreds of parts still fits the platform's limit.
+    // A hash collision would put a mixed configuration into force. 128 bits of the same SHA-256 as for API keys make that
+    // negligible, and a row that lists hundreds of parts still fits the platform's limit.
     constexpr std::size_t digits = 32;
     return "config-part/" + hashOfKey(content).substr(0, digits);
 }
--- a/Libraries/LibControl/ConfigurationKeys.h
+++ b/Libraries/LibControl/ConfigurationKeys.h
@@ -9,15 +9,15 @@
 {
 
 /**
- * Row of a version. Keys sort with the newest version first, so that one ranged read of one row finds it, however long
- * the history has grown.
+ * Returns the row key of a version. Keys sort with the newest version first, so that a range read of one row finds the
+ * newest version regardless of the length of the history.
  */
 std::string version(std::uint64_t number);
 
-/** @return the key behind all versions' rows. */
+/** @return the exclusive end of the key range of all versions' rows. */
 std::string versionsEnd();
 
-/** Object of a part. Made from what it holds, so writing it again changes nothing. */
+/** Returns the object key of a part. It is a hash of the content, so writing a part again is idempotent. */
 std::string part(std::string_view content);
 
 } // namespace Dogwoodkeel::ConfigurationKeys
--- a/Libraries/LibControl/ConfigurationParts.cpp
+++ b/Libraries/LibControl/ConfigurationParts.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-/** No border before this many bytes: each part costs a key in the version's row. */
+/** Min size of a part, because each part adds a key to the version's row. */
 constexpr std::size_t leastBytes = 4096;
-/** A border after this many bytes at the latest, so that a part stays a small object and frame. */
+/** Size at which a part ends at the next line end, so that it stays a small object and frame. */
 constexpr std::size_t mostBytes = 131072;
-/** One line in so many ends a part, which makes parts of about 20 KB of lines of some 30 bytes. */
+/** One in this many lines ends a part, which yields parts of about 20 KB for lines of about 30 bytes. */
 constexpr std::uint64_t linesPerBorder = 512;
 
 } // namespace
--- a/Libraries/LibControl/ConfigurationParts.h
+++ b/Libraries/LibControl/ConfigurationParts.h
@@ -8,9 +8,9 @@
 {
 
 /**
- * Cut a long text into parts whose borders depend on the text nearby only: a change of a few lines changes one or two
- * parts, and the others keep their keys. A node then fetches what changed, not the whole configuration.
- * @return the parts; joined, they are the text
+ * Splits a long text by content-defined chunking: boundaries depend on the nearby text only. A change of a few lines
+ * changes one or two parts and the others keep their keys, so a node fetches only the changed parts.
+ * @return the parts; their concatenation is the text
  */
 std::vector<std::string> splitIntoParts(std::string_view text);
 
--- a/Libraries/LibControl/ConfigurationStore.cpp
+++ b/Libraries/LibControl/ConfigurationStore.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** Left in a row for its other fields: nonce, author, reason. */
+/** Bytes reserved in a row for its other fields: nonce, author, reason. */
 constexpr std::size_t rowReserve = 1024;
 
 } // namespace
@@ -28,7 +28,7 @@
         versions.outcome = result.outcome;
         for (const Row &row : result.rows) {
             auto version = decode<ConfigurationRow>(row.value);
-            // A row that cannot be read must not make an older one look like the newest.
+            // A row that cannot be decoded must not make an older one appear to be the newest.
             if (!version) {
                 done({ReadOutcome::Failed, {}});
                 return;
@@ -88,7 +88,7 @@
 void ConfigurationStore::writePart(const std::string &key, const std::string &content, std::function<void(WriteOutcome)> done)
 {
     this->platform.objects().putIfAbsent(key, content, [done = std::move(done)](WriteOutcome outcome) {
-        // Refused: it is there, and by its key it holds the same.
+        // Refused: the part exists, and its key guarantees the same content.
         done(outcome == WriteOutcome::Refused ? WriteOutcome::Done : outcome);
     });
 }
--- a/Libraries/LibControl/ConfigurationStore.h
+++ b/Libraries/LibControl/ConfigurationStore.h
@@ -14,13 +14,13 @@
 namespace Dogwoodkeel
 {
 
-/** Parts of a configuration by their keys. */
+/** Parts of a configuration by key. */
 using ConfigurationPartMap = std::map<std::string, std::string>;
 
-/** What became of a read of versions' rows. */
+/** Result of reading the rows of versions. */
 struct ConfigurationRows
 {
-    /** Found (also when there are none) or Failed. */
+    /** Found (also if there are no rows) or Failed. */
     ReadOutcome outcome = ReadOutcome::Failed;
     /** Newest first. */
     std::vector<ConfigurationRow> rows;
@@ -35,22 +35,22 @@
 
     explicit ConfigurationStore(Platform &platform);
 
-    /** @param limit how many versions, from the newest */
+    /** Reads the newest versions. @param limit max number of versions */
     void readNewest(std::size_t limit, RowsRead done);
 
-    /** Read a version and the one before it, if they are there. */
+    /** Reads a version and the preceding one, if they exist. */
     void readPair(std::uint64_t number, RowsRead done);
 
-    /** Read all that a row's parts hold, if they can be read. */
+    /** Reads the content of a version, including its parts. @param done receives nothing if the content could not be read */
     void readContent(const ConfigurationRow &row, ContentRead done);
 
-    /** Read one part. @param done gets nothing if it could not be read, or is not what its key says */
+    /** Reads one part. @param done receives nothing if the part could not be read or does not match the hash in its key */
     void readPart(const std::string &key, std::function<void(std::optional<std::string>)> done);
 
-    /** Write a part; one that is there already counts as Done. */
+    /** Writes a part; a part that exists already counts as Done. */
     void writePart(const std::string &key, const std::string &content, std::function<void(WriteOutcome)> done);
 
-    /** Insert a version's row, if the number is free. */
+    /** Inserts a version's row if no row with this number exists. */
     void insert(const ConfigurationRow &row, std::function<void(WriteOutcome)> done);
 
 private:
@@ -61,9 +61,9 @@
 };
 
 /**
- * Fill a row with its content: within the row if it fits, else as parts.
- * @param rowBytes largest row
- * @return the parts to write before the row; none if the content fits
+ * Stores content in a row: inline if it fits, otherwise as keys of parts.
+ * @param rowBytes max size of a row
+ * @return the parts to write before the row; empty if the content is inline
  */
 ConfigurationPartMap packContent(const ConfigurationContent &content, std::size_t rowBytes, ConfigurationRow &row);
 
--- a/Libraries/LibControl/ConfigurationWriter.cpp
+++ b/Libraries/LibControl/ConfigurationWriter.cpp
@@ -82,8 +82,8 @@
     }
     const std::uint64_t edited = attempt->row.number - 1;
     if (edited > 0 && find(read, edited) == nullptr) {
-        // Rows are never removed, so with the edited version there and the next one absent there is none behind it:
-        // inserting it cannot leave a gap, which would let two operators both win.
+        // Rows are never removed, so if the edited version exists and the next one is absent, there is no later version.
+        // Without the edited version, an insert could leave a gap in the numbers, and two operators could both succeed.
         Findings findings;
         findings.add({"request", 0, 0}, "there is no version " + std::to_string(edited) + " to have been edited");
         attempt->applied(invalid(std::move(findings)));
@@ -123,7 +123,7 @@
             finish(attempt, ApplyOutcome::Accepted, attempt->row);
             return;
         case WriteOutcome::Refused:
-            // Someone's row is there. It may be our own: an earlier insert whose answer was lost.
+            // The row exists. It may be this attempt's own, from an earlier insert whose response was lost.
             this->look(attempt);
             return;
         case WriteOutcome::NotApplied:
--- a/Libraries/LibControl/ConfigurationWriter.h
+++ b/Libraries/LibControl/ConfigurationWriter.h
@@ -15,12 +15,12 @@
 namespace Dogwoodkeel
 {
 
-/** What an operator wants to become the next version. */
+/** An operator's proposal for the next version. */
 struct ConfigurationProposal
 {
-    /** The version that was edited; 0 if there was none. */
+    /** Number of the version that was edited; 0 if there was none. */
     std::uint64_t edited = 0;
-    /** The same in every resend of one apply, and in no other. */
+    /** Identifies one apply: the same in all its resends, different in every other apply. */
     std::string nonce;
     std::string author;
     std::string reason;
@@ -28,37 +28,37 @@
     Access access = Access::MayBeOpen;
 };
 
-/** What became of a proposal. */
+/** Outcome of a proposal. */
 enum class ApplyOutcome {
-    /** It is the version edited + 1, now or by an earlier send with the same nonce. */
+    /** The proposal is version edited + 1, by this call or by an earlier one with the same nonce. */
     Accepted,
-    /** Another operator's version took that number. */
+    /** Another operator's version has that number. */
     Raced,
-    /** It has mistakes; nothing was written. */
+    /** The proposal has errors; nothing was written. */
     Invalid,
-    /** Proved: it was not accepted, and never will be by this call. */
+    /** It is certain that this call did not apply the proposal and never will. */
     NotApplied,
-    /** The platform's answer was lost and could not be found out in time. A resend with the same nonce tells. */
+    /** A response of the platform was lost and the outcome was not resolved in time; a resend with the same nonce resolves it. */
     Unknown,
 };
 
-/** The answer to a proposal. */
+/** Outcome of a proposal, with its details. */
 struct ApplyResult
 {
     ApplyOutcome outcome = ApplyOutcome::Unknown;
-    /** With Accepted: the row that was written. With Raced: the row that won. */
+    /** With Accepted: the row that was written. With Raced: the other operator's row. */
     ConfigurationRow row;
-    /** With Invalid. */
+    /** With Invalid: the errors. */
     Findings findings;
 };
 
 /**
- * Makes a proposal the next version: everything is checked, the parts are written, then the row is inserted if its
- * number is free. The platform decides between operators that race.
+ * Makes a proposal the next version: checks the content, writes the parts, then inserts the row if its number is free.
+ * The platform's insert-if-absent decides between concurrent operators.
  *
- * Every outcome of the insert is resolved by reading the row back and comparing its nonce: an answer that was lost
- * after the insert took effect must not make the operator apply it a second time, and an insert that another operator
- * won must not be told as accepted.
+ * An insert that did not succeed is resolved by reading the row back and comparing its nonce. An operator must not have to
+ * apply a change again because the response to a successful insert was lost, and a proposal that lost against another
+ * operator's must not be reported as accepted.
  */
 class ConfigurationWriter
 {
@@ -67,13 +67,13 @@
 
     struct Options
     {
-        /** Largest row. */
+        /** Max size of a row. */
         std::size_t rowBytes = 32768;
-        /** Between two tries of a call that failed. */
+        /** Delay before a failed call is retried. */
         std::chrono::milliseconds retry{100};
-        /** When to give up. */
+        /** Time after which failed calls are no longer retried. */
         std::chrono::milliseconds timeout{10000};
-        /** Tells of parts that are on the platform for sure, because an accepted version names them; may be empty. */
+        /** Returns whether a part is certainly on the platform, because an accepted version refers to it; may be empty. */
         std::function<bool(const std::string &key)> isStored;
     };
 
@@ -82,18 +82,18 @@
     ConfigurationWriter(const ConfigurationWriter &) = delete;
     ConfigurationWriter &operator=(const ConfigurationWriter &) = delete;
 
-    /** @param applied told once */
+    /** Applies a proposal. @param applied called once with the outcome */
     void apply(ConfigurationProposal proposal, Applied applied);
 
 private:
-    /** One apply on its way. */
+    /** One apply in progress. */
     struct Attempt
     {
         ConfigurationRow row;
         ConfigurationPartMap parts;
         Applied applied;
         SteadyTime deadline{};
-        /** Whether an insert may have taken effect, or may yet. */
+        /** Whether an insert may have taken effect or may still do so. */
         bool mayBeInserted = false;
     };
     using AttemptPointer = std::shared_ptr<Attempt>;
--- a/Libraries/LibControl/EngineState.h
+++ b/Libraries/LibControl/EngineState.h
@@ -9,35 +9,35 @@
 namespace Dogwoodkeel
 {
 
-/** What an engine has loaded and does; empty names: nothing. */
+/** What an engine has loaded, and its role; empty names mean that nothing is loaded. */
 struct EngineState
 {
     std::string model;
     std::string version;
-    /** In order of their names. */
+    /** Sorted by name. */
     std::vector<std::string> adapters;
-    /** "serve", or a role that takes no requests of callers. */
+    /** "serve", or a role that accepts no requests from callers. */
     std::string role;
 
     bool operator==(const EngineState &) const = default;
 };
 
-/** What an engine says of itself. */
+/** The state that an engine reports about itself. */
 struct EngineStateReport
 {
     EngineState state;
-    /** What it is loading; nothing: it is not. */
+    /** The state that is being loaded, if any. */
     std::optional<EngineState> loading;
-    /** The highest fencing number it has seen. */
+    /** The highest fencing number that the engine has seen. */
     std::uint64_t fence = 0;
-    /** Requests since it has its version, and those of them that failed through its fault. */
+    /** Requests since the engine loaded its version, and those of them that failed because of the engine. */
     std::uint64_t requests = 0;
     std::uint64_t errors = 0;
 };
 
 /**
- * An order: the state that an engine shall have. Whole and idempotent, so that sending it twice, or late, does no more
- * than sending it once.
+ * An order to an engine: the complete state that it shall have. Orders are idempotent, so a repeated or delayed order has
+ * the same effect as a single one.
  */
 struct EngineOrder
 {
@@ -45,7 +45,7 @@
     std::uint64_t fence = 0;
 };
 
-/** The JSON that engines speak about orders: GET /orders and POST /orders. */
+/** The JSON protocol for orders to engines: GET /orders and POST /orders. */
 namespace EngineProtocol
 {
 inline constexpr const char *ordersPath = "/orders";
--- a/Libraries/LibControl/OrderLease.cpp
+++ b/Libraries/LibControl/OrderLease.cpp
@@ -13,7 +13,7 @@
 {
 
 constexpr std::size_t candidates = 3;
-/** How much rarer all other nodes look, in lease lengths. */
+/** Interval at which nodes that are not candidates read the row, in lease durations. */
 constexpr int rareLook = 3;
 constexpr int renewalsPerLease = 3;
 
@@ -135,7 +135,7 @@
 {
     this->lookLater();
     if (result.outcome == ReadOutcome::Failed) {
-        // Held or not, nothing is known. A holder's lease runs out by its own clock.
+        // Nothing is known about the row. A holder's lease expires by its own clock.
         return;
     }
     if (result.outcome == ReadOutcome::Absent) {
@@ -144,7 +144,7 @@
     }
     const auto row = decode<OrderLeaseRow>(result.row.value);
     if (!row) {
-        log(LogLevel::Error, "lease of orders is damaged", {{"site", this->options.site}});
+        log(LogLevel::Error, "lease of orders cannot be decoded, not acquiring it", {{"site", this->options.site}});
         return;
     }
     const SteadyTime now = this->clock.now();
@@ -161,8 +161,8 @@
         this->renew(result.row.version);
         return;
     }
-    // A row of this very session that it does not know it holds: the answer to its taking was lost. It is taken anew, by
-    // the next epoch, after the lease that the lost write might have begun.
+    // If the row names this session but the lease is not held, the response to the acquiring write was lost. The lease is
+    // acquired again with the next epoch, after the lease that the lost write may have started has expired.
     const bool isRunOut = now - this->seenSince >= this->options.lease;
     if (row->holder == SessionNumber(0) || isRunOut) {
         this->take(*row, result.row.version);
@@ -208,7 +208,7 @@
             this->held = true;
             this->orderFrom = this->clock.now() + this->options.margin;
             log(LogLevel::Info,
-                "lease of orders taken",
+                "lease of orders acquired",
                 {{"site", this->options.site}, {"epoch", static_cast<std::int64_t>(row.epoch)}});
         }
     };
--- a/Libraries/LibControl/OrderLease.h
+++ b/Libraries/LibControl/OrderLease.h
@@ -16,14 +16,15 @@
 {
 
 /**
- * The right to give orders to the engines of a site: a row on the platform that its holder renews.
+ * Holds or competes for the exclusive right to send orders to the engines of a site. The lease is a row on the platform
+ * that its holder renews.
  *
- * No clocks are compared between nodes. The holder counts its lease from before it sent the renewal that took effect;
- * a node that wants it counts from when it first saw the row unchanged. So whoever takes over does so after the holder's
- * own lease has ended. The epoch in the row is the orders' fencing number: an engine that checks it refuses a holder that
- * was paused between its check and its send. For engines that do not check, the holder stops a margin before its lease
- * ends and a new one waits that margin, which covers orders on their way; one that is later still is corrected, because
- * orders state the whole intended state and are verified by the next report.
+ * Clocks of different nodes are never compared. The holder measures its lease from before it sent the last successful
+ * renewal; a candidate measures it from when it first read the current row version. So a takeover happens only after the
+ * holder's own lease has expired. The epoch in the row is the fencing number of orders: an engine that checks it refuses
+ * orders of a holder that was paused between its own check and the send. For engines that do not check it, the holder stops
+ * a margin before its lease expires and a new holder waits for the same margin, which covers orders in flight. An order that
+ * arrives even later is corrected, because orders contain the complete intended state and the next report verifies it.
  */
 class OrderLease
 {
@@ -40,37 +41,37 @@
     OrderLease(const OrderLease &) = delete;
     OrderLease &operator=(const OrderLease &) = delete;
 
-    /** Begin to look at the row, and to take and renew it. */
+    /** Starts reading the row, and acquiring and renewing the lease. */
     void start();
 
-    /** @param rank place of this node among those that might hold it; the first three look often */
+    /** Sets the rank. @param rank rank of this node among the candidates; the first three read the row more often */
     void setRank(std::size_t rank);
 
-    /** Another session of this node: what the former held is gone. */
+    /** Sets a new session of this node; a lease of the former session is no longer held. */
     void setSession(SessionNumber session);
 
-    /** @return whether orders may be sent at this moment; asked again before each one. */
+    /** @return whether orders may be sent at this moment; must be checked before each order. */
     bool maySendOrders() const;
 
     /** @return the fencing number of orders, while mayOrder(). */
     std::uint64_t fence() const;
 
-    /** @return the row as it was seen last. */
+    /** @return the row as it was last read or written. */
     const OrderLeaseRow &row() const;
 
     /**
-     * Have the row say that orders are given by a version, before the first one is.
-     * @return whether it does; false also if orders were given by a newer one, which this must not undo
+     * Requests that the row records a configuration version, before the first order of that version is sent.
+     * @return whether the row records this version; false also if it records a newer one, which must not be undone
      */
     bool ensureConfigVersion(std::uint64_t configVersion);
 
-    /** Have the row remember which rollouts are stopped, from its next renewal on. */
+    /** Sets the stopped rollouts, which the next renewal writes to the row. */
     void setStoppedRollouts(std::vector<std::string> rollouts);
 
-    /** An engine refused the fencing number: someone else holds the lease. */
+    /** Marks the lease as lost, because an engine refused the fencing number and another node holds the lease. */
     void lost();
 
-    /** Give it up, as planned. */
+    /** Releases the lease and stops competing for it. */
     void release();
 
 private:
--- a/Libraries/LibControl/OrderPlanner.cpp
+++ b/Libraries/LibControl/OrderPlanner.cpp
@@ -15,7 +15,7 @@
 
 constexpr const char *servingRole = "serve";
 
-/** Requests of one version, and those of them that failed. */
+/** Requests to one version, and those of them that failed. */
 struct ErrorCount
 {
     std::uint64_t requests = 0;
@@ -56,7 +56,7 @@
     return state.model == endpoint.model && state.version == version;
 }
 
-/** The endpoints of a model, in an order that no renewal of the configuration changes. */
+/** @return the endpoints of a model, in an order that does not depend on their order in the configuration. */
 std::vector<const EndpointSettings *> endpointsOf(const Settings &settings, const std::string &model)
 {
     std::vector<const EndpointSettings *> endpoints;
@@ -73,13 +73,13 @@
 
 } // namespace
 
-/** One comparison, as far as it has come. */
+/** Intermediate state of one planning round. */
 struct OrderPlanner::Round
 {
     const Settings &settings;
     const EngineStateReports &reports;
     std::map<EndpointName, EngineState> intended;
-    /** Engines that serve and have got no order in this round that would stop them. */
+    /** Engines that serve and have not been ordered to stop serving in this round. */
     std::map<EndpointName, EngineState> serving;
     std::map<std::string, std::int64_t> loadsByDomain;
     OrderPlan plan;
@@ -105,7 +105,7 @@
         return found != this->settings.models.end() ? &*found : nullptr;
     }
 
-    /** @return whether callers go on being served when this engine stops serving what it has. */
+    /** @return whether this engine may stop serving its current state, without interrupting service to callers. */
     bool mayStop(const EndpointName &name) const
     {
         const auto served = this->serving.find(name);
@@ -152,7 +152,7 @@
         const bool isStopped = stopped.contains(rolloutName(model));
         for (std::size_t i = 0; i < endpoints.size(); ++i) {
             const EndpointSettings &endpoint = *endpoints[i];
-            // A stopped rollout goes no further; going back is an operator's decision, by a new version.
+            // A stopped rollout reaches no further endpoints; a rollback is an operator's decision, by a new version.
             const bool isNext = i < nextCount && (!isStopped || hasVersion(reports, endpoint, model.nextVersion));
             EngineState state{model.name, isNext ? model.nextVersion : model.version, model.adapters, endpoint.role};
             std::ranges::sort(state.adapters);
@@ -203,7 +203,7 @@
         if (ordered == this->loading.end()) {
             continue;
         }
-        // One that was told to load and does not answer may still draw on the weight store.
+        // An engine that was ordered to load and does not respond may still be reading from the weight store.
         const bool isSilent = report == round.reports.end() && now - ordered->second < round.settings.orders.loadTimeout;
         if (isSilent) {
             ++round.loadsByDomain[endpoint.failureDomain];
--- a/Libraries/LibControl/OrderPlanner.h
+++ b/Libraries/LibControl/OrderPlanner.h
@@ -13,10 +13,10 @@
 namespace Dogwoodkeel
 {
 
-/** What was heard from the engines in one round; an engine that did not answer is absent. */
+/** Reports received from engines in one round; an engine that did not respond is absent. */
 using EngineStateReports = std::map<EndpointName, EngineStateReport>;
 
-/** An order that is to be sent now. */
+/** An order to be sent now. */
 struct PlannedOrder
 {
     EndpointName endpoint;
@@ -24,25 +24,26 @@
     EngineState state;
 };
 
-/** What one round comes to. */
+/** The result of one planning round. */
 struct OrderPlan
 {
     std::vector<PlannedOrder> orders;
-    /** Why engines that are not as intended get no order yet; for operators. */
+    /** For operators: why engines that are not in the intended state get no order yet. */
     std::vector<std::string> waits;
-    /** Rollouts that stop now, as MODEL@VERSION. */
+    /** Rollouts to stop now, as MODEL@VERSION. */
     std::vector<std::string> stops;
 };
 
-/** @return how a rollout is named in the lease's row. */
+/** @return the name of a model's rollout in the lease's row. */
 std::string rolloutName(const ModelSettings &model);
 
 /**
- * Compares what the engines have with what they shall have. Pure: what it remembers is when loads were started, for the
- * pace of the weight store.
+ * Compares the reported states of engines with the intended ones and plans orders. Performs no I/O; its only state is when
+ * loads were started, to limit the load on the weight store.
  *
- * An engine is taken from its version only while another goes on serving it; loads are started no faster than the weight
- * store delivers, and a bounded number at once in each failure domain, so that a mistake reaches one engine and not all.
+ * An engine stops serving a version only while another engine serves it. Loads are started no faster than the weight store
+ * delivers, and the number of concurrent loads in each failure domain is bounded, so that a faulty configuration affects
+ * few engines at first and not all.
  */
 class OrderPlanner
 {
@@ -50,13 +51,13 @@
     explicit OrderPlanner(const Clock &clock);
 
     /**
-     * @param settings in force
-     * @param reports of this round
-     * @param stopped rollouts that were stopped before
+     * @param settings settings in force
+     * @param reports reports of this round
+     * @param stopped rollouts stopped in earlier rounds
      */
     OrderPlan plan(const Settings &settings, const EngineStateReports &reports, const std::set<std::string> &stopped);
 
-    /** @return what each endpoint shall have; one whose model is not listed gets no orders and is absent. */
+    /** @return the intended state of each endpoint; an endpoint whose model is not configured gets no orders and is absent. */
     static std::map<EndpointName, EngineState>
     intendedStates(const Settings &settings, const EngineStateReports &reports, const std::set<std::string> &stopped);
 
@@ -69,7 +70,7 @@
     void order(Round &round, const EndpointSettings &endpoint, const EngineState &intended);
 
     const Clock &clock;
-    /** Loads that were ordered and are not yet seen as done. */
+    /** Start times of loads that were ordered and are not yet reported as completed. */
     std::map<EndpointName, SteadyTime> loading;
     SteadyTime nextLoad{};
 };
--- a/Libraries/LibControl/TextDifference.cpp
+++ b/Libraries/LibControl/TextDifference.cpp
@@ -12,7 +12,7 @@
 
 using Lines = std::vector<std::string>;
 
-/** Largest table of the comparison; beyond it the whole middle counts as changed. */
+/** Max number of table cells; for larger texts all lines between common prefix and suffix count as changed. */
 constexpr std::size_t mostCells = 16UL * 1024 * 1024;
 
 std::size_t commonPrefix(const Lines &before, const Lines &after)
@@ -34,7 +34,7 @@
     return length;
 }
 
-/** Lengths of the longest common subsequences of all ends of two ranges of lines. */
+/** Lengths of the longest common subsequences of all suffixes of two ranges of lines. */
 class CommonLengths
 {
 public:
@@ -64,7 +64,7 @@
     std::vector<std::uint32_t> cells;
 };
 
-/** Adds one replaced or added line to the last change, or begins a new one. */
+/** Adds one removed or added line to the last change, or starts a new change. */
 void extend(std::vector<TextChange> &changes, std::size_t position, const std::string *added)
 {
     if (changes.empty() || changes.back().from + changes.back().count != position) {
@@ -118,7 +118,7 @@
 
 bool touches(const TextChange &left, const TextChange &right)
 {
-    // Changes side by side count as one place: which of two insertions comes first is the operator's to say.
+    // Adjacent changes conflict, because the order of two insertions is the operator's decision.
     return left.from <= right.from + right.count && right.from <= left.from + left.count;
 }
 
--- a/Libraries/LibControl/TextDifference.h
+++ b/Libraries/LibControl/TextDifference.h
@@ -7,40 +7,40 @@
 namespace Dogwoodkeel
 {
 
-/** Lines that stand in place of others. */
+/** A range of lines and its replacement. */
 struct TextChange
 {
-    /** The first line that is replaced, from 0; with no line replaced, the line before which the new ones stand. */
+    /** Index of the first replaced line, from 0; if none is replaced, the line before which the new ones are inserted. */
     std::size_t from = 0;
-    /** How many lines are replaced. */
+    /** Number of replaced lines. */
     std::size_t count = 0;
     std::vector<std::string> lines;
 
     bool operator==(const TextChange &) const = default;
 };
 
-/** @return a text's lines, without their ends. */
+/** @return the lines of a text, without line terminators. */
 std::vector<std::string> linesOf(std::string_view text);
 
-/** @return what turns one text into another, in order, by the longest common subsequence of their lines. */
+/** @return the changes that turn one text into another, in order, by the longest common subsequence of their lines. */
 std::vector<TextChange> changesBetween(std::string_view before, std::string_view after);
 
-/** @return the changes for a person: removed lines with "-", added ones with "+", each group with its line. */
+/** @return the changes in readable form: removed lines with "-", added ones with "+", each group with its line number. */
 std::string describeChanges(const std::string &name, std::string_view before, std::string_view after);
 
-/** What came of a merge. */
+/** The result of a merge. */
 struct TextMerge
 {
     std::string text;
-    /** Lines, from 1, of the common text that both changed in different ways; empty: merged. */
+    /** Line numbers, from 1, in the common text that both changed differently; empty if the merge succeeded. */
     std::vector<std::size_t> conflicts;
 };
 
 /**
- * Bring two changes of one text together.
- * @param common what both started from
- * @param theirs kept where only they changed something
- * @param ours kept where only we did
+ * Performs a three-way merge by lines.
+ * @param common the common ancestor of both texts
+ * @param theirs one changed text
+ * @param ours the other changed text; conflicts are reported at its changes
  */
 TextMerge mergeTexts(std::string_view common, std::string_view theirs, std::string_view ours);
 
--- a/Libraries/LibJournal/IdFilter.h
+++ b/Libraries/LibJournal/IdFilter.h
@@ -19,7 +19,7 @@
 
     void add(std::string_view id);
 
-    /** @return the filter as bytes, for mayHold(). */
+    /** @return the serialized filter, for mayContain(). */
     const std::string &bytes() const;
 
     /** @return false if the id is certainly not in the set that the serialized filter was built from. */
--- a/Tests/LibControl/TestConfigurationWriter.cpp
+++ b/Tests/LibControl/TestConfigurationWriter.cpp
@@ -49,10 +49,10 @@
 
 } // namespace
 
-TEST_CASE("of two operators who edited the same version one wins, and the other is told what won")
+TEST_CASE("of two operators who edit the same version one succeeds, and the other gets the accepted version")
 {
-    // Both edited version 1. Each node inserts row 2 if it is absent, so the platform decides; the loser gets the
-    // winner's row, against which it can rebase. Without the condition the later one would silently undo the first.
+    // Both edit version 1. Row 2 is inserted only if it is absent, and the second operator gets the first one's row to
+    // rebase on. Without the condition the second apply would silently undo the first.
     Fixture fixture;
     fixture.apply(0, "first");
     fixture.apply(1, "ana");
@@ -65,7 +65,7 @@
     CHECK(fixture.versions() == 2);
 }
 
-TEST_CASE("operators who race while the platform looks at both get one winner")
+TEST_CASE("of two concurrent applies on different nodes exactly one is accepted")
 {
     Fixture fixture;
     FaultyPlatform second(fixture.platform.store(), fixture.clock);
@@ -84,10 +84,10 @@
     CHECK(fixture.versions() == 1);
 }
 
-TEST_CASE("an apply whose answer was lost is accepted once")
+TEST_CASE("an apply whose response was lost is accepted once")
 {
-    // The operator sees "accepted". The platform takes the row and loses the answer; the node cannot tell that from a
-    // row that another operator inserted. The nonce can.
+    // The platform stores the row but its response is lost. Only the nonce distinguishes the row from one that another
+    // operator inserted.
     Fixture fixture;
     fixture.platform.loseAnswers(1);
     fixture.apply(0, "one");
@@ -97,7 +97,7 @@
     CHECK(fixture.versions() == 1);
 }
 
-TEST_CASE("an insert that was lost on its way is sent again")
+TEST_CASE("an insert that did not reach the platform is retried")
 {
     Fixture fixture;
     fixture.platform.loseWrites(1);
@@ -108,7 +108,7 @@
     CHECK(fixture.versions() == 1);
 }
 
-TEST_CASE("a resent apply is told the version it made, also when others have followed")
+TEST_CASE("a resent apply returns the version it created, even if later versions exist")
 {
     Fixture fixture;
     fixture.apply(0, "one");
@@ -121,9 +121,9 @@
     CHECK(fixture.versions() == 3);
 }
 
-TEST_CASE("when the platform goes down behind a lost answer the operator is told that it may have been accepted")
+TEST_CASE("if the platform goes down after a lost response, the outcome is reported as unknown")
 {
-    // Telling "not applied" here would make the operator write the change again under another nonce, on top of itself.
+    // Reporting "not applied" would make the operator apply the change a second time under another nonce.
     Fixture fixture;
     fixture.platform.loseAnswers(1);
     fixture.writer.apply({0, "one", "ana", "", {}}, [&fixture](const ApplyResult &result) {
@@ -141,7 +141,7 @@
     CHECK(fixture.versions() == 1);
 }
 
-TEST_CASE("with the platform down from the start nothing was applied, and that is told")
+TEST_CASE("if the platform is down from the start, the proposal is reported as not applied")
 {
     Fixture fixture;
     fixture.platform.setDown(true);
@@ -151,10 +151,10 @@
     CHECK(fixture.results[0].outcome == ApplyOutcome::NotApplied);
 }
 
-TEST_CASE("a version cannot be built on one that is not there")
+TEST_CASE("a version cannot be based on one that does not exist")
 {
-    // An operator's tool that claims to have edited version 7 of a chain of one would open a gap: the row 8 would be
-    // newest, and operators who edit 1 would go on to win 2, 3, ... unseen.
+    // If only version 1 exists, a proposal that claims to have edited version 7 would leave a gap: row 8 would be the
+    // newest, and operators who edit version 1 could still insert 2, 3, ... unnoticed.
     Fixture fixture;
     fixture.apply(0, "one");
     fixture.apply(7, "eight");
@@ -162,7 +162,7 @@
     CHECK(fixture.versions() == 1);
 }
 
-TEST_CASE("all mistakes of all sites are told together with their places, and nothing is written")
+TEST_CASE("all errors of all sites are reported together with their locations, and nothing is written")
 {
     Fixture fixture;
     const ConfigurationContent content{
@@ -182,10 +182,10 @@
     CHECK(fixture.versions() == 0);
 }
 
-TEST_CASE("a version can neither open the system to everyone nor shut every operator out")
+TEST_CASE("a version can neither open the system to everyone nor lock out all operators")
 {
-    // Without tenants everyone is let in as an operator: meant for a trial. A first version that forgets the tenants of
-    // the VMs' own files would open a running system; one whose tenants have no operator could never be taken back.
+    // Without tenants every caller is accepted as an operator, which is intended for trials. A first version that omits the
+    // tenants of the VMs' own files would open a running system; one without an operator could never be reverted.
     Fixture fixture;
     const auto applied = [&fixture](const ApplyResult &result) {
         fixture.results.push_back(result);
@@ -197,7 +197,7 @@
     CHECK(fixture.results[1].outcome == ApplyOutcome::Invalid);
 }
 
-TEST_CASE("a large version stands in parts, and a small change of it changes few of them")
+TEST_CASE("a large version is stored in parts, and a small change of it changes few of them")
 {
     Fixture fixture;
     const std::string before = manyTenants(10000);
@@ -216,7 +216,7 @@
     for (const std::string &key : second.parts) {
         changed += std::ranges::count(first.parts, key) == 0 ? 1 : 0;
     }
-    // The text's length stands at the start, and the changed line is in one part, or moved the border of two.
+    // The first part contains the text's length; the changed line is in one part, or moves the boundary between two.
     CHECK(changed <= 3);
     std::string read;
     fixture.store.readContent(second, [&read](const std::optional<ConfigurationContent> &content) {
--- a/Tests/LibControl/TestTextDifference.cpp
+++ b/Tests/LibControl/TestTextDifference.cpp
@@ -21,13 +21,13 @@
 
 } // namespace
 
-TEST_CASE("changes name the line and what stands there instead")
+TEST_CASE("changes are described with their line number and the new lines")
 {
     CHECK(describeChanges("base.toml", "a\nb\nc\n", "a\nx\nc\nd\n") == "base.toml:2\n- b\n+ x\nbase.toml:4\n+ d\n");
     CHECK(describeChanges("base.toml", "a\n", "a\n").empty());
 }
 
-TEST_CASE("merging a change with an unchanged text gives the change")
+TEST_CASE("merging a changed text with an unchanged one returns the changed text")
 {
     const bool holds = rc::check([] {
         const auto lines = rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4));
@@ -40,16 +40,16 @@
     CHECK(holds);
 }
 
-TEST_CASE("an operator who lost a race keeps the change, if it touches other lines")
+TEST_CASE("a change is merged with another operator's change of other lines")
 {
     const TextMerge merge = mergeTexts("a\nb\nc\nd\ne\n", "A\nb\nc\nd\ne\n", "a\nb\nc\nd\nE\nF\n");
     CHECK(merge.conflicts.empty());
     CHECK(merge.text == "A\nb\nc\nd\nE\nF\n");
 }
 
-TEST_CASE("two different changes of one line are left to the operator")
+TEST_CASE("two different changes of one line are reported as a conflict")
 {
-    // Both operators set the capacity of one endpoint. Taking either silently would undo the other's change.
+    // Both operators set the capacity of one endpoint. Accepting either silently would undo the other's change.
     const TextMerge merge = mergeTexts("a\nb\nc\n", "a\nx\nc\n", "a\ny\nc\n");
     CHECK(merge.conflicts == std::vector<std::size_t>{2});
 }
