--- a/Libraries/LibControl/ConfigurationCheck.cpp
+++ b/Libraries/LibControl/ConfigurationCheck.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-constexpr std::size_t largestContent = 64UL * 1024 * 1024;
+constexpr std::size_t maxContentBytes = 64UL * 1024 * 1024;
 
 /** Replaces a VM's own file when a version is checked for a site and not for a node. */
-constexpr const char *anyNode = "[node]\nvm = \"any\"\nfailure_domain = \"any\"\n";
+constexpr const char *placeholderNode = "[node]\nvm = \"any\"\nfailure_domain = \"any\"\n";
 
 std::size_t sizeOf(const ConfigurationContent &content)
 {
@@ -25,7 +25,7 @@
 
 void checkShape(const ConfigurationContent &content, Findings &findings)
 {
-    if (sizeOf(content) > largestContent) {
+    if (sizeOf(content) > maxContentBytes) {
         findings.add({baseFileName, 0, 0}, "base and overlays together may have 64 MiB at most");
     }
     std::set<std::string> sites;
@@ -59,17 +59,17 @@
 
 void checkSite(const ConfigurationContent &content, const std::string &site, Access access, Findings &findings)
 {
-    Findings ofSite;
-    const auto settings = loadVersion(content, site, {{"own", anyNode}}, ofSite);
+    Findings siteFindings;
+    const auto settings = loadVersion(content, site, {{"own", placeholderNode}}, siteFindings);
     if (settings) {
-        checkAccess(*settings, site, access, ofSite);
+        checkAccess(*settings, site, access, siteFindings);
     }
-    for (const Finding &finding : ofSite.all()) {
+    for (const Finding &finding : siteFindings.all()) {
         const std::string text = finding.toString();
-        const bool isKnown = std::ranges::any_of(findings.all(), [&text](const Finding &known) {
-            return known.toString() == text;
+        const bool isReported = std::ranges::any_of(findings.all(), [&text](const Finding &reported) {
+            return reported.toString() == text;
         });
-        if (!isKnown) {
+        if (!isReported) {
             findings.add(finding.place, finding.message);
         }
     }
--- a/Libraries/LibControl/ConfigurationParts.cpp
+++ b/Libraries/LibControl/ConfigurationParts.cpp
@@ -9,11 +9,11 @@
 {
 
 /** Min size of a part, because each part adds a key to the version's row. */
-constexpr std::size_t leastBytes = 4096;
+constexpr std::size_t minPartBytes = 4096;
 /** Size at which a part ends at the next line end, so that it stays a small object and frame. */
-constexpr std::size_t mostBytes = 131072;
+constexpr std::size_t maxPartBytes = 131072;
 /** One in this many lines ends a part, which yields parts of about 20 KB for lines of about 30 bytes. */
-constexpr std::uint64_t linesPerBorder = 512;
+constexpr std::uint64_t linesPerBoundary = 512;
 
 } // namespace
 
@@ -28,8 +28,8 @@
         const std::string_view line = text.substr(position, lineEnd - position);
         position = lineEnd;
         const std::size_t size = position - begin;
-        const bool isBorder = size >= leastBytes && stableHash(line) % linesPerBorder == 0;
-        if (isBorder || size >= mostBytes) {
+        const bool isBoundary = size >= minPartBytes && stableHash(line) % linesPerBoundary == 0;
+        if (isBoundary || size >= maxPartBytes) {
             parts.emplace_back(text.substr(begin, size));
             begin = position;
         }
--- a/Libraries/LibControl/ConfigurationStore.cpp
+++ b/Libraries/LibControl/ConfigurationStore.cpp
@@ -54,8 +54,8 @@
 void ConfigurationStore::readPart(const std::string &key, std::function<void(std::optional<std::string>)> done)
 {
     this->platform.objects().get(key, [key, done = std::move(done)](ObjectResult result) {
-        const bool isGood = result.outcome == ReadOutcome::Found && ConfigurationKeys::part(result.content) == key;
-        done(isGood ? std::optional(std::move(result.content)) : std::nullopt);
+        const bool isIntact = result.outcome == ReadOutcome::Found && ConfigurationKeys::part(result.content) == key;
+        done(isIntact ? std::optional(std::move(result.content)) : std::nullopt);
     });
 }
 
@@ -108,10 +108,10 @@
         return {};
     }
     ConfigurationPartMap parts;
-    for (std::string &piece : splitIntoParts(encoded)) {
-        const std::string key = ConfigurationKeys::part(piece);
+    for (std::string &chunk : splitIntoParts(encoded)) {
+        const std::string key = ConfigurationKeys::part(chunk);
         row.parts.push_back(key);
-        parts[key] = std::move(piece);
+        parts[key] = std::move(chunk);
     }
     return parts;
 }
--- a/Libraries/LibControl/ConfigurationWriter.cpp
+++ b/Libraries/LibControl/ConfigurationWriter.cpp
@@ -57,27 +57,27 @@
     }
     attempt->applied = std::move(applied);
     attempt->deadline = this->clock.now() + this->options.timeout;
-    this->look(attempt);
+    this->readRow(attempt);
 }
 
-void ConfigurationWriter::look(const AttemptPointer &attempt)
+void ConfigurationWriter::readRow(const AttemptPointer &attempt)
 {
     this->store.readPair(attempt->row.number, [this, attempt, alive = this->alive](const ConfigurationRows &read) {
         if (*alive) {
-            this->onPair(attempt, read);
+            this->onRowsRead(attempt, read);
         }
     });
 }
 
-void ConfigurationWriter::onPair(const AttemptPointer &attempt, const ConfigurationRows &read)
+void ConfigurationWriter::onRowsRead(const AttemptPointer &attempt, const ConfigurationRows &read)
 {
     if (read.outcome != ReadOutcome::Found) {
-        this->again(attempt, &ConfigurationWriter::look);
+        this->retryLater(attempt, &ConfigurationWriter::readRow);
         return;
     }
-    if (const ConfigurationRow *const taken = find(read, attempt->row.number)) {
-        const bool isOurs = taken->nonce == attempt->row.nonce;
-        finish(attempt, isOurs ? ApplyOutcome::Accepted : ApplyOutcome::Raced, *taken);
+    if (const ConfigurationRow *const existing = find(read, attempt->row.number)) {
+        const bool isOwn = existing->nonce == attempt->row.nonce;
+        finish(attempt, isOwn ? ApplyOutcome::Accepted : ApplyOutcome::Raced, *existing);
         return;
     }
     const std::uint64_t edited = attempt->row.number - 1;
@@ -104,7 +104,7 @@
             return;
         }
         if (outcome != WriteOutcome::Done) {
-            this->again(attempt, &ConfigurationWriter::writeParts);
+            this->retryLater(attempt, &ConfigurationWriter::writeParts);
             return;
         }
         attempt->parts.erase(attempt->parts.begin());
@@ -124,20 +124,20 @@
             return;
         case WriteOutcome::Refused:
             // The row exists. It may be this attempt's own, from an earlier insert whose response was lost.
-            this->look(attempt);
+            this->readRow(attempt);
             return;
         case WriteOutcome::NotApplied:
-            this->again(attempt, &ConfigurationWriter::look);
+            this->retryLater(attempt, &ConfigurationWriter::readRow);
             return;
         case WriteOutcome::Unknown:
             attempt->mayBeInserted = true;
-            this->again(attempt, &ConfigurationWriter::look);
+            this->retryLater(attempt, &ConfigurationWriter::readRow);
             return;
         }
     });
 }
 
-void ConfigurationWriter::again(const AttemptPointer &attempt, void (ConfigurationWriter::*step)(const AttemptPointer &))
+void ConfigurationWriter::retryLater(const AttemptPointer &attempt, void (ConfigurationWriter::*step)(const AttemptPointer &))
 {
     if (this->clock.now() >= attempt->deadline) {
         finish(attempt, attempt->mayBeInserted ? ApplyOutcome::Unknown : ApplyOutcome::NotApplied);
--- a/Libraries/LibControl/ConfigurationWriter.h
+++ b/Libraries/LibControl/ConfigurationWriter.h
@@ -98,11 +98,11 @@
     };
     using AttemptPointer = std::shared_ptr<Attempt>;
 
-    void look(const AttemptPointer &attempt);
-    void onPair(const AttemptPointer &attempt, const ConfigurationRows &read);
+    void readRow(const AttemptPointer &attempt);
+    void onRowsRead(const AttemptPointer &attempt, const ConfigurationRows &read);
     void writeParts(const AttemptPointer &attempt);
     void insert(const AttemptPointer &attempt);
-    void again(const AttemptPointer &attempt, void (ConfigurationWriter::*step)(const AttemptPointer &));
+    void retryLater(const AttemptPointer &attempt, void (ConfigurationWriter::*step)(const AttemptPointer &));
     static void finish(const AttemptPointer &attempt, ApplyOutcome outcome, ConfigurationRow row = {});
 
     ConfigurationStore &store;
--- a/Libraries/LibControl/OrderLease.cpp
+++ b/Libraries/LibControl/OrderLease.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-constexpr std::size_t candidates = 3;
+constexpr std::size_t candidateCount = 3;
 /** Interval at which nodes that are not candidates read the row, in lease durations. */
-constexpr int rareLook = 3;
+constexpr int leasesPerRareRead = 3;
 constexpr int renewalsPerLease = 3;
 
 std::string keyOf(const std::string &site)
@@ -37,7 +37,7 @@
 
 void OrderLease::start()
 {
-    this->look();
+    this->readRow();
 }
 
 void OrderLease::setRank(std::size_t rank)
@@ -50,13 +50,13 @@
     this->self = session;
     this->held = false;
     this->releasing = false;
-    this->lookLater();
+    this->scheduleRead();
 }
 
 bool OrderLease::maySendOrders() const
 {
     const SteadyTime now = this->clock.now();
-    return this->held && !this->releasing && now >= this->orderFrom && now < this->validUntil - this->options.margin;
+    return this->held && !this->releasing && now >= this->ordersFrom && now < this->validUntil - this->options.margin;
 }
 
 std::uint64_t OrderLease::fence() const
@@ -71,16 +71,16 @@
 
 bool OrderLease::ensureConfigVersion(std::uint64_t configVersion)
 {
-    if (configVersion > this->wantedVersion) {
-        this->wantedVersion = configVersion;
-        this->look();
+    if (configVersion > this->requestedVersion) {
+        this->requestedVersion = configVersion;
+        this->readRow();
     }
     return this->current.configVersion == configVersion;
 }
 
 void OrderLease::setStoppedRollouts(std::vector<std::string> rollouts)
 {
-    this->wantedStopped = std::move(rollouts);
+    this->requestedStopped = std::move(rollouts);
 }
 
 void OrderLease::lost()
@@ -112,7 +112,7 @@
     this->platform.tables().transact({{{key, result.row.version}}, {{key, encode(*row)}}}, [](WriteOutcome) {});
 }
 
-void OrderLease::look()
+void OrderLease::readRow()
 {
     this->platform.tables().read(keyOf(this->options.site), [this, alive = this->alive](const RowResult &result) {
         if (*alive && !this->releasing) {
@@ -121,25 +121,25 @@
     });
 }
 
-void OrderLease::lookLater()
+void OrderLease::scheduleRead()
 {
-    const auto often = this->options.lease / renewalsPerLease;
-    const bool isCandidate = this->held || this->rank < candidates;
+    const auto renewalInterval = this->options.lease / renewalsPerLease;
+    const bool isCandidate = this->held || this->rank < candidateCount;
     this->scheduler.cancel(this->timer);
-    this->timer = this->scheduler.schedule(isCandidate ? often : this->options.lease * rareLook, [this] {
-        this->look();
+    this->timer = this->scheduler.schedule(isCandidate ? renewalInterval : this->options.lease * leasesPerRareRead, [this] {
+        this->readRow();
     });
 }
 
 void OrderLease::onRead(const RowResult &result)
 {
-    this->lookLater();
+    this->scheduleRead();
     if (result.outcome == ReadOutcome::Failed) {
         // Nothing is known about the row. A holder's lease expires by its own clock.
         return;
     }
     if (result.outcome == ReadOutcome::Absent) {
-        this->take({}, std::nullopt);
+        this->acquire({}, std::nullopt);
         return;
     }
     const auto row = decode<OrderLeaseRow>(result.row.value);
@@ -153,23 +153,23 @@
         this->seenSince = now;
     }
     this->current = *row;
-    const bool isOurs = row->holder == this->self;
-    if (!isOurs) {
+    const bool isOwn = row->holder == this->self;
+    if (!isOwn) {
         this->held = false;
     }
-    if (isOurs && this->held) {
+    if (isOwn && this->held) {
         this->renew(result.row.version);
         return;
     }
     // If the row names this session but the lease is not held, the response to the acquiring write was lost. The lease is
     // acquired again with the next epoch, after the lease that the lost write may have started has expired.
-    const bool isRunOut = now - this->seenSince >= this->options.lease;
-    if (row->holder == SessionNumber(0) || isRunOut) {
-        this->take(*row, result.row.version);
+    const bool hasExpired = now - this->seenSince >= this->options.lease;
+    if (row->holder == SessionNumber(0) || hasExpired) {
+        this->acquire(*row, result.row.version);
     }
 }
 
-void OrderLease::take(const OrderLeaseRow &current, std::optional<RowVersion> version)
+void OrderLease::acquire(const OrderLeaseRow &current, std::optional<RowVersion> version)
 {
     OrderLeaseRow row = current;
     row.holder = this->self;
@@ -182,8 +182,8 @@
 {
     OrderLeaseRow row = this->current;
     ++row.renewals;
-    row.configVersion = std::max(row.configVersion, this->wantedVersion);
-    row.stopped = this->wantedStopped.value_or(row.stopped);
+    row.configVersion = std::max(row.configVersion, this->requestedVersion);
+    row.stopped = this->requestedStopped.value_or(row.stopped);
     this->write(row, version);
 }
 
@@ -191,8 +191,8 @@
 {
     const SteadyTime sent = this->clock.now();
     const std::string key = keyOf(this->options.site);
-    const bool isTaking = row.renewals == 0;
-    const auto done = [this, row, sent, isTaking, alive = this->alive](WriteOutcome outcome) {
+    const bool isAcquiring = row.renewals == 0;
+    const auto done = [this, row, sent, isAcquiring, alive = this->alive](WriteOutcome outcome) {
         if (!*alive || this->releasing) {
             return;
         }
@@ -204,9 +204,9 @@
         }
         this->current = row;
         this->validUntil = sent + this->options.lease;
-        if (isTaking) {
+        if (isAcquiring) {
             this->held = true;
-            this->orderFrom = this->clock.now() + this->options.margin;
+            this->ordersFrom = this->clock.now() + this->options.margin;
             log(LogLevel::Info,
                 "lease of orders acquired",
                 {{"site", this->options.site}, {"epoch", static_cast<std::int64_t>(row.epoch)}});
--- a/Libraries/LibControl/OrderLease.h
+++ b/Libraries/LibControl/OrderLease.h
@@ -75,11 +75,11 @@
     void release();
 
 private:
-    void look();
+    void readRow();
     void writeRelease(const RowResult &result);
-    void lookLater();
+    void scheduleRead();
     void onRead(const RowResult &result);
-    void take(const OrderLeaseRow &current, std::optional<RowVersion> version);
+    void acquire(const OrderLeaseRow &current, std::optional<RowVersion> version);
     void renew(RowVersion version);
     void write(const OrderLeaseRow &row, std::optional<RowVersion> version);
 
@@ -94,9 +94,9 @@
     SteadyTime seenSince{};
     bool held = false;
     SteadyTime validUntil{};
-    SteadyTime orderFrom{};
-    std::uint64_t wantedVersion = 0;
-    std::optional<std::vector<std::string>> wantedStopped;
+    SteadyTime ordersFrom{};
+    std::uint64_t requestedVersion = 0;
+    std::optional<std::vector<std::string>> requestedStopped;
     bool releasing = false;
     TimerId timer = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/Libraries/LibControl/OrderPlanner.cpp
+++ b/Libraries/LibControl/OrderPlanner.cpp
@@ -21,7 +21,7 @@
     std::uint64_t requests = 0;
     std::uint64_t errors = 0;
 
-    double share() const
+    double rate() const
     {
         return this->requests > 0 ? static_cast<double>(this->errors) / static_cast<double>(this->requests) : 0;
     }
@@ -39,11 +39,11 @@
     return count;
 }
 
-bool makesErrorsRise(const ModelSettings &model, const OrderSettings &orders, const EngineStateReports &reports)
+bool raisesErrorRate(const ModelSettings &model, const OrderSettings &orders, const EngineStateReports &reports)
 {
     const ErrorCount next = errorsOf(reports, model.name, model.nextVersion);
-    const bool isEnough = next.requests >= static_cast<std::uint64_t>(orders.errorRequests);
-    return isEnough && next.share() > errorsOf(reports, model.name, model.version).share() + orders.errorLimit;
+    const bool isSufficient = next.requests >= static_cast<std::uint64_t>(orders.errorRequests);
+    return isSufficient && next.rate() > errorsOf(reports, model.name, model.version).rate() + orders.errorLimit;
 }
 
 bool hasVersion(const EngineStateReports &reports, const EndpointSettings &endpoint, const std::string &version)
@@ -126,7 +126,7 @@
         return this->isServedElsewhere(name, state.model, std::nullopt);
     }
 
-    void wait(const EndpointSettings &endpoint, const std::string &why)
+    void addWait(const EndpointSettings &endpoint, const std::string &why)
     {
         this->plan.waits.push_back(endpoint.name + ": " + why);
     }
@@ -168,7 +168,7 @@
     std::set<std::string> allStopped = stopped;
     for (const ModelSettings &model : settings.models) {
         const bool isRunning = model.nextShare > 0 && !stopped.contains(rolloutName(model));
-        if (isRunning && makesErrorsRise(model, settings.orders, reports)) {
+        if (isRunning && raisesErrorRate(model, settings.orders, reports)) {
             round.plan.stops.push_back(rolloutName(model));
             allStopped.insert(rolloutName(model));
         }
@@ -182,7 +182,7 @@
     this->countLoads(round);
     for (const EndpointSettings &endpoint : settings.endpoints) {
         if (round.intended.contains(EndpointName(endpoint.name))) {
-            this->consider(round, endpoint);
+            this->planEndpoint(round, endpoint);
         }
     }
     return std::move(round.plan);
@@ -204,8 +204,8 @@
             continue;
         }
         // An engine that was ordered to load and does not respond may still be reading from the weight store.
-        const bool isSilent = report == round.reports.end() && now - ordered->second < round.settings.orders.loadTimeout;
-        if (isSilent) {
+        const bool isUnresponsive = report == round.reports.end() && now - ordered->second < round.settings.orders.loadTimeout;
+        if (isUnresponsive) {
             ++round.loadsByDomain[endpoint.failureDomain];
         } else {
             this->loading.erase(ordered);
@@ -213,19 +213,19 @@
     }
 }
 
-void OrderPlanner::consider(Round &round, const EndpointSettings &endpoint)
+void OrderPlanner::planEndpoint(Round &round, const EndpointSettings &endpoint)
 {
     const EndpointName name(endpoint.name);
     const EngineState &intended = round.intended.at(name);
     const auto found = round.reports.find(name);
     if (found == round.reports.end()) {
-        round.wait(endpoint, "does not answer");
+        round.addWait(endpoint, "does not answer");
         return;
     }
     const EngineStateReport &report = found->second;
     if (report.loading == intended) {
         if (this->clock.now() - this->loading.at(name) > round.settings.orders.loadTimeout) {
-            round.wait(endpoint, "its load takes longer than orders.load_timeout; see to the weight store");
+            round.addWait(endpoint, "its load takes longer than orders.load_timeout; see to the weight store");
         }
         return;
     }
@@ -235,7 +235,7 @@
     const bool hasWeights = report.state.model == intended.model && report.state.version == intended.version && !report.loading;
     const bool stopsServing = !hasWeights || intended.role != servingRole;
     if (stopsServing && !round.mayStop(name)) {
-        round.wait(endpoint, "is the last that serves " + report.state.model + ' ' + report.state.version);
+        round.addWait(endpoint, "is the last that serves " + report.state.model + ' ' + report.state.version);
         return;
     }
     if (!hasWeights && !this->mayLoad(round, endpoint)) {
@@ -251,12 +251,12 @@
 {
     std::int64_t &loads = round.loadsByDomain[endpoint.failureDomain];
     if (loads >= round.settings.orders.loadsPerDomain && !round.reports.at(EndpointName(endpoint.name)).loading) {
-        round.wait(endpoint, "others load in " + endpoint.failureDomain);
+        round.addWait(endpoint, "others load in " + endpoint.failureDomain);
         return false;
     }
     const SteadyTime now = this->clock.now();
     if (now < this->nextLoad) {
-        round.wait(endpoint, "the weight store is busy with the loads before");
+        round.addWait(endpoint, "the weight store is busy with the loads before");
         return false;
     }
     const ModelSettings *const model = round.model(endpoint.model);
--- a/Libraries/LibControl/OrderPlanner.h
+++ b/Libraries/LibControl/OrderPlanner.h
@@ -65,7 +65,7 @@
     struct Round;
 
     void countLoads(Round &round);
-    void consider(Round &round, const EndpointSettings &endpoint);
+    void planEndpoint(Round &round, const EndpointSettings &endpoint);
     bool mayLoad(Round &round, const EndpointSettings &endpoint);
     void order(Round &round, const EndpointSettings &endpoint, const EngineState &intended);
 
--- a/Libraries/LibControl/TextDifference.cpp
+++ b/Libraries/LibControl/TextDifference.cpp
@@ -13,7 +13,7 @@
 using Lines = std::vector<std::string>;
 
 /** Max number of table cells; for larger texts all lines between common prefix and suffix count as changed. */
-constexpr std::size_t mostCells = 16UL * 1024 * 1024;
+constexpr std::size_t maxCells = 16UL * 1024 * 1024;
 
 std::size_t commonPrefix(const Lines &before, const Lines &after)
 {
@@ -26,9 +26,9 @@
 
 std::size_t commonSuffix(const Lines &before, const Lines &after, std::size_t prefix)
 {
-    const std::size_t most = std::min(before.size(), after.size()) - prefix;
+    const std::size_t maxLength = std::min(before.size(), after.size()) - prefix;
     std::size_t length = 0;
-    while (length < most && before[before.size() - 1 - length] == after[after.size() - 1 - length]) {
+    while (length < maxLength && before[before.size() - 1 - length] == after[after.size() - 1 - length]) {
         ++length;
     }
     return length;
@@ -86,7 +86,7 @@
     if (rows + columns == 0) {
         return {};
     }
-    if ((rows + 1) * (columns + 1) > mostCells) {
+    if ((rows + 1) * (columns + 1) > maxCells) {
         const auto begin = after.begin() + static_cast<std::ptrdiff_t>(prefix);
         return {{prefix, rows, Lines(begin, begin + static_cast<std::ptrdiff_t>(columns))}};
     }
@@ -125,8 +125,8 @@
 void replace(Lines &lines, const TextChange &change)
 {
     const auto begin = lines.begin() + static_cast<std::ptrdiff_t>(change.from);
-    const auto rest = lines.erase(begin, begin + static_cast<std::ptrdiff_t>(change.count));
-    lines.insert(rest, change.lines.begin(), change.lines.end());
+    const auto insertPosition = lines.erase(begin, begin + static_cast<std::ptrdiff_t>(change.count));
+    lines.insert(insertPosition, change.lines.begin(), change.lines.end());
 }
 
 } // namespace
--- a/Libraries/LibControl/TextDifference.h
+++ b/Libraries/LibControl/TextDifference.h
@@ -28,7 +28,7 @@
 /** @return the changes in readable form: removed lines with "-", added ones with "+", each group with its line number. */
 std::string describeChanges(const std::string &name, std::string_view before, std::string_view after);
 
-/** The result of a merge. */
+/** The result of a merge; the text is empty if there are conflicts. */
 struct TextMerge
 {
     std::string text;
--- a/Libraries/LibJournal/IdFilter.cpp
+++ b/Libraries/LibJournal/IdFilter.cpp
@@ -46,11 +46,11 @@
 
 void IdFilter::add(std::string_view id)
 {
-    Probes places(id, this->bits.size());
+    Probes positions(id, this->bits.size());
     for (unsigned i = 0; i < probes; ++i) {
-        const std::size_t place = places.next();
-        const auto byte = static_cast<unsigned char>(this->bits[place / bitsPerByte]);
-        this->bits[place / bitsPerByte] = static_cast<char>(byte | (1U << (place % bitsPerByte)));
+        const std::size_t bit = positions.next();
+        const auto byte = static_cast<unsigned char>(this->bits[bit / bitsPerByte]);
+        this->bits[bit / bitsPerByte] = static_cast<char>(byte | (1U << (bit % bitsPerByte)));
     }
 }
 
@@ -64,11 +64,11 @@
     if (bytes.empty()) {
         return false;
     }
-    Probes places(id, bytes.size());
+    Probes positions(id, bytes.size());
     for (unsigned i = 0; i < probes; ++i) {
-        const std::size_t place = places.next();
-        const auto byte = static_cast<unsigned char>(bytes[place / bitsPerByte]);
-        if ((byte & (1U << (place % bitsPerByte))) == 0) {
+        const std::size_t bit = positions.next();
+        const auto byte = static_cast<unsigned char>(bytes[bit / bitsPerByte]);
+        if ((byte & (1U << (bit % bitsPerByte))) == 0) {
             return false;
         }
     }
--- a/Libraries/LibJournal/JournalRecovery.cpp
+++ b/Libraries/LibJournal/JournalRecovery.cpp
@@ -57,18 +57,18 @@
         this->retry(&JournalRecovery::readPage);
         return;
     }
-    bool isWhole = true;
+    bool isAdded = true;
     for (const Row &row : result.rows) {
-        isWhole = this->take(row);
-        if (!isWhole) {
+        isAdded = this->addGroup(row);
+        if (!isAdded) {
             break;
         }
     }
-    this->atEnd = !isWhole || this->sealed || result.rows.size() < rowsPerPage;
+    this->atEnd = !isAdded || this->sealed || result.rows.size() < rowsPerPage;
     this->loadObjects();
 }
 
-bool JournalRecovery::take(const Row &row)
+bool JournalRecovery::addGroup(const Row &row)
 {
     // The journal ends at the first absent row, even if there are rows after the gap. When several nodes take over
     // different shards of one owner, one of them may have sealed the journal after a group whose write is still in flight.
@@ -102,7 +102,7 @@
     this->platform.objects().get(key, [self = this->shared_from_this()](const ObjectResult &result) {
         if (result.outcome == ReadOutcome::Absent) {
             // Objects are written before their rows, so an absent object was deleted after its row was read.
-            self->tell(false);
+            self->report(false);
             return;
         }
         auto group = result.outcome == ReadOutcome::Found ? decode<JournalGroup>(result.content) : std::nullopt;
@@ -126,10 +126,10 @@
         this->insertSeal();
         return;
     }
-    this->tell(this->isOpen() || this->nextNumber() > this->last.value());
+    this->report(this->isOpen() || this->nextNumber() > this->last.value());
 }
 
-void JournalRecovery::tell(bool isComplete)
+void JournalRecovery::report(bool isComplete)
 {
     // Computed before the groups are moved: an end computed from the empty list would close the span before its first
     // group, and the next owner would replay nothing.
--- a/Libraries/LibJournal/JournalRecovery.h
+++ b/Libraries/LibJournal/JournalRecovery.h
@@ -64,11 +64,11 @@
     bool isOpen() const;
     void readPage();
     void onRows(const RowsResult &result);
-    bool take(const Row &row);
+    bool addGroup(const Row &row);
     void loadObjects();
     void finish();
     void insertSeal();
-    void tell(bool isComplete);
+    void report(bool isComplete);
     void retry(void (JournalRecovery::*step)());
     std::uint64_t nextNumber() const;
 
--- a/Libraries/LibJournal/JournalWriter.cpp
+++ b/Libraries/LibJournal/JournalWriter.cpp
@@ -46,7 +46,7 @@
     ++this->appendedRecords;
     this->pace.recordAdded(this->clock.now());
     this->pending.push_back({std::move(record), std::move(appended)});
-    this->wake();
+    this->scheduleWrite();
 }
 
 void JournalWriter::setWritesPerSecond(double rate)
@@ -111,7 +111,7 @@
     return this->written;
 }
 
-void JournalWriter::wake()
+void JournalWriter::scheduleWrite()
 {
     if (this->timer != 0 || !this->inFlight.empty() || this->pending.empty() || this->fenced) {
         return;
@@ -234,7 +234,7 @@
         this->timer = 0;
         (this->*step)();
     });
-    this->backoff = std::min(this->backoff * 2, this->options.longestBackoff);
+    this->backoff = std::min(this->backoff * 2, this->options.maxBackoff);
 }
 
 void JournalWriter::completeGroup()
@@ -251,7 +251,7 @@
             return;
         }
     }
-    this->wake();
+    this->scheduleWrite();
 }
 
 void JournalWriter::fence()
--- a/Libraries/LibJournal/JournalWriter.h
+++ b/Libraries/LibJournal/JournalWriter.h
@@ -46,7 +46,7 @@
         std::size_t groupBytes = 4194304;
         /** Initial and max delay before a write is retried. */
         std::chrono::milliseconds firstBackoff{20};
-        std::chrono::milliseconds longestBackoff{1000};
+        std::chrono::milliseconds maxBackoff{1000};
         /** Called once when another session has sealed this journal, before the callbacks of the lost records. */
         std::function<void()> onFenced;
     };
@@ -99,7 +99,7 @@
         Appended appended;
     };
 
-    void wake();
+    void scheduleWrite();
     void startGroup();
     void writeObject();
     void writeRow();
--- a/Libraries/LibJournal/RequestTable.cpp
+++ b/Libraries/LibJournal/RequestTable.cpp
@@ -18,28 +18,28 @@
     const auto [found, isNew] = this->entries.try_emplace(request.requestId);
     Entry &entry = found->second;
     if (!isNew) {
-        return this->claimAgain(entry, request);
+        return this->claimExisting(entry, request);
     }
     entry.fingerprint = request.fingerprint;
-    this->hold(entry, request);
+    this->assignRunner(entry, request);
     entry.stage = request.isNonIdempotent ? Stage::IntentPending : Stage::Claimed;
     return request.isNonIdempotent ? ClaimVerdict::RunAfterIntent : ClaimVerdict::Run;
 }
 
-ClaimVerdict RequestTable::claimAgain(Entry &entry, const ClaimRequest &request)
+ClaimVerdict RequestTable::claimExisting(Entry &entry, const ClaimRequest &request)
 {
     if (entry.fingerprint != request.fingerprint) {
         return ClaimVerdict::Mismatch;
     }
-    const bool hasLapsed = this->clock.now() >= entry.leaseEnd;
+    const bool hasExpired = this->clock.now() >= entry.leaseEnd;
     switch (entry.stage) {
     case Stage::Done:
         return ClaimVerdict::Done;
     case Stage::IntentOrphaned:
         return ClaimVerdict::OutcomeUnknown;
     case Stage::Claimed:
-        if (isHolder(entry, request) || hasLapsed) {
-            this->hold(entry, request);
+        if (isHolder(entry, request) || hasExpired) {
+            this->assignRunner(entry, request);
             return ClaimVerdict::Run;
         }
         return ClaimVerdict::Join;
@@ -51,7 +51,7 @@
         // The claimer's session has not ended, but the claimer may not have received the permission to run, or may not have
         // reported the result. A resend would wait forever, so after the lease it gets an unknown outcome, because the
         // request may have run. A result that still arrives is accepted.
-        return hasLapsed ? ClaimVerdict::OutcomeUnknown : ClaimVerdict::Join;
+        return hasExpired ? ClaimVerdict::OutcomeUnknown : ClaimVerdict::Join;
     case Stage::IntentPending:
     case Stage::WithdrawPending:
     case Stage::ResultPending:
@@ -60,7 +60,7 @@
     return ClaimVerdict::Join;
 }
 
-void RequestTable::hold(Entry &entry, const ClaimRequest &request)
+void RequestTable::assignRunner(Entry &entry, const ClaimRequest &request)
 {
     entry.runner = request.runner;
     entry.claim = request.claim;
@@ -85,7 +85,7 @@
     if (entry.isAbandoned) {
         return IntentVerdict::Withdraw;
     }
-    this->tellWaiting(entry);
+    this->notifyWaiting(entry);
     return IntentVerdict::Run;
 }
 
@@ -129,7 +129,7 @@
         return;
     }
     this->finish(id, found->second);
-    this->tellWaiting(found->second);
+    this->notifyWaiting(found->second);
 }
 
 void RequestTable::finish(const RequestId &id, Entry &entry)
@@ -240,15 +240,15 @@
     return ReleaseVerdict::Refused;
 }
 
-void RequestTable::dropRunners(const std::function<bool(SessionNumber)> &isGone)
+void RequestTable::dropRunners(const std::function<bool(SessionNumber)> &hasEnded)
 {
     for (auto entry = this->entries.begin(); entry != this->entries.end();) {
         const auto current = entry++;
         Entry &each = current->second;
         const bool isRunning
             = each.stage == Stage::Claimed || each.stage == Stage::IntentPending || each.stage == Stage::IntentDurable;
-        const bool isForgotten = each.stage == Stage::Claimed && this->clock.now() >= each.leaseEnd + this->lease;
-        if (!isForgotten && (!isRunning || !isGone(each.runner))) {
+        const bool isStaleClaim = each.stage == Stage::Claimed && this->clock.now() >= each.leaseEnd + this->lease;
+        if (!isStaleClaim && (!isRunning || !hasEnded(each.runner))) {
             continue;
         }
         switch (each.stage) {
@@ -261,7 +261,7 @@
             break;
         default:
             each.stage = Stage::IntentOrphaned;
-            this->tellWaiting(each);
+            this->notifyWaiting(each);
             break;
         }
     }
@@ -275,7 +275,7 @@
     this->recent.clear();
     this->bytesOfRecent = 0;
     for (auto &[id, entry] : dropped) {
-        this->tellWaiting(entry);
+        this->notifyWaiting(entry);
     }
 }
 
@@ -313,7 +313,7 @@
     if (!isNew) {
         return;
     }
-    // The owner that journalled the intent is gone, but the runner may still be active; dropRunners() decides.
+    // The owner that journalled the intent no longer owns the shard, but the runner may still be active; dropRunners() decides.
     Entry &entry = found->second;
     entry.stage = Stage::IntentDurable;
     entry.hasIntent = true;
@@ -350,10 +350,10 @@
 void RequestTable::remove(Entries::iterator entry)
 {
     auto removed = this->entries.extract(entry);
-    this->tellWaiting(removed.mapped());
+    this->notifyWaiting(removed.mapped());
 }
 
-void RequestTable::tellWaiting(Entry &entry)
+void RequestTable::notifyWaiting(Entry &entry)
 {
     for (const std::function<void()> &reported : std::exchange(entry.waiting, {})) {
         reported();
--- a/Libraries/LibJournal/RequestTable.h
+++ b/Libraries/LibJournal/RequestTable.h
@@ -54,7 +54,7 @@
 enum class IntentVerdict {
     /** Allow the claimer to run the request. */
     Run,
-    /** The claimer was refused, or its session ended before a response was sent: journal a withdrawal. */
+    /** The claimer was refused, released the claim or ended without a response: journal a withdrawal. */
     Withdraw,
     /** No claim waits for this intent any more. */
     NotPending,
@@ -103,7 +103,7 @@
      * have been lost.
      * @param hasEnded returns whether a session has ended
      */
-    void dropRunners(const std::function<bool(SessionNumber)> &isGone);
+    void dropRunners(const std::function<bool(SessionNumber)> &hasEnded);
 
     /** Clears the table and notifies all waiting callers, because this node no longer owns the shard. */
     void abandon();
@@ -176,13 +176,13 @@
 
     template <typename Request>
     static bool isHolder(const Entry &entry, const Request &request);
-    ClaimVerdict claimAgain(Entry &entry, const ClaimRequest &request);
-    void hold(Entry &entry, const ClaimRequest &request);
+    ClaimVerdict claimExisting(Entry &entry, const ClaimRequest &request);
+    void assignRunner(Entry &entry, const ClaimRequest &request);
     void remove(Entries::iterator entry);
     void finish(const RequestId &id, Entry &entry);
     void keepRecent(const RequestId &id, Entry &entry);
     static std::size_t sizeOf(const RequestId &id, const Entry &entry);
-    void tellWaiting(Entry &entry);
+    void notifyWaiting(Entry &entry);
 
     const Clock &clock;
     std::chrono::milliseconds lease;
--- a/Libraries/LibJournal/ResultIndex.cpp
+++ b/Libraries/LibJournal/ResultIndex.cpp
@@ -56,7 +56,7 @@
     });
 }
 
-void ResultIndex::find(const RequestId &id, Looked looked)
+void ResultIndex::find(const RequestId &id, LookedUp lookedUp)
 {
     const auto blocks = std::make_shared<std::vector<std::string>>();
     for (const LoadedRun &each : this->loaded) {
@@ -64,34 +64,34 @@
             blocks->push_back(block->objectKey);
         }
     }
-    this->readNext(blocks, id, std::move(looked));
+    this->readNext(blocks, id, std::move(lookedUp));
 }
 
-void ResultIndex::readNext(const std::shared_ptr<std::vector<std::string>> &blocks, const RequestId &id, Looked looked)
+void ResultIndex::readNext(const std::shared_ptr<std::vector<std::string>> &blocks, const RequestId &id, LookedUp lookedUp)
 {
     if (blocks->empty()) {
-        looked(ReadOutcome::Absent, std::nullopt);
+        lookedUp(ReadOutcome::Absent, std::nullopt);
         return;
     }
     const std::string key = std::move(blocks->back());
     blocks->pop_back();
-    this->objects.get(key, [this, blocks, id, looked = std::move(looked), alive = this->alive](const ObjectResult &result) {
+    this->objects.get(key, [this, blocks, id, lookedUp = std::move(lookedUp), alive = this->alive](const ObjectResult &result) {
         if (!*alive) {
-            looked(ReadOutcome::Failed, std::nullopt);
+            lookedUp(ReadOutcome::Failed, std::nullopt);
             return;
         }
         const auto block = result.outcome == ReadOutcome::Found ? decode<ResultBlock>(result.content) : std::nullopt;
         if (!block) {
             // NOTE: An absent object also counts as a failure: the runs may have been merged since, so the id may exist.
-            looked(ReadOutcome::Failed, std::nullopt);
+            lookedUp(ReadOutcome::Failed, std::nullopt);
             return;
         }
         const auto found = std::ranges::lower_bound(block->results, id, {}, &ResultRecord::requestId);
         if (found != block->results.end() && found->requestId == id) {
-            looked(ReadOutcome::Found, *found);
+            lookedUp(ReadOutcome::Found, *found);
             return;
         }
-        this->readNext(blocks, id, looked);
+        this->readNext(blocks, id, lookedUp);
     });
 }
 
--- a/Libraries/LibJournal/ResultIndex.h
+++ b/Libraries/LibJournal/ResultIndex.h
@@ -28,7 +28,7 @@
 {
 public:
     /** Receives whether the id is in a run (Absent is certain, Failed is not), and the result. */
-    using Looked = std::function<void(ReadOutcome, std::optional<ResultRecord>)>;
+    using LookedUp = std::function<void(ReadOutcome, std::optional<ResultRecord>)>;
 
     explicit ResultIndex(ObjectStore &objects);
     ~ResultIndex();
@@ -51,11 +51,11 @@
     bool mayContain(const RequestId &id) const;
 
     /** Looks up an id in the runs, newest first. */
-    void find(const RequestId &id, Looked looked);
+    void find(const RequestId &id, LookedUp lookedUp);
 
 private:
     static const BlockEntry *blockOf(const ResultRun &run, const RequestId &id);
-    void readNext(const std::shared_ptr<std::vector<std::string>> &blocks, const RequestId &id, Looked looked);
+    void readNext(const std::shared_ptr<std::vector<std::string>> &blocks, const RequestId &id, LookedUp lookedUp);
 
     ObjectStore &objects;
     std::vector<LoadedRun> loaded;
--- a/Libraries/LibJournal/SessionRegistry.cpp
+++ b/Libraries/LibJournal/SessionRegistry.cpp
@@ -13,7 +13,7 @@
 {
 
 constexpr std::chrono::milliseconds retryDelay{100};
-constexpr std::size_t sessionsListed = 4096;
+constexpr std::size_t maxSessions = 4096;
 
 std::uint64_t numberOf(const std::string &text)
 {
@@ -98,7 +98,7 @@
 {
     this->platform.tables().readRange(JournalKeys::session(SessionNumber(0)),
                                       JournalKeys::sessionsEnd(),
-                                      sessionsListed,
+                                      maxSessions,
                                       [listed = std::move(listed)](const RowsResult &result) {
                                           if (result.outcome != ReadOutcome::Found) {
                                               listed(std::nullopt);
--- a/Libraries/LibJournal/WritePace.cpp
+++ b/Libraries/LibJournal/WritePace.cpp
@@ -14,9 +14,9 @@
 /** Share of the budget that group commits may use. */
 constexpr double journalShare = 0.75;
 /** Min writes per second of one journal. Below it records wait too long, so fewer nodes hold journals. */
-constexpr double slowestJournal = 8;
+constexpr double minJournalWritesPerSecond = 8;
 /** Time constant of the moving average of the record rate. */
-constexpr Seconds memory{0.5};
+constexpr Seconds averagingTime{0.5};
 
 SteadyTime after(SteadyTime time, Seconds wait)
 {
@@ -51,7 +51,7 @@
 void WritePace::recordAdded(SteadyTime now)
 {
     const Seconds since = now - this->lastRecord;
-    this->recordRate = this->recordRate * std::exp(-since / memory) + 1.0 / memory.count();
+    this->recordRate = this->recordRate * std::exp(-since / averagingTime) + 1.0 / averagingTime.count();
     this->lastRecord = now;
 }
 
@@ -65,8 +65,8 @@
 SteadyTime WritePace::nextStart(SteadyTime now) const
 {
     SteadyTime earliest = std::max(now, this->lastStart + this->options.minInterval);
-    const bool gathers = this->recordRate * Seconds(this->options.gatherTime).count() >= this->options.minGatherRecords;
-    if (gathers) {
+    const bool isGathering = this->recordRate * Seconds(this->options.gatherTime).count() >= this->options.minGatherRecords;
+    if (isGathering) {
         earliest = std::max(earliest, this->lastStart + this->options.gatherTime);
     }
     const double missing = 1.0 - this->tokensAt(now);
@@ -83,7 +83,7 @@
 
 std::size_t maxJournals(double writesPerSecond)
 {
-    return std::max<std::size_t>(1, static_cast<std::size_t>(writesPerSecond * journalShare / slowestJournal));
+    return std::max<std::size_t>(1, static_cast<std::size_t>(writesPerSecond * journalShare / minJournalWritesPerSecond));
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibJournal/WritePace.h
+++ b/Libraries/LibJournal/WritePace.h
@@ -29,7 +29,7 @@
         double minGatherRecords = 4;
         /** Average writes per second that this journal may make. */
         double writesPerSecond = 200;
-        /** Capacity of the token bucket, as the time in which it fills. */
+        /** Capacity of the token bucket, as the time in which it fills: max burst of writes after an idle period. */
         std::chrono::milliseconds burst{1000};
     };
 
--- a/Tests/LibJournal/TestJournalWriter.cpp
+++ b/Tests/LibJournal/TestJournalWriter.cpp
@@ -14,7 +14,7 @@
 {
 
 constexpr SessionNumber ownerSession{1};
-constexpr SessionNumber takerSession{2};
+constexpr SessionNumber successorSession{2};
 
 struct Fixture
 {
@@ -35,7 +35,7 @@
     {
         std::vector<std::string> payloads;
         const auto recovery = std::make_shared<JournalRecovery>(
-            this->platform, this->clock, takerSession, ownerSession, GroupNumber(1), GroupNumber(0));
+            this->platform, this->clock, successorSession, ownerSession, GroupNumber(1), GroupNumber(0));
         recovery->start([&payloads](const RecoveredJournal &journal) {
             for (const RecoveredGroup &group : journal.groups) {
                 for (const JournalRecord &record : group.group.records) {
@@ -125,14 +125,14 @@
     Fixture fixture;
     fixture.append("in group 1");
     fixture.clock.advance(100ms);
-    const auto behind = std::make_shared<JournalRecovery>(
+    const auto laterRecovery = std::make_shared<JournalRecovery>(
         fixture.platform, fixture.clock, SessionNumber(3), ownerSession, GroupNumber(3), GroupNumber(0));
-    bool isSealedBehind = false;
-    behind->start([&isSealedBehind](const RecoveredJournal &) {
-        isSealedBehind = true;
+    bool isSealedLater = false;
+    laterRecovery->start([&isSealedLater](const RecoveredJournal &) {
+        isSealedLater = true;
     });
     fixture.clock.advance(1s);
-    REQUIRE(isSealedBehind);
+    REQUIRE(isSealedLater);
     const Payloads recovered = fixture.recover();
     fixture.append("in group 2");
     fixture.clock.advance(1s);
@@ -152,7 +152,7 @@
     fixture.clock.advance(100ms);
     GroupNumber last;
     const auto recovery = std::make_shared<JournalRecovery>(
-        fixture.platform, fixture.clock, takerSession, ownerSession, GroupNumber(2), GroupNumber(0));
+        fixture.platform, fixture.clock, successorSession, ownerSession, GroupNumber(2), GroupNumber(0));
     recovery->start([&last](const RecoveredJournal &journal) {
         last = journal.last;
     });
--- a/Tests/LibJournal/TestWritePace.cpp
+++ b/Tests/LibJournal/TestWritePace.cpp
@@ -15,21 +15,21 @@
 {
     int records = 0;
     int writes = 0;
-    std::chrono::milliseconds longestWait{0};
+    std::chrono::milliseconds maxWait{0};
 };
 
 /** Simulates records that arrive at random times; each write includes all waiting records. */
 Load run(WritePace &pace, double recordsPerSecond, std::chrono::seconds time)
 {
     std::mt19937_64 random(7);
-    std::bernoulli_distribution comes(recordsPerSecond / 1000);
+    std::bernoulli_distribution arrives(recordsPerSecond / 1000);
     ManualClock clock;
     Load load;
     SteadyTime waitingSince{};
     bool isWaiting = false;
     for (std::chrono::milliseconds passed{0}; passed < time; passed += 1ms) {
         clock.advance(1ms);
-        if (comes(random)) {
+        if (arrives(random)) {
             pace.recordAdded(clock.now());
             ++load.records;
             waitingSince = isWaiting ? waitingSince : clock.now();
@@ -40,7 +40,7 @@
             ++load.writes;
             isWaiting = false;
             const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(clock.now() - waitingSince);
-            load.longestWait = std::max(load.longestWait, wait);
+            load.maxWait = std::max(load.maxWait, wait);
         }
     }
     return load;
@@ -51,11 +51,11 @@
 TEST_CASE("a single record is written at once, and records at a high rate share writes")
 {
     WritePace quiet({});
-    CHECK(run(quiet, 5, 20s).longestWait <= 6ms);
+    CHECK(run(quiet, 5, 20s).maxWait <= 6ms);
     WritePace busy({});
     const Load load = run(busy, 300, 20s);
     CHECK(load.writes * 20 < load.records);
-    CHECK(load.longestWait <= 80ms);
+    CHECK(load.maxWait <= 80ms);
 }
 
 TEST_CASE("writes stay within the budget at any record rate")
