--- a/Libraries/LibControl/OrderLease.cpp
+++ b/Libraries/LibControl/OrderLease.cpp
@@ -83,7 +83,7 @@
     this->requestedStopped = std::move(rollouts);
 }
 
-void OrderLease::lost()
+void OrderLease::markLost()
 {
     this->held = false;
 }
--- a/Libraries/LibControl/OrderLease.h
+++ b/Libraries/LibControl/OrderLease.h
@@ -69,7 +69,7 @@
     void setStoppedRollouts(std::vector<std::string> rollouts);
 
     /** Marks the lease as lost, because an engine refused the fencing number and another node holds the lease. */
-    void lost();
+    void markLost();
 
     /** Releases the lease and stops competing for it. */
     void release();
--- a/Services/Control/Reconciler.cpp
+++ b/Services/Control/Reconciler.cpp
@@ -169,7 +169,7 @@
             return;
         }
         if (outcome == OrderOutcome::StaleFence) {
-            this->lease.lost();
+            this->lease.markLost();
         }
         this->sendNext(round);
     });
