--- a/Libraries/LibControl/OrderLease.h
+++ b/Libraries/LibControl/OrderLease.h
@@ -53,7 +53,7 @@
     /** @return whether orders may be sent at this moment; must be checked before each order. */
     bool maySendOrders() const;
 
-    /** @return the fencing number of orders, while mayOrder(). */
+    /** @return the fencing number of orders; valid while maySendOrders() is true. */
     std::uint64_t fence() const;
 
     /** @return the row as it was last read or written. */
--- a/Libraries/LibControl/TextDifference.h
+++ b/Libraries/LibControl/TextDifference.h
@@ -39,8 +39,8 @@
 /**
  * Performs a three-way merge by lines.
  * @param common the common ancestor of both texts
- * @param theirs one changed text
- * @param ours the other changed text; conflicts are reported at its changes
+ * @param theirs one changed text; its changes are kept where the other has none
+ * @param ours the other changed text; its changes are kept where the first has none
  */
 TextMerge mergeTexts(std::string_view common, std::string_view theirs, std::string_view ours);
 
