--- a/Libraries/LibControl/ConfigurationStore.cpp
+++ b/Libraries/LibControl/ConfigurationStore.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** Left in a row for its other fields: nonce, author, reason. */
+/** Bytes reserved in a row for its other fields: nonce, author, reason. */
 constexpr std::size_t rowReserve = 1024;
 
 } // namespace
@@ -28,7 +28,7 @@
         versions.outcome = result.outcome;
         for (const Row &row : result.rows) {
             auto version = decode<ConfigurationRow>(row.value);
-            // A row that cannot be read must not make an older one look like the newest.
+            // A row that cannot be decoded must not make an older one appear to be the newest.
             if (!version) {
                 done({ReadOutcome::Failed, {}});
                 return;
@@ -54,8 +54,8 @@
 void ConfigurationStore::readPart(const std::string &key, std::function<void(std::optional<std::string>)> done)
 {
     this->platform.objects().get(key, [key, done = std::move(done)](ObjectResult result) {
-        const bool isGood = result.outcome == ReadOutcome::Found && ConfigurationKeys::part(result.content) == key;
-        done(isGood ? std::optional(std::move(result.content)) : std::nullopt);
+        const bool isIntact = result.outcome == ReadOutcome::Found && ConfigurationKeys::part(result.content) == key;
+        done(isIntact ? std::optional(std::move(result.content)) : std::nullopt);
     });
 }
 
@@ -88,7 +88,7 @@
 void ConfigurationStore::writePart(const std::string &key, const std::string &content, std::function<void(WriteOutcome)> done)
 {
     this->platform.objects().putIfAbsent(key, content, [done = std::move(done)](WriteOutcome outcome) {
-        // Refused: it is there, and by its key it holds the same.
+        // Refused: the part exists, and its key guarantees the same content.
         done(outcome == WriteOutcome::Refused ? WriteOutcome::Done : outcome);
     });
 }
@@ -108,10 +108,10 @@
         return {};
     }
     ConfigurationPartMap parts;
-    for (std::string &piece : splitIntoParts(encoded)) {
-        const std::string key = ConfigurationKeys::part(piece);
+    for (std::string &chunk : splitIntoParts(encoded)) {
+        const std::string key = ConfigurationKeys::part(chunk);
         row.parts.push_back(key);
-        parts[key] = std::move(piece);
+        parts[key] = std::move(chunk);
     }
     return parts;
 }
--- a/Libraries/LibControl/ConfigurationWriter.cpp
+++ b/Libraries/LibControl/ConfigurationWriter.cpp
@@ -57,33 +57,33 @@
     }
     attempt->applied = std::move(applied);
     attempt->deadline = this->clock.now() + this->options.timeout;
-    this->look(attempt);
+    this->readRow(attempt);
 }
 
-void ConfigurationWriter::look(const AttemptPointer &attempt)
+void ConfigurationWriter::readRow(const AttemptPointer &attempt)
 {
     this->store.readPair(attempt->row.number, [this, attempt, alive = this->alive](const ConfigurationRows &read) {
         if (*alive) {
-            this->onPair(attempt, read);
+            this->onRowsRead(attempt, read);
         }
     });
 }
 
-void ConfigurationWriter::onPair(const AttemptPointer &attempt, const ConfigurationRows &read)
+void ConfigurationWriter::onRowsRead(const AttemptPointer &attempt, const ConfigurationRows &read)
 {
     if (read.outcome != ReadOutcome::Found) {
-        this->again(attempt, &ConfigurationWriter::look);
+        this->retryLater(attempt, &ConfigurationWriter::readRow);
         return;
     }
-    if (const ConfigurationRow *const taken = find(read, attempt->row.number)) {
-        const bool isOurs = taken->nonce == attempt->row.nonce;
-        finish(attempt, isOurs ? ApplyOutcome::Accepted : ApplyOutcome::Raced, *taken);
+    if (const ConfigurationRow *const existing = find(read, attempt->row.number)) {
+        const bool isOwn = existing->nonce == attempt->row.nonce;
+        finish(attempt, isOwn ? ApplyOutcome::Accepted : ApplyOutcome::Raced, *existing);
         return;
     }
     const std::uint64_t edited = attempt->row.number - 1;
     if (edited > 0 && find(read, edited) == nullptr) {
-        // Rows are never removed, so with the edited version there and the next one absent there is none behind it:
-        // inserting it cannot leave a gap, which would let two operators both win.
+        // Rows are never removed, so if the edited version exists and the next one is absent, there is no later version.
+        // Without the edited version, an insert could leave a gap in the numbers, and two operators could both succeed.
         Findings findings;
         findings.add({"request", 0, 0}, "there is no version " + std::to_string(edited) + " to have been edited");
         attempt->applied(invalid(std::move(findings)));
@@ -104,7 +104,7 @@
             return;
         }
         if (outcome != WriteOutcome::Done) {
-            this->again(attempt, &ConfigurationWriter::writeParts);
+            this->retryLater(attempt, &ConfigurationWriter::writeParts);
             return;
         }
         attempt->parts.erase(attempt->parts.begin());
@@ -123,21 +123,21 @@
             finish(attempt, ApplyOutcome::Accepted, attempt->row);
             return;
         case WriteOutcome::Refused:
-            // Someone's row is there. It may be our own: an earlier insert whose answer was lost.
-            this->look(attempt);
+            // The row exists. It may be this attempt's own, from an earlier insert whose response was lost.
+            this->readRow(attempt);
             return;
         case WriteOutcome::NotApplied:
-            this->again(attempt, &ConfigurationWriter::look);
+            this->retryLater(attempt, &ConfigurationWriter::readRow);
             return;
         case WriteOutcome::Unknown:
             attempt->mayBeInserted = true;
-            this->again(attempt, &ConfigurationWriter::look);
+            this->retryLater(attempt, &ConfigurationWriter::readRow);
             return;
         }
     });
 }
 
-void ConfigurationWriter::again(const AttemptPointer &attempt, void (ConfigurationWriter::*step)(const AttemptPointer &))
+void ConfigurationWriter::retryLater(const AttemptPointer &attempt, void (ConfigurationWriter::*step)(const AttemptPointer &))
 {
     if (this->clock.now() >= attempt->deadline) {
         finish(attempt, attempt->mayBeInserted ? ApplyOutcome::Unknown : ApplyOutcome::NotApplied);
--- a/Libraries/LibControl/OrderPlanner.cpp
+++ b/Libraries/LibControl/OrderPlanner.cpp
@@ -15,13 +15,13 @@
 
 constexpr const char *servingRole = "serve";
 
-/** Requests of one version, and those of them that failed. */
+/** Requests to one version, and those of them that failed. */
 struct ErrorCount
 {
     std::uint64_t requests = 0;
     std::uint64_t errors = 0;
 
-    double share() const
+    double rate() const
     {
         return this->requests > 0 ? static_cast<double>(this->errors) / static_cast<double>(this->requests) : 0;
     }
@@ -39,11 +39,11 @@
     return count;
 }
 
-bool makesErrorsRise(const ModelSettings &model, const OrderSettings &orders, const EngineStateReports &reports)
+bool raisesErrorRate(const ModelSettings &model, const OrderSettings &orders, const EngineStateReports &reports)
 {
     const ErrorCount next = errorsOf(reports, model.name, model.nextVersion);
-    const bool isEnough = next.requests >= static_cast<std::uint64_t>(orders.errorRequests);
-    return isEnough && next.share() > errorsOf(reports, model.name, model.version).share() + orders.errorLimit;
+    const bool isSufficient = next.requests >= static_cast<std::uint64_t>(orders.errorRequests);
+    return isSufficient && next.rate() > errorsOf(reports, model.name, model.version).rate() + orders.errorLimit;
 }
 
 bool hasVersion(const EngineStateReports &reports, const EndpointSettings &endpoint, const std::string &version)
@@ -56,7 +56,7 @@
     return state.model == endpoint.model && state.version == version;
 }
 
-/** The endpoints of a model, in an order that no renewal of the configuration changes. */
+/** @return the endpoints of a model, in an order that does not depend on their order in the configuration. */
 std::vector<const EndpointSettings *> endpointsOf(const Settings &settings, const std::string &model)
 {
     std::vector<const EndpointSettings *> endpoints;
@@ -73,13 +73,13 @@
 
 } // namespace
 
-/** One comparison, as far as it has come. */
+/** Intermediate state of one planning round. */
 struct OrderPlanner::Round
 {
     const Settings &settings;
     const EngineStateReports &reports;
     std::map<EndpointName, EngineState> intended;
-    /** Engines that serve and have got no order in this round that would stop them. */
+    /** Engines that serve and have not been ordered to stop serving in this round. */
     std::map<EndpointName, EngineState> serving;
     std::map<std::string, std::int64_t> loadsByDomain;
     OrderPlan plan;
@@ -105,7 +105,7 @@
         return found != this->settings.models.end() ? &*found : nullptr;
     }
 
-    /** @return whether callers go on being served when this engine stops serving what it has. */
+    /** @return whether this engine may stop serving its current state, without interrupting service to callers. */
     bool mayStop(const EndpointName &name) const
     {
         const auto served = this->serving.find(name);
@@ -126,7 +126,7 @@
         return this->isServedElsewhere(name, state.model, std::nullopt);
     }
 
-    void wait(const EndpointSettings &endpoint, const std::string &why)
+    void addWait(const EndpointSettings &endpoint, const std::string &why)
     {
         this->plan.waits.push_back(endpoint.name + ": " + why);
     }
@@ -152,7 +152,7 @@
         const bool isStopped = stopped.contains(rolloutName(model));
         for (std::size_t i = 0; i < endpoints.size(); ++i) {
             const EndpointSettings &endpoint = *endpoints[i];
-            // A stopped rollout goes no further; going back is an operator's decision, by a new version.
+            // A stopped rollout reaches no further endpoints; a rollback is an operator's decision, by a new version.
             const bool isNext = i < nextCount && (!isStopped || hasVersion(reports, endpoint, model.nextVersion));
             EngineState state{model.name, isNext ? model.nextVersion : model.version, model.adapters, endpoint.role};
             std::ranges::sort(state.adapters);
@@ -168,7 +168,7 @@
     std::set<std::string> allStopped = stopped;
     for (const ModelSettings &model : settings.models) {
         const bool isRunning = model.nextShare > 0 && !stopped.contains(rolloutName(model));
-        if (isRunning && makesErrorsRise(model, settings.orders, reports)) {
+        if (isRunning && raisesErrorRate(model, settings.orders, reports)) {
             round.plan.stops.push_back(rolloutName(model));
             allStopped.insert(rolloutName(model));
         }
@@ -182,7 +182,7 @@
     this->countLoads(round);
     for (const EndpointSettings &endpoint : settings.endpoints) {
         if (round.intended.contains(EndpointName(endpoint.name))) {
-            this->consider(round, endpoint);
+            this->planEndpoint(round, endpoint);
         }
     }
     return std::move(round.plan);
@@ -203,9 +203,9 @@
         if (ordered == this->loading.end()) {
             continue;
         }
-        // One that was told to load and does not answer may still draw on the weight store.
-        const bool isSilent = report == round.reports.end() && now - ordered->second < round.settings.orders.loadTimeout;
-        if (isSilent) {
+        // An engine that was ordered to load and does not respond may still be reading from the weight store.
+        const bool isUnresponsive = report == round.reports.end() && now - ordered->second < round.settings.orders.loadTimeout;
+        if (isUnresponsive) {
             ++round.loadsByDomain[endpoint.failureDomain];
         } else {
             this->loading.erase(ordered);
@@ -213,19 +213,19 @@
     }
 }
 
-void OrderPlanner::consider(Round &round, const EndpointSettings &endpoint)
+void OrderPlanner::planEndpoint(Round &round, const EndpointSettings &endpoint)
 {
     const EndpointName name(endpoint.name);
     const EngineState &intended = round.intended.at(name);
     const auto found = round.reports.find(name);
     if (found == round.reports.end()) {
-        round.wait(endpoint, "does not answer");
+        round.addWait(endpoint, "does not answer");
         return;
     }
     const EngineStateReport &report = found->second;
     if (report.loading == intended) {
         if (this->clock.now() - this->loading.at(name) > round.settings.orders.loadTimeout) {
-            round.wait(endpoint, "its load takes longer than orders.load_timeout; see to the weight store");
+            round.addWait(endpoint, "its load takes longer than orders.load_timeout; see to the weight store");
         }
         return;
     }
@@ -235,7 +235,7 @@
     const bool hasWeights = report.state.model == intended.model && report.state.version == intended.version && !report.loading;
     const bool stopsServing = !hasWeights || intended.role != servingRole;
     if (stopsServing && !round.mayStop(name)) {
-        round.wait(endpoint, "is the last that serves " + report.state.model + ' ' + report.state.version);
+        round.addWait(endpoint, "is the last that serves " + report.state.model + ' ' + report.state.version);
         return;
     }
     if (!hasWeights && !this->mayLoad(round, endpoint)) {
@@ -251,12 +251,12 @@
 {
     std::int64_t &loads = round.loadsByDomain[endpoint.failureDomain];
     if (loads >= round.settings.orders.loadsPerDomain && !round.reports.at(EndpointName(endpoint.name)).loading) {
-        round.wait(endpoint, "others load in " + endpoint.failureDomain);
+        round.addWait(endpoint, "others load in " + endpoint.failureDomain);
         return false;
     }
     const SteadyTime now = this->clock.now();
     if (now < this->nextLoad) {
-        round.wait(endpoint, "the weight store is busy with the loads before");
+        round.addWait(endpoint, "the weight store is busy with the loads before");
         return false;
     }
     const ModelSettings *const model = round.model(endpoint.model);
--- a/Libraries/LibControl/TextDifference.cpp
+++ b/Libraries/LibControl/TextDifference.cpp
@@ -12,8 +12,8 @@
 
 using Lines = std::vector<std::string>;
 
-/** Largest table of the comparison; beyond it the whole middle counts as changed. */
-constexpr std::size_t mostCells = 16UL * 1024 * 1024;
+/** Max number of table cells; for larger texts all lines between common prefix and suffix count as changed. */
+constexpr std::size_t maxCells = 16UL * 1024 * 1024;
 
 std::size_t commonPrefix(const Lines &before, const Lines &after)
 {
@@ -26,15 +26,15 @@
 
 std::size_t commonSuffix(const Lines &before, const Lines &after, std::size_t prefix)
 {
-    const std::size_t most = std::min(before.size(), after.size()) - prefix;
+    const std::size_t maxLength = std::min(before.size(), after.size()) - prefix;
     std::size_t length = 0;
-    while (length < most && before[before.size() - 1 - length] == after[after.size() - 1 - length]) {
+    while (length < maxLength && before[before.size() - 1 - length] == after[after.size() - 1 - length]) {
         ++length;
     }
     return length;
 }
 
-/** Lengths of the longest common subsequences of all ends of two ranges of lines. */
+/** Lengths of the longest common subsequences of all suffixes of two ranges of lines. */
 class CommonLengths
 {
 public:
@@ -64,7 +64,7 @@
     std::vector<std::uint32_t> cells;
 };
 
-/** Adds one replaced or added line to the last change, or begins a new one. */
+/** Adds one removed or added line to the last change, or starts a new change. */
 void extend(std::vector<TextChange> &changes, std::size_t position, const std::string *added)
 {
     if (changes.empty() || changes.back().from + changes.back().count != position) {
@@ -86,7 +86,7 @@
     if (rows + columns == 0) {
         return {};
     }
-    if ((rows + 1) * (columns + 1) > mostCells) {
+    if ((rows + 1) * (columns + 1) > maxCells) {
         const auto begin = after.begin() + static_cast<std::ptrdiff_t>(prefix);
         return {{prefix, rows, Lines(begin, begin + static_cast<std::ptrdiff_t>(columns))}};
     }
@@ -118,15 +118,15 @@
 
 bool touches(const TextChange &left, const TextChange &right)
 {
-    // Changes side by side count as one place: which of two insertions comes first is the operator's to say.
+    // Adjacent changes conflict, because the order of two insertions is the operator's decision.
     return left.from <= right.from + right.count && right.from <= left.from + left.count;
 }
 
 void replace(Lines &lines, const TextChange &change)
 {
     const auto begin = lines.begin() + static_cast<std::ptrdiff_t>(change.from);
-    const auto rest = lines.erase(begin, begin + static_cast<std::ptrdiff_t>(change.count));
-    lines.insert(rest, change.lines.begin(), change.lines.end());
+    const auto insertPosition = lines.erase(begin, begin + static_cast<std::ptrdiff_t>(change.count));
+    lines.insert(insertPosition, change.lines.begin(), change.lines.end());
 }
 
 } // namespace
--- a/Libraries/LibJournal/IdFilter.cpp
+++ b/Libraries/LibJournal/IdFilter.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint64_t secondSeed = 12;
 constexpr unsigned bitsPerByte = 8;
 
-/** The places of an id's bits: two hashes give all of them (Kirsch and Mitzenmacher, 2006). */
+/** Generates the bit positions of an id from two hashes by double hashing (Kirsch and Mitzenmacher, 2006). */
 class Probes
 {
 public:
@@ -46,11 +46,11 @@
 
 void IdFilter::add(std::string_view id)
 {
-    Probes places(id, this->bits.size());
+    Probes positions(id, this->bits.size());
     for (unsigned i = 0; i < probes; ++i) {
-        const std::size_t place = places.next();
-        const auto byte = static_cast<unsigned char>(this->bits[place / bitsPerByte]);
-        this->bits[place / bitsPerByte] = static_cast<char>(byte | (1U << (place % bitsPerByte)));
+        const std::size_t bit = positions.next();
+        const auto byte = static_cast<unsigned char>(this->bits[bit / bitsPerByte]);
+        this->bits[bit / bitsPerByte] = static_cast<char>(byte | (1U << (bit % bitsPerByte)));
     }
 }
 
@@ -59,16 +59,16 @@
     return this->bits;
 }
 
-bool IdFilter::mayHold(std::string_view bytes, std::string_view id)
+bool IdFilter::mayContain(std::string_view bytes, std::string_view id)
 {
     if (bytes.empty()) {
         return false;
     }
-    Probes places(id, bytes.size());
+    Probes positions(id, bytes.size());
     for (unsigned i = 0; i < probes; ++i) {
-        const std::size_t place = places.next();
-        const auto byte = static_cast<unsigned char>(bytes[place / bitsPerByte]);
-        if ((byte & (1U << (place % bitsPerByte))) == 0) {
+        const std::size_t bit = positions.next();
+        const auto byte = static_cast<unsigned char>(bytes[bit / bitsPerByte]);
+        if ((byte & (1U << (bit % bitsPerByte))) == 0) {
             return false;
         }
     }
--- a/Libraries/LibJournal/JournalWriter.cpp
+++ b/Libraries/LibJournal/JournalWriter.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr std::size_t nonceBytes = 12;
-/** What a record takes beside its payload. */
+/** Estimated encoded size of a record without its payload, in bytes. */
 constexpr std::size_t recordOverhead = 32;
 
 } // namespace
@@ -46,7 +46,7 @@
     ++this->appendedRecords;
     this->pace.recordAdded(this->clock.now());
     this->pending.push_back({std::move(record), std::move(appended)});
-    this->wake();
+    this->scheduleWrite();
 }
 
 void JournalWriter::setWritesPerSecond(double rate)
@@ -54,13 +54,13 @@
     this->pace.setWritesPerSecond(rate, this->clock.now());
 }
 
-void JournalWriter::lookForSeal()
+void JournalWriter::checkForSeal()
 {
     this->platform.tables().readRange(JournalKeys::group(this->session, this->number),
                                       JournalKeys::groupsEnd(this->session),
                                       1,
                                       [this, alive = this->alive](const RowsResult &result) {
-                                          // A write in flight finds the seal by itself.
+                                          // A write in flight detects the seal itself.
                                           if (!*alive || this->fenced || !this->inFlight.empty() || result.rows.empty()) {
                                               return;
                                           }
@@ -111,7 +111,7 @@
     return this->written;
 }
 
-void JournalWriter::wake()
+void JournalWriter::scheduleWrite()
 {
     if (this->timer != 0 || !this->inFlight.empty() || this->pending.empty() || this->fenced) {
         return;
@@ -159,7 +159,7 @@
             if (!*alive) {
                 return;
             }
-            // Refused: the key has this group's nonce, so what is there is what an earlier try of this write put there.
+            // Refused: the key contains this group's nonce, so the existing object was written by an earlier attempt.
             if (outcome == WriteOutcome::Done || outcome == WriteOutcome::Refused) {
                 this->objectValue.clear();
                 this->writeRow();
@@ -186,10 +186,10 @@
         this->completeGroup();
         return;
     case WriteOutcome::Refused:
-        // The row is there: this very group, if the answer to an earlier try was lost, or a seal.
+        // The row exists: it is this group, if the response to an earlier attempt was lost, or a seal.
     case WriteOutcome::Unknown:
-        // The answer may have been lost after the write took effect. Writing a new group now could leave the same
-        // records in the journal twice, and giving up could lose them: the row itself says which it is.
+        // The response may have been lost after the write took effect. Writing a new group could duplicate the records
+        // in the journal, and giving up could lose them; reading the row back resolves the outcome.
         this->readBack();
         return;
     case WriteOutcome::NotApplied:
@@ -210,7 +210,7 @@
                                          return;
                                      }
                                      if (result.outcome == ReadOutcome::Absent) {
-                                         // A late arrival of the lost write is harmless: it has the same nonce.
+                                         // A delayed arrival of the lost write is harmless, because it has the same nonce.
                                          this->retry(&JournalWriter::writeRow);
                                          return;
                                      }
@@ -227,14 +227,14 @@
 {
     if (!std::exchange(this->stalled, true)) {
         log(LogLevel::Warning,
-            "journal write waits for the platform",
+            "journal write failed, retrying until the platform responds",
             {{"group", static_cast<std::int64_t>(this->number.value())}});
     }
     this->timer = this->scheduler.schedule(this->backoff, [this, step] {
         this->timer = 0;
         (this->*step)();
     });
-    this->backoff = std::min(this->backoff * 2, this->options.longestBackoff);
+    this->backoff = std::min(this->backoff * 2, this->options.maxBackoff);
 }
 
 void JournalWriter::completeGroup()
@@ -251,12 +251,14 @@
             return;
         }
     }
-    this->wake();
+    this->scheduleWrite();
 }
 
 void JournalWriter::fence()
 {
-    log(LogLevel::Warning, "journal was sealed by another session", {{"group", static_cast<std::int64_t>(this->number.value())}});
+    log(LogLevel::Warning,
+        "journal was sealed by another session, rejecting further appends",
+        {{"group", static_cast<std::int64_t>(this->number.value())}});
     this->fenced = true;
     std::vector<Pending> lost = std::exchange(this->inFlight, {});
     std::ranges::move(this->pending, std::back_inserter(lost));
--- a/Libraries/LibJournal/RequestTable.cpp
+++ b/Libraries/LibJournal/RequestTable.cpp
@@ -18,39 +18,40 @@
     const auto [found, isNew] = this->entries.try_emplace(request.requestId);
     Entry &entry = found->second;
     if (!isNew) {
-        return this->claimAgain(entry, request);
+        return this->claimExisting(entry, request);
     }
     entry.fingerprint = request.fingerprint;
-    this->hold(entry, request);
+    this->assignRunner(entry, request);
     entry.stage = request.isNonIdempotent ? Stage::IntentPending : Stage::Claimed;
     return request.isNonIdempotent ? ClaimVerdict::RunAfterIntent : ClaimVerdict::Run;
 }
 
-ClaimVerdict RequestTable::claimAgain(Entry &entry, const ClaimRequest &request)
+ClaimVerdict RequestTable::claimExisting(Entry &entry, const ClaimRequest &request)
 {
     if (entry.fingerprint != request.fingerprint) {
         return ClaimVerdict::Mismatch;
     }
-    const bool hasLapsed = this->clock.now() >= entry.leaseEnd;
+    const bool hasExpired = this->clock.now() >= entry.leaseEnd;
     switch (entry.stage) {
     case Stage::Done:
         return ClaimVerdict::Done;
     case Stage::IntentOrphaned:
         return ClaimVerdict::OutcomeUnknown;
     case Stage::Claimed:
-        if (isHolder(entry, request) || hasLapsed) {
-            this->hold(entry, request);
+        if (isHolder(entry, request) || hasExpired) {
+            this->assignRunner(entry, request);
             return ClaimVerdict::Run;
         }
         return ClaimVerdict::Join;
     case Stage::IntentDurable:
-        // The answer to this very claim was lost on its way. The runner acts on one answer only, so it has not run yet.
+        // The response to this claim was lost. The runner acts on one response only, so the request has not run yet.
         if (isHolder(entry, request)) {
             return ClaimVerdict::Run;
         }
-        // Its claimer lives, but never learnt that it may run, or never got round to telling: a resend would wait for
-        // ever. It may have run, so the resend is told just that. A result that still comes is taken.
-        return hasLapsed ? ClaimVerdict::OutcomeUnknown : ClaimVerdict::Join;
+        // The claimer's session has not ended, but the claimer may not have received the permission to run, or may not have
+        // reported the result. A resend would wait forever, so after the lease it gets an unknown outcome, because the
+        // request may have run. A result that still arrives is accepted.
+        return hasExpired ? ClaimVerdict::OutcomeUnknown : ClaimVerdict::Join;
     case Stage::IntentPending:
     case Stage::WithdrawPending:
     case Stage::ResultPending:
@@ -59,7 +60,7 @@
     return ClaimVerdict::Join;
 }
 
-void RequestTable::hold(Entry &entry, const ClaimRequest &request)
+void RequestTable::assignRunner(Entry &entry, const ClaimRequest &request)
 {
     entry.runner = request.runner;
     entry.claim = request.claim;
@@ -76,7 +77,7 @@
 {
     const auto found = this->entries.find(id);
     if (found == this->entries.end() || found->second.stage != Stage::IntentPending) {
-        return IntentVerdict::Gone;
+        return IntentVerdict::NotPending;
     }
     Entry &entry = found->second;
     entry.hasIntent = true;
@@ -84,7 +85,7 @@
     if (entry.isAbandoned) {
         return IntentVerdict::Withdraw;
     }
-    this->tellWaiting(entry);
+    this->notifyWaiting(entry);
     return IntentVerdict::Run;
 }
 
@@ -107,7 +108,7 @@
 
 CommitVerdict RequestTable::commit(const CommitRequest &request)
 {
-    // A commit for an unknown id is taken: its claim was lost with a former owner, the work was done all the same.
+    // A commit for an unknown id is accepted: the claim was lost with a former owner, but the request has run.
     Entry &entry = this->entries.try_emplace(request.requestId).first->second;
     if (entry.stage == Stage::Done) {
         return CommitVerdict::Superseded;
@@ -128,7 +129,7 @@
         return;
     }
     this->finish(id, found->second);
-    this->tellWaiting(found->second);
+    this->notifyWaiting(found->second);
 }
 
 void RequestTable::finish(const RequestId &id, Entry &entry)
@@ -179,7 +180,7 @@
 {
     this->bytesOfRecent += sizeOf(id, entry);
     this->recent.push_back(id);
-    // The one just added stays, whatever its size: whoever restored it is about to answer from it.
+    // The result just added stays regardless of its size, because the caller of restore() is about to answer from it.
     while (this->bytesOfRecent > this->recentBytes && this->recent.size() > 1) {
         const auto oldest = this->entries.find(this->recent.front());
         this->bytesOfRecent -= sizeOf(oldest->first, oldest->second);
@@ -239,15 +240,15 @@
     return ReleaseVerdict::Refused;
 }
 
-void RequestTable::dropRunners(const std::function<bool(SessionNumber)> &isGone)
+void RequestTable::dropRunners(const std::function<bool(SessionNumber)> &hasEnded)
 {
     for (auto entry = this->entries.begin(); entry != this->entries.end();) {
         const auto current = entry++;
         Entry &each = current->second;
         const bool isRunning
             = each.stage == Stage::Claimed || each.stage == Stage::IntentPending || each.stage == Stage::IntentDurable;
-        const bool isForgotten = each.stage == Stage::Claimed && this->clock.now() >= each.leaseEnd + this->lease;
-        if (!isForgotten && (!isRunning || !isGone(each.runner))) {
+        const bool isStaleClaim = each.stage == Stage::Claimed && this->clock.now() >= each.leaseEnd + this->lease;
+        if (!isStaleClaim && (!isRunning || !hasEnded(each.runner))) {
             continue;
         }
         switch (each.stage) {
@@ -255,12 +256,12 @@
             this->remove(current);
             break;
         case Stage::IntentPending:
-            // It was not told to run yet, and now is not told.
+            // The claimer has not received permission to run, and will not receive it.
             each.isAbandoned = true;
             break;
         default:
             each.stage = Stage::IntentOrphaned;
-            this->tellWaiting(each);
+            this->notifyWaiting(each);
             break;
         }
     }
@@ -274,7 +275,7 @@
     this->recent.clear();
     this->bytesOfRecent = 0;
     for (auto &[id, entry] : dropped) {
-        this->tellWaiting(entry);
+        this->notifyWaiting(entry);
     }
 }
 
@@ -312,7 +313,7 @@
     if (!isNew) {
         return;
     }
-    // Its runner may live: the owner that journalled the intent is gone, not the node that runs it. dropRunners() tells.
+    // The owner that journalled the intent no longer owns the shard, but the runner may still be active; dropRunners() decides.
     Entry &entry = found->second;
     entry.stage = Stage::IntentDurable;
     entry.hasIntent = true;
@@ -349,10 +350,10 @@
 void RequestTable::remove(Entries::iterator entry)
 {
     auto removed = this->entries.extract(entry);
-    this->tellWaiting(removed.mapped());
+    this->notifyWaiting(removed.mapped());
 }
 
-void RequestTable::tellWaiting(Entry &entry)
+void RequestTable::notifyWaiting(Entry &entry)
 {
     for (const std::function<void()> &reported : std::exchange(entry.waiting, {})) {
         reported();
--- a/Libraries/LibJournal/WritePace.cpp
+++ b/Libraries/LibJournal/WritePace.cpp
@@ -11,12 +11,12 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** The part of the budget that group commits may take. */
+/** Share of the budget that group commits may use. */
 constexpr double journalShare = 0.75;
-/** Below this rate a journal's records wait too long: fewer nodes hold journals then. */
-constexpr double slowestJournal = 8;
-/** Over how long the rate of records is averaged. */
-constexpr Seconds memory{0.5};
+/** Min writes per second of one journal. Below it records wait too long, so fewer nodes hold journals. */
+constexpr double minJournalWritesPerSecond = 8;
+/** Time constant of the moving average of the record rate. */
+constexpr Seconds averagingTime{0.5};
 
 SteadyTime after(SteadyTime time, Seconds wait)
 {
@@ -51,7 +51,7 @@
 void WritePace::recordAdded(SteadyTime now)
 {
     const Seconds since = now - this->lastRecord;
-    this->recordRate = this->recordRate * std::exp(-since / memory) + 1.0 / memory.count();
+    this->recordRate = this->recordRate * std::exp(-since / averagingTime) + 1.0 / averagingTime.count();
     this->lastRecord = now;
 }
 
@@ -64,10 +64,10 @@
 
 SteadyTime WritePace::nextStart(SteadyTime now) const
 {
-    SteadyTime earliest = std::max(now, this->lastStart + this->options.shortest);
-    const bool gathers = this->recordRate * Seconds(this->options.gather).count() >= this->options.gatherAtLeast;
-    if (gathers) {
-        earliest = std::max(earliest, this->lastStart + this->options.gather);
+    SteadyTime earliest = std::max(now, this->lastStart + this->options.minInterval);
+    const bool isGathering = this->recordRate * Seconds(this->options.gatherTime).count() >= this->options.minGatherRecords;
+    if (isGathering) {
+        earliest = std::max(earliest, this->lastStart + this->options.gatherTime);
     }
     const double missing = 1.0 - this->tokensAt(now);
     if (missing > 0) {
@@ -81,9 +81,9 @@
     return writesPerSecond * journalShare / static_cast<double>(std::max<std::size_t>(journals, 1));
 }
 
-std::size_t journalsWithin(double writesPerSecond)
+std::size_t maxJournals(double writesPerSecond)
 {
-    return std::max<std::size_t>(1, static_cast<std::size_t>(writesPerSecond * journalShare / slowestJournal));
+    return std::max<std::size_t>(1, static_cast<std::size_t>(writesPerSecond * journalShare / minJournalWritesPerSecond));
 }
 
 } // namespace Dogwoodkeel
--- a/Services/Owner/ShardKeeper.cpp
+++ b/Services/Owner/ShardKeeper.cpp
@@ -194,7 +194,7 @@
     }
     // The new owner of a shard has sealed this journal first. This node could not journal for shards it acquired now.
     if (isAnyLost) {
-        this->journal.lookForSeal();
+        this->journal.checkForSeal();
     }
 }
 
--- a/Tests/LibJournal/TestJournalWriter.cpp
+++ b/Tests/LibJournal/TestJournalWriter.cpp
@@ -14,7 +14,7 @@
 {
 
 constexpr SessionNumber ownerSession{1};
-constexpr SessionNumber takerSession{2};
+constexpr SessionNumber successorSession{2};
 
 struct Fixture
 {
@@ -35,7 +35,7 @@
     {
         std::vector<std::string> payloads;
         const auto recovery = std::make_shared<JournalRecovery>(
-            this->platform, this->clock, takerSession, ownerSession, GroupNumber(1), GroupNumber(0));
+            this->platform, this->clock, successorSession, ownerSession, GroupNumber(1), GroupNumber(0));
         recovery->start([&payloads](const RecoveredJournal &journal) {
             for (const RecoveredGroup &group : journal.groups) {
                 for (const JournalRecord &record : group.group.records) {
@@ -52,11 +52,10 @@
 
 } // namespace
 
-TEST_CASE("an append whose answer was lost is read back, not written twice and not lost")
+TEST_CASE("an append whose response was lost is read back, neither duplicated nor lost")
 {
-    // The caller sees its answer confirmed once. The platform takes the group and loses the answer; the writer cannot
-    // know. Writing the records again in a new group would double them, giving up would lose them: the row's nonce
-    // tells that they are there.
+    // The platform stores the group but its response is lost, so the writer does not know the outcome. Writing the
+    // records in a new group would duplicate them, and giving up would lose them. The nonce in the row identifies the group.
     Fixture fixture;
     fixture.platform.loseAnswers(1);
     fixture.append("offer note");
@@ -65,7 +64,7 @@
     CHECK(fixture.recover() == Payloads{"offer note"});
 }
 
-TEST_CASE("an append that did not reach the platform is written when it is back")
+TEST_CASE("an append that did not reach the platform is written when the platform is available again")
 {
     Fixture fixture;
     fixture.platform.setDown(true);
@@ -79,10 +78,10 @@
     CHECK_FALSE(fixture.writer.isStalled());
 }
 
-TEST_CASE("an owner that was paused while its journal was sealed can add nothing")
+TEST_CASE("an owner that was paused while its journal was sealed cannot append")
 {
-    // The owner is paused, another node takes over, and the owner wakes and goes on as if nothing had been. Its callers
-    // must not be told that a result is kept which the new owner does not have.
+    // Another node takes over while the owner is paused, and the owner then resumes. It must not acknowledge a result that
+    // the new owner does not have.
     Fixture fixture;
     fixture.append("before the pause");
     fixture.clock.advance(100ms);
@@ -105,7 +104,7 @@
     CHECK(fixture.recover() == Payloads{large});
 }
 
-TEST_CASE("a burst of appends takes two platform writes: the first alone, the rest together")
+TEST_CASE("a burst of appends needs two platform writes: one for the first record, one for the remaining records")
 {
     Fixture fixture;
     fixture.append("first");
@@ -118,22 +117,22 @@
     CHECK(fixture.platform.rowWrites() == 2);
 }
 
-TEST_CASE("a seal behind a group that is still on its way is not taken for the journal's end")
+TEST_CASE("a seal after a group that is still in flight does not count as the journal's end")
 {
-    // Two nodes take over different shards of one owner. The first reads from behind the group that the owner has in
-    // flight, and seals there. The second reads from the start, finds the seal with the gap before it, and must not
-    // stop there: the group could still arrive, be acknowledged, and be missing at the new owner.
+    // Two nodes take over different shards of one owner. The first reads from after the group that the owner has in
+    // flight, and seals there. The second reads from the start and finds a gap before that seal. It must seal at the gap:
+    // otherwise the group could still be written and acknowledged, and be missing at the new owner.
     Fixture fixture;
     fixture.append("in group 1");
     fixture.clock.advance(100ms);
-    const auto behind = std::make_shared<JournalRecovery>(
+    const auto laterRecovery = std::make_shared<JournalRecovery>(
         fixture.platform, fixture.clock, SessionNumber(3), ownerSession, GroupNumber(3), GroupNumber(0));
-    bool isSealedBehind = false;
-    behind->start([&isSealedBehind](const RecoveredJournal &) {
-        isSealedBehind = true;
+    bool isSealedLater = false;
+    laterRecovery->start([&isSealedLater](const RecoveredJournal &) {
+        isSealedLater = true;
     });
     fixture.clock.advance(1s);
-    REQUIRE(isSealedBehind);
+    REQUIRE(isSealedLater);
     const Payloads recovered = fixture.recover();
     fixture.append("in group 2");
     fixture.clock.advance(1s);
@@ -142,10 +141,10 @@
     CHECK(fixture.fenced == Payloads{"in group 2"});
 }
 
-TEST_CASE("a recovery tells where the journal ends")
+TEST_CASE("a recovery returns the last group of the journal")
 {
-    // The taker closes the span in the shard's row with it. Closed too early, the span would drop out of the row, and the
-    // owner after the taker would not know of the results in it.
+    // The session that takes over closes the span in the shard's row with this number. If it were too low, the span would
+    // be dropped from the row, and the next owner would not find the results in it.
     Fixture fixture;
     fixture.append("group 1");
     fixture.clock.advance(100ms);
@@ -153,7 +152,7 @@
     fixture.clock.advance(100ms);
     GroupNumber last;
     const auto recovery = std::make_shared<JournalRecovery>(
-        fixture.platform, fixture.clock, takerSession, ownerSession, GroupNumber(2), GroupNumber(0));
+        fixture.platform, fixture.clock, successorSession, ownerSession, GroupNumber(2), GroupNumber(0));
     recovery->start([&last](const RecoveredJournal &journal) {
         last = journal.last;
     });
