--- a/Libraries/LibBase/Log.cpp
+++ b/Libraries/LibBase/Log.cpp
@@ -1,6 +1,6 @@
 #include <LibBase/Log.h>
 
-#include <LibBase/LogGate.h>
+#include <LibBase/LogRateLimiter.h>
 #include <LibBase/SystemClock.h>
 
 #include <nlohmann/json.hpp>
--- a/Libraries/LibBase/LogGate.cpp
+++ b/Libraries/LibBase/LogRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include <LibBase/LogGate.h>
+#include <LibBase/LogRateLimiter.h>
 
 #include <utility>
 
--- a/Libraries/LibExplain/Account.cpp
+++ b/Libraries/LibExplain/ExplainReport.cpp
@@ -1,4 +1,4 @@
-#include <LibExplain/Account.h>
+#include <LibExplain/ExplainReport.h>
 
 #include <algorithm>
 #include <map>
--- a/Programs/dogwoodkeel/ExplainCommand.cpp
+++ b/Programs/dogwoodkeel/ExplainCommand.cpp
@@ -1,6 +1,6 @@
 #include "ExplainCommand.h"
 
-#include <LibExplain/Account.h>
+#include <LibExplain/ExplainReport.h>
 
 #include <cstdio>
 #include <fstream>
--- a/Tests/LibBase/TestLogGate.cpp
+++ b/Tests/LibBase/TestLogRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include <LibBase/LogGate.h>
+#include <LibBase/LogRateLimiter.h>
 #include <LibBase/ManualClock.h>
 
 #include <doctest/doctest.h>
