--- a/Libraries/LibBase/Address.h
+++ b/Libraries/LibBase/Address.h
@@ -19,11 +19,11 @@
 
     /**
      * @param text "127.0.0.1:80"
-     * @return the address, or nothing if the text is no IPv4 number and port
+     * @return the address, or nothing if the text is not an IPv4 address and port
      */
     static std::optional<Address> parse(std::string_view text);
 
-    /** @return the address as parse() reads it. */
+    /** @return the address in the form that parse() accepts. */
     std::string toString() const;
 
     template <typename Archive>
--- a/Libraries/LibBase/Findings.h
+++ b/Libraries/LibBase/Findings.h
@@ -7,7 +7,7 @@
 namespace Dogwoodkeel
 {
 
-/** Where in a file something was found. */
+/** Position in a file. */
 struct SourcePlace
 {
     std::string file;
@@ -15,7 +15,7 @@
     std::uint32_t column = 0;
 };
 
-/** One thing that is wrong, and where. */
+/** One error and its position. */
 struct Finding
 {
     SourcePlace place;
@@ -25,13 +25,13 @@
     std::string toString() const;
 };
 
-/** Collects all that is wrong, so that it is reported together. */
+/** Collects errors, so that they are reported together. */
 class Findings
 {
 public:
     /**
-     * @param place where it is wrong
-     * @param message what is wrong, for a person
+     * @param place position of the error
+     * @param message human-readable description of the error
      */
     void add(SourcePlace place, std::string message);
 
--- a/Libraries/LibBase/Hash.h
+++ b/Libraries/LibBase/Hash.h
@@ -10,12 +10,12 @@
 /**
  * Hash that is the same on every node and in every version (XXH3, 64 bit).
  * @param data what to hash
- * @param seed separates uses from each other
+ * @param seed gives independent hashes for different uses
  * @return the hash
  */
 std::uint64_t stableHash(std::string_view data, std::uint64_t seed = 0);
 
-/** stableHash of data that comes in parts. */
+/** Computes the stableHash of data that arrives in chunks. */
 class StreamingHash
 {
 public:
@@ -24,10 +24,10 @@
     StreamingHash(const StreamingHash &) = delete;
     StreamingHash &operator=(const StreamingHash &) = delete;
 
-    /** @param data the next part */
+    /** @param data the next chunk */
     void add(std::string_view data);
 
-    /** @return the hash of all parts so far, as stableHash gives for them in one piece. */
+    /** @return the hash of all chunks so far, equal to stableHash of their concatenation. */
     std::uint64_t value() const;
 
 private:
@@ -36,8 +36,8 @@
 };
 
 /**
- * Weight of a candidate for a key in rendezvous hashing: the candidate with the largest weight is chosen,
- * so that losing one candidate moves only the keys it had.
+ * Weight of a candidate for a key in rendezvous hashing: the candidate with the largest weight is selected,
+ * so that losing one candidate moves only the keys that were assigned to it.
  * @param key hash of the key
  * @param candidate hash or number of the candidate
  * @return the weight
--- a/Libraries/LibBase/Identifiers.h
+++ b/Libraries/LibBase/Identifiers.h
@@ -8,21 +8,21 @@
 namespace Dogwoodkeel
 {
 
-/** One start of one node process. Numbers only grow; 0 is no session. */
+/** Identifies one run of a node process. Numbers only increase; 0 means no session. */
 using SessionNumber = StrongType<struct SessionNumberTag, std::uint64_t>;
 /** Index of a shard of the request and job ids. */
 using ShardNumber = StrongType<struct ShardNumberTag, std::uint32_t>;
-/** Counts the owners a shard has had. */
+/** Incremented with each new owner of a shard. */
 using ShardEpoch = StrongType<struct ShardEpochTag, std::uint64_t>;
 /** Position of a group in a journal; the first is 1. */
 using GroupNumber = StrongType<struct GroupNumberTag, std::uint64_t>;
-/** Names a request for its whole life, over every resend. */
+/** Identifies a request for its whole lifetime, including resends. */
 using RequestId = StrongType<struct RequestIdTag, std::string>;
-/** Names one try of a request at one endpoint. */
+/** Identifies one attempt of a request at one endpoint. */
 using AttemptId = StrongType<struct AttemptIdTag, std::uint64_t>;
-/** Names a batch job. */
+/** Identifies a batch job. */
 using JobId = StrongType<struct JobIdTag, std::string>;
-/** The accounting unit a caller's key maps to. */
+/** Name of the workspace (tenant) that a caller's API key belongs to. */
 using WorkspaceName = StrongType<struct WorkspaceNameTag, std::string>;
 /** Name of a failure domain, as the settings give it. */
 using FailureDomain = StrongType<struct FailureDomainTag, std::string>;
--- a/Libraries/LibBase/Log.cpp
+++ b/Libraries/LibBase/Log.cpp
@@ -49,10 +49,10 @@
     return *instance;
 }
 
-/** A pipe that reports room takes so many bytes without waiting (PIPE_BUF on Linux), less what the pattern adds. */
+/** A pipe that is reported as writable accepts PIPE_BUF bytes (on Linux) without blocking; the pattern adds the difference. */
 constexpr std::size_t longestLine = 3900;
 
-/** Guards what bounds the lines. Tasks log side by side. */
+/** Rate limiter of the process and its mutex; tasks log concurrently. */
 struct SharedGate
 {
     std::mutex mutex;
@@ -66,14 +66,14 @@
     return instance;
 }
 
-/** @return whether standard output takes a line without waiting: a reader that stopped reading must not stop the node. */
+/** @return whether standard output accepts a line without blocking: a reader that stops reading must not block the node. */
 bool isWritable()
 {
     pollfd output{STDOUT_FILENO, POLLOUT, 0};
     return ::poll(&output, 1, 0) == 1 && (output.revents & POLLOUT) != 0;
 }
 
-/** @return whether a line may be written; and the count of those left out before, once. */
+/** @return whether a line may be written; sets the number of lines dropped before it and resets the count. */
 bool admit(LogLevel level, std::uint64_t &dropped)
 {
     SharedGate &shared = sharedGate();
@@ -120,7 +120,7 @@
     if (dropped > 0) {
         line["lines_left_out_before"] = dropped;
     }
-    // NOTE: The pattern opens the object with time and level, so the object's own opening brace is left off,
+    // NOTE: The pattern opens the object with time and level, so the object's own opening brace is omitted,
     // as is its closing one, which the pattern writes.
     std::string text = line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     if (text.size() > longestLine) {
--- a/Libraries/LibBase/Log.h
+++ b/Libraries/LibBase/Log.h
@@ -24,18 +24,18 @@
 };
 
 /**
- * Start writing log lines to standard output. Writing never waits: lines over a bound a second, and those that a full pipe
- * would not take, are left out, and the next line tells how many.
- * @param vm name of this VM, part of every line
- * @param level lines below it are left out
+ * Starts writing log lines to standard output. Writing never blocks: lines over a limit per second, and those that do not
+ * fit into a full pipe, are dropped, and the next line states how many.
+ * @param vm name of this VM, written in every line
+ * @param level lines below this level are dropped
  */
 void startLog(std::string_view vm, LogLevel level);
 
 /**
- * Write one line as a JSON object: time, level, vm, event and the fields.
- * @param level how grave it is
- * @param event what happened, in words that stay the same from line to line
- * @param fields the particulars; never keys or bodies
+ * Writes one line as a JSON object: time, level, vm, event and the fields.
+ * @param level severity
+ * @param event what happened, as a constant text
+ * @param fields details; never API keys or bodies
  */
 void log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {});
 
--- a/Libraries/LibBase/LogGate.h
+++ b/Libraries/LibBase/LogGate.h
@@ -9,19 +9,20 @@
 {
 
 /**
- * Bounds how many log lines are written in a second. Under load each request brings lines; without a bound writing them
- * takes the processor from the requests. Grave lines have a share of their own, so that a flood of others does not hide them.
+ * Limits how many log lines are written per second. Every request writes lines; without a limit, logging under load would
+ * use processor time that the requests need. High-priority lines have a separate limit, so that normal lines cannot
+ * displace them.
  */
 class LogGate
 {
 public:
-    /** Whether a line is one of many or needs a look. */
+    /** Selects the limit that applies to a line. */
     enum class Weight {
         Ordinary,
         Grave,
     };
 
-    /** How many lines a second of each weight are let through. */
+    /** Lines per second that are admitted for each priority. */
     struct Limits
     {
         std::uint32_t ordinary = 300;
@@ -33,10 +34,10 @@
     /** @return whether a line may be written now. */
     bool admit(Weight weight);
 
-    /** A line that was let through could not be written without waiting. */
+    /** Counts an admitted line as dropped because writing it would have blocked. */
     void noteBlocked();
 
-    /** @return lines that were left out since the last call. */
+    /** @return the number of lines dropped since the last call. */
     std::uint64_t takeDropped();
 
 private:
--- a/Libraries/LibBase/ManualClock.h
+++ b/Libraries/LibBase/ManualClock.h
@@ -10,7 +10,7 @@
 namespace Dogwoodkeel
 {
 
-/** A clock and scheduler whose time moves only when told to; for tests and benchmarks of decision logic. */
+/** A clock and scheduler whose time advances only by explicit calls; for tests and benchmarks of decision logic. */
 class ManualClock final : public Clock, public Scheduler
 {
 public:
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Move time forward, running the timers that fall due, in order.
-     * @param step how far to move
+     * Advances time and runs the timers that become due, in order.
+     * @param step how far to advance
      */
     void advance(std::chrono::milliseconds step)
     {
@@ -56,7 +56,7 @@
         this->time = target;
     }
 
-    /** Move time forward without running what falls due: as for a process that is paused meanwhile. */
+    /** Advances time without running the timers that become due, as for a process that was paused. */
     void jump(std::chrono::milliseconds step)
     {
         this->time += step;
@@ -66,7 +66,7 @@
     SteadyTime time = SteadyTime(std::chrono::hours(1));
     TimerId lastTimer = 0;
     std::map<std::pair<SteadyTime, TimerId>, std::function<void()>> timers;
-    /** When each timer runs, to find it by its id. */
+    /** Due time of each timer by its id. */
     std::map<TimerId, SteadyTime> due;
 };
 
--- a/Libraries/LibBase/Numbers.h
+++ b/Libraries/LibBase/Numbers.h
@@ -7,7 +7,7 @@
 namespace Dogwoodkeel
 {
 
-/** @return the number that the whole text is in decimal digits, or nothing. */
+/** @return the number if the whole text consists of decimal digits, otherwise nothing. */
 std::optional<std::uint64_t> parseNumber(std::string_view text);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibBase/Scheduler.h
+++ b/Libraries/LibBase/Scheduler.h
@@ -9,20 +9,20 @@
 
 using TimerId = std::uint64_t;
 
-/** Runs actions later, on the task that owns it. */
+/** Runs actions after a delay, on the task that owns the scheduler. */
 class Scheduler
 {
 public:
     virtual ~Scheduler() = default;
 
     /**
-     * @param delay how long to wait, no less; zero runs the action after the current one
-     * @param action what to run, once
-     * @return an id to cancel it by, never 0
+     * @param delay minimum delay; zero runs the action after the current one
+     * @param action runs once
+     * @return the id for cancel(), never 0
      */
     virtual TimerId schedule(std::chrono::milliseconds delay, std::function<void()> action) = 0;
 
-    /** @param id a timer; one that has run or is unknown is ignored */
+    /** @param id id of a timer; ignored if it has run or is unknown */
     virtual void cancel(TimerId id) = 0;
 };
 
--- a/Libraries/LibBase/Shards.h
+++ b/Libraries/LibBase/Shards.h
@@ -9,10 +9,10 @@
 {
 
 /**
- * The shard that a request or job id belongs to. Whoever asks an owner and the owner itself must agree on it, so it is
- * worked out in this one place.
+ * Returns the shard that a request or job id belongs to. Nodes that query an owner and the owner itself must agree on it, so it
+ * is computed only here.
  * @param id of the request or job
- * @param shards how many shards there are (owner.shards), at least 1
+ * @param shards number of shards (owner.shards), at least 1
  * @return the shard
  */
 ShardNumber shardOfId(std::string_view id, std::uint64_t shards);
--- a/Libraries/LibBase/StrongType.h
+++ b/Libraries/LibBase/StrongType.h
@@ -9,9 +9,9 @@
 {
 
 /**
- * A value that cannot be mistaken for another of the same representation.
+ * A value whose type differs from all others of the same representation, so that they cannot be mixed up.
  * @tparam Tag names the type
- * @tparam Representation what it is stored as
+ * @tparam Representation type of the stored value
  */
 template <typename Tag, typename Representation>
 class StrongType
--- a/Libraries/LibBase/SystemClock.h
+++ b/Libraries/LibBase/SystemClock.h
@@ -7,7 +7,7 @@
 namespace Dogwoodkeel
 {
 
-/** The machine's own clocks. */
+/** Reads the clocks of the operating system. */
 class SystemClock final : public Clock
 {
 public:
--- a/Libraries/LibBase/TrafficMeter.h
+++ b/Libraries/LibBase/TrafficMeter.h
@@ -10,14 +10,15 @@
 namespace Dogwoodkeel
 {
 
-/** Counts the messages and bytes that a process exchanges with others, by kind and direction: what grows with a fleet shows here.
+/** Counts the messages and bytes that a process exchanges with others, by kind and direction, so that traffic which
+ * grows with the number of nodes is visible.
  */
 class TrafficMeter
 {
 public:
     enum class Direction : std::uint8_t { Sent, Received };
 
-    /** How a message travels. */
+    /** How a message is transported. */
     enum class Means : std::uint8_t {
         /** Between nodes, by UDP. */
         Datagram,
@@ -30,7 +31,7 @@
     struct Kind
     {
         Means means = Means::Datagram;
-        /** The message, or the call and its table. */
+        /** Message type, or store call and table. */
         std::string name;
         Direction direction = Direction::Sent;
 
@@ -43,17 +44,17 @@
         std::uint64_t bytes = 0;
     };
 
-    /** Count one message. @param bytes of its content, without the headers of the transport */
+    /** Counts one message. @param bytes size of its content without transport headers */
     void count(Means means, std::string_view name, Direction direction, std::size_t bytes);
 
-    /** @return what was counted since the start, by kind. */
+    /** @return the totals since the start, by kind. */
     const std::map<Kind, Total> &totals() const;
 
 private:
     std::map<Kind, Total> counted;
 };
 
-/** @return the names, for logs and metrics. */
+/** @return the name, for logs and metrics. */
 std::string_view toString(TrafficMeter::Direction direction);
 std::string_view toString(TrafficMeter::Means means);
 
--- a/Libraries/LibClient/CallerClient.cpp
+++ b/Libraries/LibClient/CallerClient.cpp
@@ -17,10 +17,10 @@
 
 constexpr int statusOk = 200;
 constexpr int statusUnavailable = 503;
-/** Enough to outlive the loss of a failure domain. */
+/** Requests enough addresses to survive the loss of a failure domain. */
 constexpr const char *entriesQuery = "count=8";
 
-/** @return when the system wants to be asked again. */
+/** @return how long to wait before the next round: Retry-After, or the fallback. */
 std::chrono::milliseconds pauseOf(const HttpResponse &response, std::chrono::milliseconds fallback)
 {
     const std::string after = headerValue(response.headers, "Retry-After").value_or(std::string());
@@ -99,7 +99,7 @@
                 last = std::move(*answer);
             }
         }
-        // Those that were named may all be gone by now.
+        // The reported addresses may all be out of date.
         this->known.clear();
         if (round + 1 < this->options.rounds) {
             std::this_thread::sleep_for(pauseOf(last, this->options.pause));
--- a/Libraries/LibExplain/Account.cpp
+++ b/Libraries/LibExplain/Account.cpp
@@ -10,16 +10,16 @@
 namespace
 {
 
-/** What goes wrong at a replica or on a VM's network shows at its other requests within about a second. */
-constexpr std::chrono::seconds nearby{1};
+/** A failure of a replica or of a VM's network affects its other requests within about a second. */
+constexpr std::chrono::seconds correlationWindow{1};
 constexpr std::size_t eventWidth = 40;
-/** Fields that say whom a line is about. */
+/** Fields that identify the subject of a line. */
 constexpr std::string_view subjectFields[] = {"replica", "service", "table", "count"};
-/** Fields that name one request, item or job. */
+/** Fields that identify one request, item or job. */
 constexpr std::string_view workFields[] = {"request", "item", "job"};
 constexpr std::string_view lostLines = "lines_left_out_before";
 
-bool tellsOfWork(const LogLine &line)
+bool isAboutWork(const LogLine &line)
 {
     return std::ranges::any_of(workFields, [&line](std::string_view name) {
         return !line.field(name).empty();
@@ -58,7 +58,7 @@
     return std::to_string(tenths / 10) + '.' + std::to_string(tenths % 10) + " s before the end";
 }
 
-/** @return what a line is about; a later line of the same topic replaces it. */
+/** @return the topic of a line; a later line of the same topic replaces it. */
 std::string topicOf(const LogLine &line)
 {
     std::string topic = line.vm + '|' + line.event;
@@ -78,7 +78,7 @@
 {
     if (line.mentions(this->id)) {
         this->own.push_back(std::move(line));
-    } else if (!tellsOfWork(line)) {
+    } else if (!isAboutWork(line)) {
         this->general.push_back(std::move(line));
     } else if (!leftReplica(line).empty()) {
         this->departures.push_back(std::move(line));
@@ -95,7 +95,7 @@
     for (std::vector<LogLine> *const lines : {&this->own, &this->general, &this->departures}) {
         std::ranges::stable_sort(*lines, {}, &LogLine::time);
     }
-    return this->ownLines() + this->beliefs() + this->neighbours() + this->gaps();
+    return this->ownLines() + this->nodeKnowledge() + this->relatedFailures() + this->gaps();
 }
 
 std::string Account::ownLines() const
@@ -126,32 +126,32 @@
     return values;
 }
 
-Account::Concern Account::concern() const
+Account::Subjects Account::subjects() const
 {
-    Concern concern;
-    concern.replicas = this->valuesOf({"replica", "from"});
-    concern.services = this->valuesOf({"service"});
+    Subjects subjects;
+    subjects.replicas = this->valuesOf({"replica", "from"});
+    subjects.services = this->valuesOf({"service"});
     for (const LogLine &line : this->own) {
-        concern.vms.insert(line.vm);
+        subjects.vms.insert(line.vm);
     }
-    return concern;
+    return subjects;
 }
 
-bool Account::isConcerned(const LogLine &line, const Concern &concern) const
+bool Account::isRelevant(const LogLine &line, const Subjects &subjects) const
 {
     const std::string replica(line.field("replica"));
     const std::string service(line.field("service"));
-    const bool isOtherReplica = !replica.empty() && !concern.replicas.contains(replica);
-    const bool isOtherService = !service.empty() && !concern.services.empty() && !concern.services.contains(service);
-    return concern.vms.contains(line.vm) && !isOtherReplica && !isOtherService && line.time <= this->own.back().time;
+    const bool isOtherReplica = !replica.empty() && !subjects.replicas.contains(replica);
+    const bool isOtherService = !service.empty() && !subjects.services.empty() && !subjects.services.contains(service);
+    return subjects.vms.contains(line.vm) && !isOtherReplica && !isOtherService && line.time <= this->own.back().time;
 }
 
-std::string Account::beliefs() const
+std::string Account::nodeKnowledge() const
 {
-    const Concern concern = this->concern();
+    const Subjects subjects = this->subjects();
     std::map<std::string, const LogLine *> latest;
     for (const LogLine &line : this->general) {
-        if (this->isConcerned(line, concern)) {
+        if (this->isRelevant(line, subjects)) {
             latest[topicOf(line)] = &line;
         }
     }
@@ -168,9 +168,9 @@
     return lines.empty() ? "\nNothing that its nodes knew then is in these logs.\n" : text;
 }
 
-std::string Account::neighbours() const
+std::string Account::relatedFailures() const
 {
-    // Of other requests: those that left a replica when this one did.
+    // Other requests that left a replica at about the same time as this one.
     std::map<std::string, std::pair<std::size_t, std::set<std::string>>> sameReplica;
     std::map<std::string, std::set<std::string>> sameVm;
     for (const LogLine &line : this->own) {
@@ -179,7 +179,7 @@
             continue;
         }
         for (const LogLine &other : this->departures) {
-            if (std::chrono::abs(other.time - line.time) > nearby) {
+            if (std::chrono::abs(other.time - line.time) > correlationWindow) {
                 continue;
             }
             if (leftReplica(other) == replica) {
--- a/Libraries/LibExplain/Account.h
+++ b/Libraries/LibExplain/Account.h
@@ -11,8 +11,8 @@
 {
 
 /**
- * Joins the lines of several nodes into one account of what became of a request, a batch job or an item: its own lines in
- * order, what the nodes that handled it believed then and how old that was, and what befell others at the same replicas.
+ * Merges the log lines of several nodes into one report on a request, a batch job or an item: its own lines in order, the state
+ * that its nodes knew at that time with its age, and failures of other requests at the same replicas.
  */
 class Account
 {
@@ -20,18 +20,18 @@
     /** @param id of the request, job or item */
     explicit Account(std::string id);
 
-    /** Take a line of any node, in any order. */
+    /** Adds a line of any node, in any order. */
     void add(LogLine line);
 
-    /** @return whether any line tells of the id. */
+    /** @return whether any line mentions the id. */
     bool isKnown() const;
 
-    /** Sort what was taken. @return the account, as text for a terminal. */
+    /** Sorts the added lines. @return the report, as text for a terminal. */
     std::string text();
 
 private:
-    /** What the id's own lines are about. */
-    struct Concern
+    /** VMs, replicas and services that the id's own lines refer to. */
+    struct Subjects
     {
         std::set<std::string> vms;
         std::set<std::string> replicas;
@@ -39,21 +39,21 @@
     };
 
     std::string ownLines() const;
-    std::string beliefs() const;
-    std::string neighbours() const;
+    std::string nodeKnowledge() const;
+    std::string relatedFailures() const;
     std::string gaps() const;
     std::set<std::string> valuesOf(std::initializer_list<std::string_view> names) const;
-    Concern concern() const;
-    bool isConcerned(const LogLine &line, const Concern &concern) const;
+    Subjects subjects() const;
+    bool isRelevant(const LogLine &line, const Subjects &subjects) const;
 
     std::string id;
-    // NOTE: In order of time once text() has sorted them: lines come file by file, and putting each one at its place would
-    // move all that stand behind it.
-    /** The lines that tell of the id. */
+    // NOTE: Ordered by time only after text() has sorted them: lines arrive file by file, and inserting each in order would move
+    // all later ones.
+    /** Lines that mention the id. */
     std::vector<LogLine> own;
-    /** Lines that tell of no single request. */
+    /** Lines that belong to no single request, item or job. */
     std::vector<LogLine> general;
-    /** Lines that tell of other requests and items that had to leave a replica. */
+    /** Lines about other requests and items that had to leave a replica. */
     std::vector<LogLine> departures;
 };
 
--- a/Libraries/LibExplain/LogLine.cpp
+++ b/Libraries/LibExplain/LogLine.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::ordered_json;
 
-/** Read a time as the log writes it: 2026-01-02T03:04:05.123456+00:00, always in UTC. */
+/** Parses a time in the format of the log: 2026-01-02T03:04:05.123456+00:00, always in UTC. */
 std::optional<WallTime> parseTime(const std::string &text)
 {
     int year = 0;
--- a/Libraries/LibExplain/LogLine.h
+++ b/Libraries/LibExplain/LogLine.h
@@ -11,13 +11,13 @@
 namespace Dogwoodkeel
 {
 
-/** A line that a node has logged. */
+/** A log line of a node. */
 struct LogLine
 {
     WallTime time{};
     std::string vm;
     std::string event;
-    /** Names and values of the particulars, in the line's order. */
+    /** Names and values of the other fields, in the line's order. */
     std::vector<std::pair<std::string, std::string>> fields;
 
     /** @return the value of a field; empty if there is none. */
@@ -26,13 +26,13 @@
     /** @return whether any field has this value. */
     bool mentions(std::string_view value) const;
 
-    /** @return the particulars as name=value, separated by spaces. */
+    /** @return the fields as name=value, separated by spaces. */
     std::string fieldsText() const;
 };
 
 /**
- * Read a line of a log. What a collector puts before the JSON object is skipped.
- * @return nothing for a line that no node has logged
+ * Parses a log line. A prefix that a log collector puts before the JSON object is skipped.
+ * @return nothing if the line is not a log line of a node
  */
 std::optional<LogLine> parseLogLine(std::string_view text);
 
--- a/Libraries/LibHistory/History.h
+++ b/Libraries/LibHistory/History.h
@@ -10,7 +10,7 @@
 namespace Dogwoodkeel
 {
 
-/** What a caller asked for. */
+/** What a caller requested. */
 enum class CallKind {
     /** A completion under an id; may be repeated. */
     Completion,
@@ -26,23 +26,23 @@
 
 /** How a call ended for its caller. */
 enum class CallOutcome {
-    /** The answer, told to be durable. */
+    /** An answer that was reported as durable. */
     Answered,
-    /** The answer, told to be held until the platform is back. */
+    /** An answer that was reported as held until the platform is available again. */
     Pending,
-    /** Refused, with the word that it did not run. */
+    /** Refused, with the statement that it did not run. */
     NotRun,
-    /** Refused without that word. */
+    /** Refused without that statement. */
     Refused,
     /** Refused because it may have run once and will not run again. */
     OutcomeUnknown,
-    /** Told that nothing is known of the id. */
+    /** The id was reported as unknown. */
     Absent,
-    /** No whole answer: hung up, broken or timed out. */
+    /** No complete answer: the caller hung up, the connection was lost, or the call timed out. */
     Lost,
 };
 
-/** One call as its caller saw it. Times count from the start of the run. */
+/** One call as observed by its caller. Times are relative to the start of the run. */
 struct HistoryCall
 {
     CallKind kind = CallKind::Completion;
@@ -56,25 +56,25 @@
     std::size_t node = 0;
 };
 
-/** What a job held when all faults were over. */
+/** State of a job after all faults had ended. */
 struct JobEnd
 {
     /** The expected text of each item. */
     std::vector<std::string> expected;
-    /** The text of each item that has a result; every reading of the results, at whatever node. */
+    /** The text of each item that has a result; one entry for each reading of the results, at any node. */
     std::vector<std::map<std::uint32_t, std::string>> readings;
-    /** Items with a result at two moments after all faults were over. */
+    /** Number of items with a result at two moments after all faults had ended. */
     std::uint32_t doneFirst = 0;
     std::uint32_t doneLater = 0;
 };
 
-/** All that was seen in one run. */
+/** Everything observed in one run. */
 struct History
 {
     std::vector<HistoryCall> calls;
-    /** The whole answer that each completion must get. */
+    /** The complete answer that each completion must receive. */
     std::map<std::string, std::string> expected;
-    /** How often each non-idempotent id ran, as the endpoints counted. */
+    /** How often each non-idempotent id ran, as counted by the endpoints. */
     std::map<std::string, std::uint64_t> runs;
     std::map<std::string, JobEnd> jobs;
 };
--- a/Libraries/LibHistory/HistoryChecker.cpp
+++ b/Libraries/LibHistory/HistoryChecker.cpp
@@ -126,7 +126,7 @@
 void HistoryChecker::checkCompletion(const std::string &id, const Calls &calls)
 {
     const auto isFinal = [](const HistoryCall *call) {
-        // An id that its caller gave up after "not run" is finished as well: nothing is owed.
+        // An id that its caller abandoned after "not run" is also final: no answer is due.
         return call->outcome == CallOutcome::Answered || call->outcome == CallOutcome::OutcomeUnknown
             || call->outcome == CallOutcome::NotRun;
     };
@@ -147,14 +147,14 @@
         return;
     }
     const JobEnd &job = found->second;
-    const bool wasCancelAsked = std::ranges::any_of(calls, [](const HistoryCall *call) {
+    const bool wasCancelRequested = std::ranges::any_of(calls, [](const HistoryCall *call) {
         return call->kind == CallKind::JobCancellation;
     });
     if (wasAnswered(CallKind::JobCancellation) && job.doneLater != job.doneFirst) {
         this->add(ViolationKind::CancelIgnored, id, "items went on completing after the cancellation");
     }
     for (const auto &reading : job.readings) {
-        if (!wasCancelAsked && reading.size() != job.expected.size()) {
+        if (!wasCancelRequested && reading.size() != job.expected.size()) {
             const std::string count = std::to_string(reading.size()) + " of " + std::to_string(job.expected.size());
             this->add(ViolationKind::LostWork, id, count + " items have a result");
             return;
--- a/Libraries/LibHistory/HistoryChecker.h
+++ b/Libraries/LibHistory/HistoryChecker.h
@@ -8,28 +8,28 @@
 namespace Dogwoodkeel
 {
 
-/** Which promise was broken. */
+/** Which guarantee was violated. */
 enum class ViolationKind {
-    /** An answer that is not the whole answer to its own request. */
+    /** An answer that is not the complete answer to its own request. */
     WrongAnswer,
-    /** Two answers under one id. */
+    /** Two different answers under one id. */
     TwoAnswers,
     /** A non-idempotent id ran more than once. */
     RanTwice,
-    /** An id that never got an answer, or a job item without a result, although all faults were over. */
+    /** An id that never got an answer, or a job item without a result, although all faults had ended. */
     LostWork,
     /** A durable answer that could not be read later. */
     UnstableRead,
     /** Refused as not run, and no later call carried the id, but it ran. */
     FalseNotRun,
-    /** A cancelled job that went on. */
+    /** A cancelled job that continued. */
     CancelIgnored,
 };
 
 /** @return the kind's name, for reports. */
 const char *toString(ViolationKind kind);
 
-/** A broken promise, and the id whose calls show it. */
+/** A violated guarantee, and the id whose calls show it. */
 struct Violation
 {
     ViolationKind kind = ViolationKind::WrongAnswer;
@@ -38,8 +38,8 @@
 };
 
 /**
- * Checks a recorded history against what must always hold. It knows nothing of how the system works: it compares what
- * callers were told with what the endpoints did.
+ * Checks a recorded history for violations of the guarantees. It is independent of the implementation: it compares the answers
+ * that callers received with what the endpoints ran.
  */
 class HistoryChecker
 {
--- a/Libraries/LibMetrics/CounterCache.cpp
+++ b/Libraries/LibMetrics/CounterCache.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t countersMost = 256;
+constexpr std::size_t maxCounters = 256;
 constexpr char separator = '\n';
 
 } // namespace
@@ -37,11 +37,11 @@
     prometheus::Labels labelled;
     const auto *value = values.begin();
     for (const std::string &label : this->labels) {
-        labelled[label] = this->counters.size() < countersMost ? std::string(*value) : "other";
+        labelled[label] = this->counters.size() < maxCounters ? std::string(*value) : "other";
         ++value;
     }
     prometheus::Counter &counter = this->family.Add(labelled);
-    if (this->counters.size() < countersMost) {
+    if (this->counters.size() < maxCounters) {
         this->counters.emplace(std::move(key), &counter);
     }
     return counter;
--- a/Libraries/LibMetrics/CounterCache.h
+++ b/Libraries/LibMetrics/CounterCache.h
@@ -13,14 +13,14 @@
 namespace Dogwoodkeel
 {
 
-/** The counters of one family, found by their labels' values. Past a bound all new ones are counted as "other". */
+/** Caches the counters of one family by their label values. Beyond a maximum, new label values are counted as "other". */
 class CounterCache
 {
 public:
     /** @param labels names of the labels, in the order of the values */
     CounterCache(prometheus::Family<prometheus::Counter> &family, std::vector<std::string> labels);
 
-    /** Count one. @param values as many as there are labels */
+    /** Increments a counter by one. @param values one for each label */
     void increment(std::initializer_list<std::string_view> values);
 
 private:
--- a/Libraries/LibMetrics/TopTenants.cpp
+++ b/Libraries/LibMetrics/TopTenants.cpp
@@ -18,7 +18,8 @@
     } else if (this->counts.size() < this->options.counted) {
         this->counts.emplace(tenant, 1);
     } else {
-        // Space saving: the newcomer takes the place and the count of the smallest, which overrates it by that at most.
+        // Space saving: the new tenant replaces the smallest and inherits its count, which overestimates it by at most that
+        // count.
         const auto smallest = std::ranges::min_element(this->counts, {}, [](const auto &entry) {
             return entry.second;
         });
@@ -57,7 +58,8 @@
     std::ranges::sort(candidates, isLarger);
     std::ranges::sort(named, isLarger);
     Review changed;
-    // The largest candidate against the smallest that is named; half as much again, so that two alike do not take turns.
+    // Replaces the smallest named tenant by the largest candidate if that is over 1.5 times larger; the margin keeps two similar
+    // tenants from alternating.
     for (const Entry &candidate : candidates) {
         if (named.empty() || candidate.second * 2 <= named.back().second * 3) {
             break;
--- a/Libraries/LibMetrics/TopTenants.h
+++ b/Libraries/LibMetrics/TopTenants.h
@@ -14,11 +14,11 @@
 {
 
 /**
- * Chooses the tenants whose numbers are shown by name: the largest of late. All others are shown as one. With tens of
- * thousands of tenants a series for each would fill the memory of the node and of whoever reads its metrics.
+ * Selects the tenants whose metrics are shown by name: those with the most recent requests. All others are shown as one. With
+ * tens of thousands of tenants, a series for each would exhaust the memory of the node and of the metrics collector.
  *
  * Counts are kept by the space-saving algorithm (Metwally et al., 2005) for a few times as many tenants as are named, and
- * halved at each review, so that what is long past fades. A named tenant is replaced only by one clearly larger.
+ * halved at each review, so that old requests lose weight. A named tenant is replaced only by one that is clearly larger.
  */
 class TopTenants
 {
@@ -27,7 +27,7 @@
     struct Options
     {
         std::size_t named = 20;
-        /** Tenants that are counted. */
+        /** Number of tenants that are counted. */
         std::size_t counted = 200;
         /** Requests between two reviews. */
         std::uint64_t reviewEvery = 2000;
@@ -43,8 +43,8 @@
     explicit TopTenants(Options options);
 
     /**
-     * Count a request.
-     * @return what changed, if this was a review
+     * Counts a request.
+     * @return the changes, if this call led to a review
      */
     std::optional<Review> count(std::string_view tenant);
 
--- a/Libraries/LibTask/EventGuard.cpp
+++ b/Libraries/LibTask/EventGuard.cpp
@@ -21,7 +21,7 @@
     try {
         log(LogLevel::Error, "event given up", {{"place", std::string(place)}, {"error", std::string(error)}});
     } catch (const std::exception &) {
-        // No memory for the line; the count tells.
+        // Out of memory for the log line; the event is still counted.
     }
 }
 
--- a/Libraries/LibTask/EventGuard.h
+++ b/Libraries/LibTask/EventGuard.h
@@ -8,20 +8,21 @@
 namespace Dogwoodkeel
 {
 
-/** Log and count an event whose handler ended by an exception. */
+/** Logs and counts an event whose handler threw an exception. */
 void noteGivenUpEvent(std::string_view place, std::string_view error) noexcept;
 
-/** @return events of this process whose handlers ended by an exception. */
+/** @return the number of events in this process whose handlers threw an exception. */
 std::uint64_t eventsGivenUp() noexcept;
 
 /**
- * Run the handler of one event, and give up that event alone if it throws.
+ * Runs the handler of one event. If it throws, only that event is abandoned.
  *
- * An exception that leaves a handler would pass through the event library's frames and end the process, and with it all that
- * the node serves; and what throws at one node most likely throws at the next, to which the callers go. Who owns what the event
- * belongs to (a connection, say) closes it, so that nothing goes on from a state that was half changed.
+ * An exception that leaves a handler would pass through the event library's stack frames and terminate the process with
+ * all requests it serves; the same event would most likely terminate the next node, to which the callers fail over. The owner of
+ * the object that the event belongs to (for example a connection) closes it, so that nothing continues from a partly changed
+ * state.
  * @param place names the handler in the log
- * @return whether it came to its end
+ * @return whether the handler completed without an exception
  */
 template <typename Handler>
 bool runGuarded(std::string_view place, Handler &&handler) noexcept
--- a/Libraries/LibTask/EventLoop.cpp
+++ b/Libraries/LibTask/EventLoop.cpp
@@ -37,7 +37,7 @@
     static const int threads = evthread_use_pthreads();
     this->eventBase = threads == 0 ? event_base_new() : nullptr;
     if (this->eventBase == nullptr) {
-        throw std::runtime_error("no event base could be made");
+        throw std::runtime_error("cannot create an event base");
     }
     this->wake = event_new(this->eventBase, -1, EV_PERSIST, &EventLoop::onWake, this);
 }
@@ -103,10 +103,10 @@
 void EventLoop::onTimer(int, short, void *timer)
 {
     auto *const fired = static_cast<Timer *>(timer);
-    // The event base counts from when it last looked at a coarse clock, and is early by as much.
-    const auto rest = std::chrono::ceil<std::chrono::milliseconds>(fired->due - std::chrono::steady_clock::now());
-    if (rest.count() > 0) {
-        fired->start(rest);
+    // The event base measures from its last reading of a coarse clock, so the timer may fire early by that difference.
+    const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(fired->due - std::chrono::steady_clock::now());
+    if (remaining.count() > 0) {
+        fired->start(remaining);
         return;
     }
     EventLoop *const loop = fired->loop;
--- a/Libraries/LibTask/EventLoop.h
+++ b/Libraries/LibTask/EventLoop.h
@@ -14,7 +14,8 @@
 {
 
 /**
- * One event base and the messages sent to it. All but post() and stop() is called on the loop's own thread.
+ * Owns an event base and the queue of actions posted to it. All functions except post() and stop() are called on the loop's
+ * own thread.
  */
 class EventLoop final : public Scheduler
 {
@@ -24,14 +25,14 @@
     EventLoop(const EventLoop &) = delete;
     EventLoop &operator=(const EventLoop &) = delete;
 
-    /** Run until stop() is called. */
+    /** Runs until stop() is called. */
     void run();
 
-    /** Make run() return; from any thread. */
+    /** Makes run() return; may be called from any thread. */
     void stop();
 
     /**
-     * Run an action on the loop's thread; from any thread, in the order of the calls.
+     * Runs an action on the loop's thread, in the order of the calls; may be called from any thread.
      * @param action what to run
      */
     void post(std::function<void()> action);
@@ -39,7 +40,7 @@
     TimerId schedule(std::chrono::milliseconds delay, std::function<void()> action) override;
     void cancel(TimerId id) override;
 
-    /** @return the base, for the libraries that put their sockets on it. */
+    /** @return the event base, for libraries that register their sockets with it. */
     event_base *base() const;
 
 private:
--- a/Libraries/LibTask/Sockets.h
+++ b/Libraries/LibTask/Sockets.h
@@ -7,16 +7,16 @@
 namespace Dogwoodkeel
 {
 
-/** @return the address in the form the socket calls take. */
+/** @return the address in the form that the socket calls expect. */
 sockaddr_in socketAddress(const Address &address);
 
-/** @return an address from the form the socket calls give. */
+/** @return the address that a socket call returned. */
 Address toAddress(const sockaddr_in &address);
 
-/** @return where a socket is bound. */
+/** @return the address that a socket is bound to. */
 Address boundAddress(int descriptor);
 
-/** Send what is written to a TCP socket at once instead of waiting for the last part's acknowledgement. */
+/** Disables Nagle's algorithm: data written to a TCP socket is sent without waiting for an earlier acknowledgement. */
 void sendWithoutDelay(int descriptor);
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibTask/Task.h
+++ b/Libraries/LibTask/Task.h
@@ -8,8 +8,8 @@
 {
 
 /**
- * A thread with its event loop. What a task owns is made, used and destroyed on that thread; others reach it
- * by posting to the loop.
+ * A thread with its event loop. Objects that a task owns are created, used and destroyed on that thread; other threads
+ * access them by posting to the loop.
  */
 class Task
 {
@@ -24,7 +24,7 @@
     EventLoop &loop();
 
     /**
-     * Run an action on the task's thread and wait for it; never called from that thread.
+     * Runs an action on the task's thread and waits for it; never called from that thread.
      * @param action what to run
      */
     void runAndWait(const std::function<void()> &action);
--- a/Libraries/LibTask/TaskHost.h
+++ b/Libraries/LibTask/TaskHost.h
@@ -11,7 +11,7 @@
 {
 
 /**
- * A task and what it owns. The parts are made, used and destroyed on the task's own thread.
+ * A task and the objects (parts) that it owns. The parts are created, used and destroyed on the task's own thread.
  * @tparam Parts constructible from EventLoop & and further arguments
  */
 template <typename Parts>
@@ -49,7 +49,7 @@
     TaskHost(const TaskHost &) = delete;
     TaskHost &operator=(const TaskHost &) = delete;
 
-    /** Run an action with the parts, on the task; from any thread, in the order of the calls. */
+    /** Runs an action with the parts on the task, in the order of the calls; may be called from any thread. */
     void post(std::function<void(Parts &)> action)
     {
         this->task.loop().post([this, action = std::move(action)] {
@@ -59,7 +59,7 @@
         });
     }
 
-    /** @return what the action returns, run on the task; never called from the task itself. */
+    /** @return the result of the action, which runs on the task; never called from the task itself. */
     template <typename Result>
     Result ask(const std::function<Result(Parts &)> &action)
     {
--- a/Tests/LibBase/TestJsonDepth.cpp
+++ b/Tests/LibBase/TestJsonDepth.cpp
@@ -8,9 +8,9 @@
 
 TEST_CASE("Brackets are counted outside of strings only")
 {
-    const std::string most = std::string(jsonDepthLimit, '[') + std::string(jsonDepthLimit, ']');
-    CHECK(!isNestedTooDeep(most));
-    CHECK(isNestedTooDeep('[' + most));
+    const std::string deepest = std::string(jsonDepthLimit, '[') + std::string(jsonDepthLimit, ']');
+    CHECK(!isNestedTooDeep(deepest));
+    CHECK(isNestedTooDeep('[' + deepest));
     CHECK(isNestedTooDeep(std::string(jsonDepthLimit + 1, '{')));
     CHECK(!isNestedTooDeep('"' + std::string(1000, '[') + '"'));
     CHECK(!isNestedTooDeep(R"("\")" + std::string(1000, '[') + '"'));
--- a/Tests/LibBase/TestLogGate.cpp
+++ b/Tests/LibBase/TestLogGate.cpp
@@ -5,9 +5,9 @@
 
 using namespace Dogwoodkeel;
 
-// A flood of requests brings a flood of lines. The lines that tell of a lost dependency come through all the same, and
-// whoever reads the log learns that lines are missing.
-TEST_CASE("lines are bounded by the second, grave ones by themselves, and what is left out is counted")
+// Under load, requests write more lines than the limit admits. Lines about a lost dependency must still be written, and the log
+// must state how many lines were dropped.
+TEST_CASE("lines are limited per second, high-priority ones separately, and dropped lines are counted")
 {
     ManualClock clock;
     LogGate gate(clock, {.ordinary = 3, .grave = 2});
--- a/Tests/LibClient/TestCallerClient.cpp
+++ b/Tests/LibClient/TestCallerClient.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/** Stand-in for a node: names the entries it was told, and answers all else with one status. */
+/** Fake node: returns the configured entries, and answers all other requests with one status. */
 class FakeNode
 {
 public:
@@ -74,8 +74,8 @@
     }
 };
 
-/** Nothing listens there. */
-const Address nowhere{"127.0.0.1", 1};
+/** Address on which nothing listens. */
+const Address unreachable{"127.0.0.1", 1};
 
 CallerClient::Options optionsFor(std::vector<Address> nodes)
 {
@@ -88,14 +88,14 @@
 
 } // namespace
 
-TEST_CASE("The addresses that the system names are used, with the key")
+TEST_CASE("The addresses that the system reports are used, with the key")
 {
-    Node asked;
+    Node queried;
     Node named;
-    asked.set({named.address()});
-    CallerClient client(optionsFor({asked.address()}));
+    queried.set({named.address()});
+    CallerClient client(optionsFor({queried.address()}));
     CHECK(client.call("GET", "/v1/batches/x").status == 200);
-    CHECK(asked.requestCount() == 0);
+    CHECK(queried.requestCount() == 0);
     CHECK(named.requestCount() == 1);
     const auto key = named.host.ask<std::string>([](FakeNode &node) {
         return headerValue(node.requests.front().headers, "Authorization").value_or("");
@@ -103,30 +103,30 @@
     CHECK(key == "Bearer secret");
 }
 
-// A node that was named is gone, and another cannot serve now. The caller goes on to the next address at once: there is no
-// balancer that would do it.
+// One reported node has departed, and another is unavailable. The client must try the next address at once, since there is no
+// load balancer that would.
 TEST_CASE("An address that gives no answer is followed by the next")
 {
-    Node asked;
-    Node full;
+    Node queried;
+    Node unavailable;
     Node good;
-    full.set({}, 503);
-    asked.set({nowhere, full.address(), good.address()});
-    CallerClient client(optionsFor({nowhere, asked.address()}));
+    unavailable.set({}, 503);
+    queried.set({unreachable, unavailable.address(), good.address()});
+    CallerClient client(optionsFor({unreachable, queried.address()}));
     CHECK(client.call("POST", "/v1/batches", "", "items").status == 200);
-    CHECK(full.requestCount() == 1);
+    CHECK(unavailable.requestCount() == 1);
     CHECK(good.requestCount() == 1);
 }
 
-TEST_CASE("When nobody answers, that is told")
+TEST_CASE("When no node answers, the response has status 0 and the reason")
 {
-    CallerClient client(optionsFor({nowhere}));
+    CallerClient client(optionsFor({unreachable}));
     const HttpResponse answer = client.call("GET", "/v1/batches/x");
     CHECK(answer.status == 0);
     CHECK(answer.body == "no node answered");
 }
 
-TEST_CASE("A refusal is passed on and not tried elsewhere")
+TEST_CASE("A refusal is returned and not retried at another address")
 {
     Node node;
     node.set({node.address(), node.address()}, 422);
--- a/Tests/LibExplain/TestAccount.cpp
+++ b/Tests/LibExplain/TestAccount.cpp
@@ -41,14 +41,14 @@
     CHECK(timeOfDay(line->time) == "08:06:45.250");
 }
 
-TEST_CASE("what is no line of a node is left out")
+TEST_CASE("text that is not a log line of a node is ignored")
 {
     for (const char *text : {"", "plain words", "{", "{}", "[1]", R"({"time":"soon","vm":"a","event":"b"})", R"({"time":1})"}) {
         CHECK_FALSE(parseLogLine(text));
     }
 }
 
-TEST_CASE("the lines of an id are told in order, whatever node and file they come from")
+TEST_CASE("the lines of an id are printed in order, whatever node and file they come from")
 {
     Account account("r1");
     add(account, lineAt("45.300000", "b", "request over", R"("request":"r1","status":200)"));
@@ -59,9 +59,9 @@
     CHECK_FALSE(has(text, "r2"));
 }
 
-// A request went to a replica that was leaving. The operator has to see what the node knew of that replica, and how old it
-// was; what it learned of others, or only later, would mislead.
-TEST_CASE("of what its nodes knew, the newest is told with its age")
+// A request was sent to a draining replica. The report must show what the node knew of that replica and how old it was, but not
+// what it learned of other replicas or learned later.
+TEST_CASE("the newest state that its nodes knew is printed with its age")
 {
     Account account("r1");
     add(account, lineAt("30.000000", "a", "replica changed", R"("replica":"x","draining":false)"));
@@ -92,7 +92,7 @@
     CHECK(has(text, "others at a left 1 other replica within a second\n"));
 }
 
-TEST_CASE("lines that say the same are told once, and lines left out are pointed out")
+TEST_CASE("identical lines in a row are printed once, and dropped lines are reported")
 {
     Account account("j1");
     for (const char *second : {"45.100000", "45.200000", "45.300000"}) {
--- a/Tests/LibHistory/TestHistoryChecker.cpp
+++ b/Tests/LibHistory/TestHistoryChecker.cpp
@@ -74,7 +74,7 @@
     CHECK(kindsOf(history).empty());
 }
 
-TEST_CASE("not run is a lie if the id ran and no later call carried it")
+TEST_CASE("a refusal as not run is false if the id ran and no later call carried it")
 {
     History history;
     history.runs["id"] = 1;
@@ -116,7 +116,7 @@
     }
 }
 
-TEST_CASE("a submission that was refused owes nothing")
+TEST_CASE("a refused submission requires no results")
 {
     History history;
     history.calls = {call(CallKind::JobSubmission, CallOutcome::Refused, "", 1us)};
--- a/Tests/LibMetrics/TestTopTenants.cpp
+++ b/Tests/LibMetrics/TestTopTenants.cpp
@@ -23,12 +23,12 @@
 
 } // namespace
 
-TEST_CASE("The largest of many tenants are named, wherever they come in")
+TEST_CASE("The largest of many tenants are named, in whatever order requests arrive")
 {
     TopTenants top({.named = 5, .counted = 100, .reviewEvery = 1000});
     std::mt19937_64 random(1);
     for (int i = 0; i < 200000; ++i) {
-        // Five tenants send a tenth each, 38,000 others the rest.
+        // Five tenants send a tenth each, 38,000 others the remainder.
         const auto draw = random() % 10;
         top.count(draw < 5 ? "large-" + std::to_string(draw) : "small-" + std::to_string(random() % 38000));
     }
@@ -37,7 +37,7 @@
     }
 }
 
-TEST_CASE("A tenant that grows takes the place of one that fell silent")
+TEST_CASE("A tenant that grows replaces one that stopped sending")
 {
     TopTenants top({.named = 2, .counted = 10, .reviewEvery = 100});
     for (int i = 0; i < 1000; ++i) {
@@ -52,7 +52,7 @@
     CHECK(!top.isNamed("early-2"));
 }
 
-TEST_CASE("Two tenants alike do not take turns")
+TEST_CASE("Two equally large tenants do not alternate")
 {
     TopTenants top({.named = 1, .counted = 10, .reviewEvery = 50});
     std::size_t changes = 0;
--- a/Tests/LibTask/TestEventLoop.cpp
+++ b/Tests/LibTask/TestEventLoop.cpp
@@ -29,7 +29,7 @@
     return durationOf(time);
 }
 
-void awaitTick()
+void waitForTick()
 {
     const std::chrono::nanoseconds before = read(CLOCK_MONOTONIC_COARSE);
     while (read(CLOCK_MONOTONIC_COARSE) == before) {
@@ -37,22 +37,22 @@
     }
 }
 
-/** Wait for three quarters of the time between two ticks. */
-void awaitNextTickIsNear()
+/** Waits for three quarters of the time between two ticks. */
+void waitUntilTickIsNear()
 {
     timespec tick{};
     ::clock_getres(CLOCK_MONOTONIC_COARSE, &tick);
-    const std::chrono::nanoseconds begun = read(CLOCK_MONOTONIC);
-    while ((read(CLOCK_MONOTONIC) - begun) * 4 < durationOf(tick) * 3) {
+    const std::chrono::nanoseconds start = read(CLOCK_MONOTONIC);
+    while ((read(CLOCK_MONOTONIC) - start) * 4 < durationOf(tick) * 3) {
         std::this_thread::yield();
     }
 }
 
 } // namespace
 
-// All callers of a node lose their requests at once: the handler of one event throws, the exception leaves the event loop, and
-// the process ends with everything else that it was serving.
-TEST_CASE("an event whose handler throws is given up, and all others are handled")
+// Guards against the loss of all requests of a node: the handler of one event throws, the exception leaves the event loop, and
+// the process terminates.
+TEST_CASE("an event whose handler throws is abandoned, and all others are handled")
 {
     const std::uint64_t before = eventsGivenUp();
     Task task("test");
@@ -75,7 +75,7 @@
     CHECK(eventsGivenUp() == before + 2);
 }
 
-TEST_CASE("who waits for an action hears of its exception")
+TEST_CASE("runAndWait rethrows the exception of its action")
 {
     Task task("test");
     CHECK_THROWS_AS(task.runAndWait([] {
@@ -84,8 +84,8 @@
                     std::runtime_error);
 }
 
-// Something is looked at once, a set time after it happened. A timer that is early finds that it is not time yet, and no other
-// one comes.
+// Guards against missed one-time checks: a timer that fires early finds its deadline not yet reached, and is not scheduled
+// again.
 TEST_CASE("a timer does not run before its delay has passed")
 {
     constexpr int rounds = 30;
@@ -94,13 +94,13 @@
     for (int round = 0; round < rounds; ++round) {
         std::promise<std::chrono::nanoseconds> passed;
         task.loop().post([&task, &passed] {
-            // Scheduled just before a tick of the clock by which the event base counts, waited for from just behind it.
-            awaitTick();
-            awaitNextTickIsNear();
+            // Schedules just before a tick of the clock that the event base uses, and lets the loop wait from just after it.
+            waitForTick();
+            waitUntilTickIsNear();
             task.loop().schedule(timerDelay, [&passed, scheduled = std::chrono::steady_clock::now()] {
                 passed.set_value(std::chrono::steady_clock::now() - scheduled);
             });
-            awaitTick();
+            waitForTick();
         });
         const std::chrono::nanoseconds measured = passed.get_future().get();
         if (measured < timerDelay) {
--- a/Tests/TestMain.cpp
+++ b/Tests/TestMain.cpp
@@ -22,7 +22,7 @@
             continue;
         }
         std::string name = line.substr(start + 2, end - start - 2);
-        // A comma would begin another filter.
+        // A comma would start another filter.
         std::ranges::replace(name, ',', '?');
         filters.push_back(std::move(name));
     }
@@ -34,7 +34,7 @@
 int main(int argc, char **argv)
 {
     doctest::Context context(argc, argv);
-    // Only where asked for: run by hand, a test that is known to be red shows what is wrong.
+    // Known failures are excluded only on request, so that a manual run still shows them.
     if (std::getenv("PASS_OVER_KNOWN_RED") != nullptr) {
         for (const std::string &filter : knownRedFilters()) {
             context.addFilter("test-case-exclude", filter.c_str());
