--- a/Libraries/LibBase/Log.cpp
+++ b/Libraries/LibBase/Log.cpp
@@ -1,6 +1,6 @@
 #include <LibBase/Log.h>
 
-#include <LibBase/LogGate.h>
+#include <LibBase/LogRateLimiter.h>
 #include <LibBase/SystemClock.h>
 
 #include <nlohmann/json.hpp>
@@ -49,20 +49,21 @@
     return *instance;
 }
 
-/** A pipe that is reported as writable accepts PIPE_BUF bytes (on Linux) without blocking; the pattern adds the difference. */
-constexpr std::size_t longestLine = 3900;
+/** A pipe that is reported as writable accepts PIPE_BUF bytes (on Linux) without blocking; the limit leaves capacity for what
+ * the pattern adds. */
+constexpr std::size_t maxLineSize = 3900;
 
 /** Rate limiter of the process and its mutex; tasks log concurrently. */
-struct SharedGate
+struct SharedRateLimiter
 {
     std::mutex mutex;
     SystemClock clock;
-    LogGate gate{this->clock, {}};
+    LogRateLimiter limiter{this->clock, {}};
 };
 
-SharedGate &sharedGate()
+SharedRateLimiter &sharedRateLimiter()
 {
-    static SharedGate instance;
+    static SharedRateLimiter instance;
     return instance;
 }
 
@@ -76,17 +77,17 @@
 /** @return whether a line may be written; sets the number of lines dropped before it and resets the count. */
 bool admit(LogLevel level, std::uint64_t &dropped)
 {
-    SharedGate &shared = sharedGate();
+    SharedRateLimiter &shared = sharedRateLimiter();
     const std::scoped_lock lock(shared.mutex);
-    const bool isGrave = level == LogLevel::Warning || level == LogLevel::Error;
-    if (!shared.gate.admit(isGrave ? LogGate::Weight::Grave : LogGate::Weight::Ordinary)) {
+    const bool isHighPriority = level == LogLevel::Warning || level == LogLevel::Error;
+    if (!shared.limiter.admit(isHighPriority ? LogRateLimiter::Priority::High : LogRateLimiter::Priority::Normal)) {
         return false;
     }
     if (!isWritable()) {
-        shared.gate.noteBlocked();
+        shared.limiter.recordBlocked();
         return false;
     }
-    dropped = shared.gate.takeDropped();
+    dropped = shared.limiter.resetDropped();
     return true;
 }
 
@@ -123,7 +124,7 @@
     // NOTE: The pattern opens the object with time and level, so the object's own opening brace is omitted,
     // as is its closing one, which the pattern writes.
     std::string text = line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-    if (text.size() > longestLine) {
+    if (text.size() > maxLineSize) {
         text = nlohmann::ordered_json{{"vm", vmOfProcess()}, {"event", event}, {"too_long", text.size()}}.dump();
     }
     logger().log(levelOf(level), "{}", std::string_view(text).substr(1, text.size() - 2));
--- a/Libraries/LibBase/LogGate.h
+++ b/Libraries/LibBase/LogRateLimiter.h
@@ -13,39 +13,39 @@
  * use processor time that the requests need. High-priority lines have a separate limit, so that normal lines cannot
  * displace them.
  */
-class LogGate
+class LogRateLimiter
 {
 public:
     /** Selects the limit that applies to a line. */
-    enum class Weight {
-        Ordinary,
-        Grave,
+    enum class Priority {
+        Normal,
+        High,
     };
 
     /** Lines per second that are admitted for each priority. */
     struct Limits
     {
-        std::uint32_t ordinary = 300;
-        std::uint32_t grave = 100;
+        std::uint32_t normalLines = 300;
+        std::uint32_t highPriorityLines = 100;
     };
 
-    LogGate(const Clock &clock, Limits limits);
+    LogRateLimiter(const Clock &clock, Limits limits);
 
     /** @return whether a line may be written now. */
-    bool admit(Weight weight);
+    bool admit(Priority priority);
 
     /** Counts an admitted line as dropped because writing it would have blocked. */
-    void noteBlocked();
+    void recordBlocked();
 
     /** @return the number of lines dropped since the last call. */
-    std::uint64_t takeDropped();
+    std::uint64_t resetDropped();
 
 private:
     const Clock &clock;
     Limits limits;
-    SteadyTime second{};
-    std::uint32_t ordinary = 0;
-    std::uint32_t grave = 0;
+    SteadyTime windowStart{};
+    std::uint32_t normalLines = 0;
+    std::uint32_t highPriorityLines = 0;
     std::uint64_t dropped = 0;
 };
 
--- a/Libraries/LibClient/CallerClient.cpp
+++ b/Libraries/LibClient/CallerClient.cpp
@@ -52,8 +52,8 @@
 
 std::vector<Address> CallerClient::entries()
 {
-    if (!this->known.empty()) {
-        return this->known;
+    if (!this->knownEntries.empty()) {
+        return this->knownEntries;
     }
     for (const Address &node : this->options.nodes) {
         const auto answer = this->callOne(node, {.method = "GET", .path = "/v1/entries", .query = entriesQuery});
@@ -65,14 +65,14 @@
             continue;
         }
         for (const nlohmann::json &entry : reported["entries"]) {
-            const bool isNamed = entry.is_object() && entry.contains("address") && entry["address"].is_string();
-            const auto address = isNamed ? Address::parse(entry["address"].get<std::string>()) : std::nullopt;
+            const bool hasAddress = entry.is_object() && entry.contains("address") && entry["address"].is_string();
+            const auto address = hasAddress ? Address::parse(entry["address"].get<std::string>()) : std::nullopt;
             if (address) {
-                this->known.push_back(*address);
+                this->knownEntries.push_back(*address);
             }
         }
-        if (!this->known.empty()) {
-            return this->known;
+        if (!this->knownEntries.empty()) {
+            return this->knownEntries;
         }
     }
     return this->options.nodes;
@@ -100,7 +100,7 @@
             }
         }
         // The reported addresses may all be out of date.
-        this->known.clear();
+        this->knownEntries.clear();
         if (round + 1 < this->options.rounds) {
             std::this_thread::sleep_for(pauseOf(last, this->options.pause));
         }
--- a/Libraries/LibClient/CallerClient.h
+++ b/Libraries/LibClient/CallerClient.h
@@ -51,7 +51,7 @@
     std::optional<HttpResponse> callOne(const Address &address, const HttpRequest &request) const;
 
     Options options;
-    std::vector<Address> known;
+    std::vector<Address> knownEntries;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibExplain/Account.cpp
+++ b/Libraries/LibExplain/Account.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view subjectFields[] = {"replica", "service", "table", "count"};
 /** Fields that identify one request, item or job. */
 constexpr std::string_view workFields[] = {"request", "item", "job"};
-constexpr std::string_view lostLines = "lines_left_out_before";
+constexpr std::string_view droppedLinesField = "lines_left_out_before";
 
 bool isAboutWork(const LogLine &line)
 {
@@ -44,12 +44,12 @@
     return text;
 }
 
-std::string rowOf(const LogLine &line, std::size_t repeats, const std::string &note)
+std::string rowOf(const LogLine &line, std::size_t repeats, const std::string &suffix)
 {
     std::string row
         = "  " + timeOfDay(line.time) + "  " + line.vm + "  " + padded(line.event, eventWidth) + "  " + line.fieldsText();
     row += repeats > 1 ? " (" + std::to_string(repeats) + " such lines in a row)" : "";
-    return row + note + '\n';
+    return row + suffix + '\n';
 }
 
 std::string ageText(WallTime::duration age)
@@ -208,10 +208,10 @@
 {
     std::size_t gaps = 0;
     for (const LogLine &line : this->general) {
-        gaps += line.field(lostLines).empty() ? 0 : 1;
+        gaps += line.field(droppedLinesField).empty() ? 0 : 1;
     }
     for (const LogLine &line : this->own) {
-        gaps += line.field(lostLines).empty() ? 0 : 1;
+        gaps += line.field(droppedLinesField).empty() ? 0 : 1;
     }
     return gaps == 0 ? std::string() : "\nThe logs have gaps: lines were left out under load.\n";
 }
--- a/Libraries/LibExplain/LogLine.cpp
+++ b/Libraries/LibExplain/LogLine.cpp
@@ -55,9 +55,9 @@
 {
     std::string text;
     for (const auto &[name, value] : this->fields) {
-        const bool isWords = value.find(' ') != std::string::npos;
+        const bool hasSpaces = value.find(' ') != std::string::npos;
         text += text.empty() ? "" : " ";
-        text += name + '=' + (isWords ? '"' + value + '"' : value);
+        text += name + '=' + (hasSpaces ? '"' + value + '"' : value);
     }
     return text;
 }
--- a/Libraries/LibMetrics/NodeMetrics.cpp
+++ b/Libraries/LibMetrics/NodeMetrics.cpp
@@ -70,7 +70,7 @@
     return resident * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-/** What is observed of a request. */
+/** Durations that are observed for a request. */
 enum class Span {
     Queueing,
     FirstToken,
@@ -80,7 +80,7 @@
 
 constexpr std::size_t spans = 4;
 
-/** One histogram for each span. */
+/** One histogram for each duration. */
 using SpanFamilies = std::array<HistogramFamily *, spans>;
 using SpanSeries = std::array<prometheus::Histogram *, spans>;
 
--- a/Libraries/LibMetrics/TopTenants.cpp
+++ b/Libraries/LibMetrics/TopTenants.cpp
@@ -58,8 +58,8 @@
     std::ranges::sort(candidates, isLarger);
     std::ranges::sort(named, isLarger);
     Review changed;
-    // Replaces the smallest named tenant by the largest candidate if that is over 1.5 times larger; the margin keeps two similar
-    // tenants from alternating.
+    // Replaces the smallest named tenant by the largest candidate if that is more than 1.5 times as large; the margin keeps two
+    // similar tenants from alternating.
     for (const Entry &candidate : candidates) {
         if (named.empty() || candidate.second * 2 <= named.back().second * 3) {
             break;
--- a/Tests/LibBase/TestLogGate.cpp
+++ b/Tests/LibBase/TestLogRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include <LibBase/LogGate.h>
+#include <LibBase/LogRateLimiter.h>
 #include <LibBase/ManualClock.h>
 
 #include <doctest/doctest.h>
@@ -10,15 +10,15 @@
 TEST_CASE("lines are limited per second, high-priority ones separately, and dropped lines are counted")
 {
     ManualClock clock;
-    LogGate gate(clock, {.ordinary = 3, .grave = 2});
+    LogRateLimiter limiter(clock, {.normalLines = 3, .highPriorityLines = 2});
     int admitted = 0;
     for (int i = 0; i < 10; ++i) {
-        admitted += gate.admit(LogGate::Weight::Ordinary) ? 1 : 0;
+        admitted += limiter.admit(LogRateLimiter::Priority::Normal) ? 1 : 0;
     }
     CHECK(admitted == 3);
-    CHECK(gate.admit(LogGate::Weight::Grave));
-    CHECK(gate.takeDropped() == 7);
-    CHECK(gate.takeDropped() == 0);
+    CHECK(limiter.admit(LogRateLimiter::Priority::High));
+    CHECK(limiter.resetDropped() == 7);
+    CHECK(limiter.resetDropped() == 0);
     clock.advance(std::chrono::seconds(1));
-    CHECK(gate.admit(LogGate::Weight::Ordinary));
+    CHECK(limiter.admit(LogRateLimiter::Priority::Normal));
 }
--- a/Tests/LibClient/TestCallerClient.cpp
+++ b/Tests/LibClient/TestCallerClient.cpp
@@ -38,11 +38,11 @@
             reply->send({this->status, {}, "answer"});
             return;
         }
-        nlohmann::json named = nlohmann::json::array();
+        nlohmann::json reported = nlohmann::json::array();
         for (const Address &entry : this->entries) {
-            named.push_back({{"address", entry.toString()}});
+            reported.push_back({{"address", entry.toString()}});
         }
-        reply->send({200, {}, nlohmann::json({{"entries", named}, {"ttl_seconds", 10}}).dump()});
+        reply->send({200, {}, nlohmann::json({{"entries", reported}, {"ttl_seconds", 10}}).dump()});
     }
 };
 
@@ -91,13 +91,13 @@
 TEST_CASE("The addresses that the system reports are used, with the key")
 {
     Node queried;
-    Node named;
-    queried.set({named.address()});
+    Node reported;
+    queried.set({reported.address()});
     CallerClient client(optionsFor({queried.address()}));
     CHECK(client.call("GET", "/v1/batches/x").status == 200);
     CHECK(queried.requestCount() == 0);
-    CHECK(named.requestCount() == 1);
-    const auto key = named.host.ask<std::string>([](FakeNode &node) {
+    CHECK(reported.requestCount() == 1);
+    const auto key = reported.host.ask<std::string>([](FakeNode &node) {
         return headerValue(node.requests.front().headers, "Authorization").value_or("");
     });
     CHECK(key == "Bearer secret");
--- a/Tests/LibExplain/TestAccount.cpp
+++ b/Tests/LibExplain/TestAccount.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("a line is read with its time, and with what a collector puts before it")
+TEST_CASE("a line is parsed with its time, also after a prefix of a log collector")
 {
     const std::string text = lineAt("45.250000", "a", "request over", R"("request":"r1","status":502,"reason":"it broke")");
     const std::optional<LogLine> line = parseLogLine("  12.5 node-1 " + text);
@@ -78,7 +78,7 @@
     CHECK_FALSE(has(text, "version=9"));
 }
 
-TEST_CASE("others that left the same replica point to it, others at the same node to the node")
+TEST_CASE("failures at the same replica indicate the replica, failures at the same node indicate the node")
 {
     Account account("r1");
     add(account, lineAt("45.300000", "a", "request goes on at another replica", R"("request":"r1","from":"x")"));
--- a/Tests/LibHistory/TestHistoryChecker.cpp
+++ b/Tests/LibHistory/TestHistoryChecker.cpp
@@ -63,7 +63,7 @@
     CHECK(kindsOf(history) == Kinds{ViolationKind::RanTwice});
 }
 
-TEST_CASE("a durable answer that is denied later is found; one denied before is none")
+TEST_CASE("a durable answer that is denied later is found; one denied before is no violation")
 {
     History history;
     history.calls = {call(CallKind::Completion, CallOutcome::Answered, "whole", 1us),
--- a/Tests/LibMetrics/TestTopTenants.cpp
+++ b/Tests/LibMetrics/TestTopTenants.cpp
@@ -63,7 +63,7 @@
     CHECK(changes == 0);
 }
 
-TEST_CASE("However many tenants there are, the text stays small")
+TEST_CASE("The size of the metrics text is bounded for any number of tenants")
 {
     NodeMetrics metrics;
     for (int i = 0; i < 20000; ++i) {
--- a/Tests/LibTask/TestEventLoop.cpp
+++ b/Tests/LibTask/TestEventLoop.cpp
@@ -62,9 +62,9 @@
             task.loop().schedule(std::chrono::milliseconds(0), [&afterTimer] {
                 afterTimer.set_value();
             });
-            throw std::runtime_error("of a timer");
+            throw std::runtime_error("thrown by a timer");
         });
-        throw std::runtime_error("of a message");
+        throw std::runtime_error("thrown by a message");
     });
     afterTimer.get_future().wait();
     bool isHandled = false;
@@ -79,7 +79,7 @@
 {
     Task task("test");
     CHECK_THROWS_AS(task.runAndWait([] {
-        throw std::runtime_error("of the action");
+        throw std::runtime_error("thrown by the action");
     }),
                     std::runtime_error);
 }
