--- a/Libraries/LibMetrics/NodeMetrics.cpp
+++ b/Libraries/LibMetrics/NodeMetrics.cpp
@@ -94,11 +94,11 @@
 
 SpanSeries seriesOf(const SpanFamilies &families, const prometheus::Labels &labels)
 {
-    SpanSeries made{};
+    SpanSeries created{};
     for (std::size_t i = 0; i < spans; ++i) {
-        made[i] = &families[i]->Add(labels, latencyBuckets());
+        created[i] = &families[i]->Add(labels, latencyBuckets());
     }
-    return made;
+    return created;
 }
 
 } // namespace
@@ -124,11 +124,11 @@
 
     void observe(std::string_view kind, Span span, std::chrono::microseconds time)
     {
-        std::size_t place = 0;
-        while (place + 1 < kinds.size() && kinds[place] != kind) {
-            ++place;
+        std::size_t index = 0;
+        while (index + 1 < kinds.size() && kinds[index] != kind) {
+            ++index;
         }
-        this->byKind[place][static_cast<std::size_t>(span)]->Observe(inSeconds(time));
+        this->byKind[index][static_cast<std::size_t>(span)]->Observe(inSeconds(time));
     }
 
     void observe(const WorkspaceName &tenant, Span span, std::chrono::microseconds time)
@@ -147,9 +147,9 @@
             return;
         }
         for (const std::string &name : review->removed) {
-            const auto gone = this->tenants.extract(name);
-            for (std::size_t i = 0; i < spans && !gone.empty(); ++i) {
-                this->tenantFamilies[i]->Remove(gone.mapped()[i]);
+            const auto former = this->tenants.extract(name);
+            for (std::size_t i = 0; i < spans && !former.empty(); ++i) {
+                this->tenantFamilies[i]->Remove(former.mapped()[i]);
             }
         }
         for (const std::string &name : review->added) {
--- a/Libraries/LibTask/EventGuard.cpp
+++ b/Libraries/LibTask/EventGuard.cpp
@@ -15,11 +15,11 @@
 
 } // namespace
 
-void noteGivenUpEvent(std::string_view place, std::string_view error) noexcept
+void noteGivenUpEvent(std::string_view handlerName, std::string_view error) noexcept
 {
     ++givenUp;
     try {
-        log(LogLevel::Error, "event given up", {{"place", std::string(place)}, {"error", std::string(error)}});
+        log(LogLevel::Error, "event given up", {{"place", std::string(handlerName)}, {"error", std::string(error)}});
     } catch (const std::exception &) {
         // Out of memory for the log line; the event is still counted.
     }
--- a/Libraries/LibTask/EventGuard.h
+++ b/Libraries/LibTask/EventGuard.h
@@ -9,7 +9,7 @@
 {
 
 /** Logs and counts an event whose handler threw an exception. */
-void noteGivenUpEvent(std::string_view place, std::string_view error) noexcept;
+void noteGivenUpEvent(std::string_view handlerName, std::string_view error) noexcept;
 
 /** @return the number of events in this process whose handlers threw an exception. */
 std::uint64_t eventsGivenUp() noexcept;
@@ -21,19 +21,19 @@
  * all requests it serves; the same event would most likely terminate the next node, to which the callers fail over. The owner of
  * the object that the event belongs to (for example a connection) closes it, so that nothing continues from a partly changed
  * state.
- * @param place names the handler in the log
+ * @param handlerName identifies the handler in the log
  * @return whether the handler completed without an exception
  */
 template <typename Handler>
-bool runGuarded(std::string_view place, Handler &&handler) noexcept
+bool runGuarded(std::string_view handlerName, Handler &&handler) noexcept
 {
     try {
         std::forward<Handler>(handler)();
         return true;
     } catch (const std::exception &error) {
-        noteGivenUpEvent(place, error.what());
+        noteGivenUpEvent(handlerName, error.what());
     } catch (...) {
-        noteGivenUpEvent(place, "not a standard exception");
+        noteGivenUpEvent(handlerName, "not a standard exception");
     }
     return false;
 }
