--- a/Benchmarks/Measure/History.cpp
+++ b/Benchmarks/Measure/History.cpp
@@ -174,9 +174,9 @@
         }
     }
 
-    JobEnd finishJob(const std::string &id)
+    FinalJobState finishJob(const std::string &id)
     {
-        JobEnd end;
+        FinalJobState end;
         for (std::uint32_t i = 0; i < itemsPerJob; ++i) {
             end.expected.push_back(
                 FakeEngine::expectedText(HistoryCaller::promptOf(id + '-' + std::to_string(i)), HistoryCaller::tokens));
@@ -197,7 +197,7 @@
         return end;
     }
 
-    void readJob(const std::string &id, JobEnd &end)
+    void readJob(const std::string &id, FinalJobState &end)
     {
         for (std::size_t node = 0; node < this->nodes; ++node) {
             if (const auto status = this->caller.jobStatus(id, node)) {
--- a/Libraries/LibBase/Findings.cpp
+++ b/Libraries/LibBase/Findings.cpp
@@ -14,7 +14,7 @@
     return text + ": " + this->message;
 }
 
-void Findings::add(SourcePlace place, std::string message)
+void Findings::add(SourcePosition place, std::string message)
 {
     this->list.push_back({std::move(place), std::move(message)});
 }
--- a/Libraries/LibBase/Findings.h
+++ b/Libraries/LibBase/Findings.h
@@ -8,7 +8,7 @@
 {
 
 /** Position in a file. */
-struct SourcePlace
+struct SourcePosition
 {
     std::string file;
     std::uint32_t line = 0;
@@ -18,7 +18,7 @@
 /** One error and its position. */
 struct Finding
 {
-    SourcePlace place;
+    SourcePosition place;
     std::string message;
 
     /** @return "file:line:column: message". */
@@ -33,7 +33,7 @@
      * @param place position of the error
      * @param message human-readable description of the error
      */
-    void add(SourcePlace place, std::string message);
+    void add(SourcePosition place, std::string message);
 
     bool isEmpty() const;
     const std::vector<Finding> &all() const;
--- a/Libraries/LibExplain/Account.cpp
+++ b/Libraries/LibExplain/ExplainReport.cpp
@@ -1,4 +1,4 @@
-#include <LibExplain/Account.h>
+#include <LibExplain/ExplainReport.h>
 
 #include <algorithm>
 #include <map>
@@ -70,11 +70,11 @@
 
 } // namespace
 
-Account::Account(std::string id) : id(std::move(id))
+ExplainReport::ExplainReport(std::string id) : id(std::move(id))
 {
 }
 
-void Account::add(LogLine line)
+void ExplainReport::add(LogLine line)
 {
     if (line.mentions(this->id)) {
         this->own.push_back(std::move(line));
@@ -85,12 +85,12 @@
     }
 }
 
-bool Account::isKnown() const
+bool ExplainReport::isKnown() const
 {
     return !this->own.empty();
 }
 
-std::string Account::text()
+std::string ExplainReport::text()
 {
     for (std::vector<LogLine> *const lines : {&this->own, &this->general, &this->departures}) {
         std::ranges::stable_sort(*lines, {}, &LogLine::time);
@@ -98,7 +98,7 @@
     return this->ownLines() + this->nodeKnowledge() + this->relatedFailures() + this->gaps();
 }
 
-std::string Account::ownLines() const
+std::string ExplainReport::ownLines() const
 {
     std::string text = "What became of " + this->id + ":\n";
     for (std::size_t first = 0; first < this->own.size();) {
@@ -113,7 +113,7 @@
     return text;
 }
 
-std::set<std::string> Account::valuesOf(std::initializer_list<std::string_view> names) const
+std::set<std::string> ExplainReport::valuesOf(std::initializer_list<std::string_view> names) const
 {
     std::set<std::string> values;
     for (const LogLine &line : this->own) {
@@ -126,7 +126,7 @@
     return values;
 }
 
-Account::Subjects Account::subjects() const
+ExplainReport::Subjects ExplainReport::subjects() const
 {
     Subjects subjects;
     subjects.replicas = this->valuesOf({"replica", "from"});
@@ -137,7 +137,7 @@
     return subjects;
 }
 
-bool Account::isRelevant(const LogLine &line, const Subjects &subjects) const
+bool ExplainReport::isRelevant(const LogLine &line, const Subjects &subjects) const
 {
     const std::string replica(line.field("replica"));
     const std::string service(line.field("service"));
@@ -146,7 +146,7 @@
     return subjects.vms.contains(line.vm) && !isOtherReplica && !isOtherService && line.time <= this->own.back().time;
 }
 
-std::string Account::nodeKnowledge() const
+std::string ExplainReport::nodeKnowledge() const
 {
     const Subjects subjects = this->subjects();
     std::map<std::string, const LogLine *> latest;
@@ -168,7 +168,7 @@
     return lines.empty() ? "\nNothing that its nodes knew then is in these logs.\n" : text;
 }
 
-std::string Account::relatedFailures() const
+std::string ExplainReport::relatedFailures() const
 {
     // Other requests that left a replica at about the same time as this one.
     std::map<std::string, std::pair<std::size_t, std::set<std::string>>> sameReplica;
@@ -204,7 +204,7 @@
     return text.empty() ? text : "\nWhat befell others:\n" + text;
 }
 
-std::string Account::gaps() const
+std::string ExplainReport::gaps() const
 {
     std::size_t gaps = 0;
     for (const LogLine &line : this->general) {
--- a/Libraries/LibExplain/Account.h
+++ b/Libraries/LibExplain/ExplainReport.h
@@ -14,11 +14,11 @@
  * Merges the log lines of several nodes into one report on a request, a batch job or an item: its own lines in order, the state
  * that its nodes knew at that time with its age, and failures of other requests at the same replicas.
  */
-class Account
+class ExplainReport
 {
 public:
     /** @param id of the request, job or item */
-    explicit Account(std::string id);
+    explicit ExplainReport(std::string id);
 
     /** Adds a line of any node, in any order. */
     void add(LogLine line);
--- a/Libraries/LibHistory/History.h
+++ b/Libraries/LibHistory/History.h
@@ -57,7 +57,7 @@
 };
 
 /** State of a job after all faults had ended. */
-struct JobEnd
+struct FinalJobState
 {
     /** The expected text of each item. */
     std::vector<std::string> expected;
@@ -76,7 +76,7 @@
     std::map<std::string, std::string> expected;
     /** How often each non-idempotent id ran, as counted by the endpoints. */
     std::map<std::string, std::uint64_t> runs;
-    std::map<std::string, JobEnd> jobs;
+    std::map<std::string, FinalJobState> jobs;
 };
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibHistory/HistoryChecker.cpp
+++ b/Libraries/LibHistory/HistoryChecker.cpp
@@ -146,7 +146,7 @@
     if (!wasAnswered(CallKind::JobSubmission) || found == this->history.jobs.end()) {
         return;
     }
-    const JobEnd &job = found->second;
+    const FinalJobState &job = found->second;
     const bool wasCancelRequested = std::ranges::any_of(calls, [](const HistoryCall *call) {
         return call->kind == CallKind::JobCancellation;
     });
--- a/Libraries/LibSettings/SettingsReader.cpp
+++ b/Libraries/LibSettings/SettingsReader.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-SourcePlace positionOf(const toml::node &node)
+SourcePosition positionOf(const toml::node &node)
 {
     const toml::source_region &source = node.source();
     return {source.path ? *source.path : std::string(), source.begin.line, source.begin.column};
--- a/Libraries/LibTask/EventGuard.cpp
+++ b/Libraries/LibTask/EventGuard.cpp
@@ -11,13 +11,13 @@
 namespace
 {
 
-std::atomic<std::uint64_t> givenUp{0};
+std::atomic<std::uint64_t> failedEvents{0};
 
 } // namespace
 
-void noteGivenUpEvent(std::string_view handlerName, std::string_view error) noexcept
+void recordFailedEvent(std::string_view handlerName, std::string_view error) noexcept
 {
-    ++givenUp;
+    ++failedEvents;
     try {
         log(LogLevel::Error, "event given up", {{"place", std::string(handlerName)}, {"error", std::string(error)}});
     } catch (const std::exception &) {
@@ -25,9 +25,9 @@
     }
 }
 
-std::uint64_t eventsGivenUp() noexcept
+std::uint64_t failedEventCount() noexcept
 {
-    return givenUp;
+    return failedEvents;
 }
 
 } // namespace Dogwoodkeel
--- a/Libraries/LibTask/EventGuard.h
+++ b/Libraries/LibTask/EventGuard.h
@@ -9,10 +9,10 @@
 {
 
 /** Logs and counts an event whose handler threw an exception. */
-void noteGivenUpEvent(std::string_view handlerName, std::string_view error) noexcept;
+void recordFailedEvent(std::string_view handlerName, std::string_view error) noexcept;
 
 /** @return the number of events in this process whose handlers threw an exception. */
-std::uint64_t eventsGivenUp() noexcept;
+std::uint64_t failedEventCount() noexcept;
 
 /**
  * Runs the handler of one event. If it throws, only that event is abandoned.
@@ -31,9 +31,9 @@
         std::forward<Handler>(handler)();
         return true;
     } catch (const std::exception &error) {
-        noteGivenUpEvent(handlerName, error.what());
+        recordFailedEvent(handlerName, error.what());
     } catch (...) {
-        noteGivenUpEvent(handlerName, "not a standard exception");
+        recordFailedEvent(handlerName, "not a standard exception");
     }
     return false;
 }
--- a/Programs/dogwoodkeel/ExplainCommand.cpp
+++ b/Programs/dogwoodkeel/ExplainCommand.cpp
@@ -1,6 +1,6 @@
 #include "ExplainCommand.h"
 
-#include <LibExplain/Account.h>
+#include <LibExplain/ExplainReport.h>
 
 #include <cstdio>
 #include <fstream>
@@ -18,20 +18,20 @@
 namespace
 {
 
-void readLines(std::istream &stream, Account &account)
+void readLines(std::istream &stream, ExplainReport &report)
 {
     std::string text;
     while (std::getline(stream, text)) {
         if (std::optional<LogLine> line = parseLogLine(text)) {
-            account.add(*std::move(line));
+            report.add(*std::move(line));
         }
     }
 }
 
-bool readFile(const std::string &name, Account &account)
+bool readFile(const std::string &name, ExplainReport &report)
 {
     if (name == "-") {
-        readLines(std::cin, account);
+        readLines(std::cin, report);
         return true;
     }
     std::ifstream file(name);
@@ -39,7 +39,7 @@
         std::fprintf(stderr, "can't read %s\n", name.c_str());
         return false;
     }
-    readLines(file, account);
+    readLines(file, report);
     return true;
 }
 
@@ -59,17 +59,17 @@
         std::fputs(std::string(explainHelp).c_str(), stderr);
         return ExitCode::Usage;
     }
-    Account account(arguments.front());
+    ExplainReport report(arguments.front());
     for (const std::string &name : files) {
-        if (!readFile(name, account)) {
+        if (!readFile(name, report)) {
             return ExitCode::Failure;
         }
     }
-    if (!account.isKnown()) {
+    if (!report.isKnown()) {
         std::fprintf(stderr, "no line tells of %s\n", arguments.front().c_str());
         return ExitCode::Failure;
     }
-    std::fputs(account.text().c_str(), stdout);
+    std::fputs(report.text().c_str(), stdout);
     return ExitCode::Success;
 }
 
--- a/Services/Gateway/Gateway.cpp
+++ b/Services/Gateway/Gateway.cpp
@@ -553,7 +553,7 @@
     this->metrics.setGauge("replicas_known", static_cast<double>(this->replicaFollower.count()));
     this->metrics.setGauge("is_relay", this->isRelay ? 1 : 0);
     this->metrics.setGauge("replicas_unreadable", static_cast<double>(this->replicaFollower.unreadableEntries()));
-    this->metrics.setGauge("events_given_up", static_cast<double>(eventsGivenUp()));
+    this->metrics.setGauge("events_given_up", static_cast<double>(failedEventCount()));
     this->metrics.setGauge("members", static_cast<double>(this->peers.view()->members().size()));
     this->metrics.setGauge("placed_by_own_counts", static_cast<double>(this->placements.fallbacks()));
     this->metrics.setGauge("quotas_decided_alone", static_cast<double>(this->quotas.decidedAlone()));
--- a/Tests/LibTask/TestEventLoop.cpp
+++ b/Tests/LibTask/TestEventLoop.cpp
@@ -54,7 +54,7 @@
 // the process terminates.
 TEST_CASE("an event whose handler throws is abandoned, and all others are handled")
 {
-    const std::uint64_t before = eventsGivenUp();
+    const std::uint64_t before = failedEventCount();
     Task task("test");
     std::promise<void> afterTimer;
     task.loop().post([&task, &afterTimer] {
@@ -72,7 +72,7 @@
         isHandled = true;
     });
     CHECK(isHandled);
-    CHECK(eventsGivenUp() == before + 2);
+    CHECK(failedEventCount() == before + 2);
 }
 
 TEST_CASE("runAndWait rethrows the exception of its action")
