--- a/Libraries/LibBase/Log.cpp
+++ b/Libraries/LibBase/Log.cpp
@@ -79,15 +79,15 @@
 {
     SharedRateLimiter &shared = sharedRateLimiter();
     const std::scoped_lock lock(shared.mutex);
-    const bool isHighPriority = level == LogLevel::Warning || level == LogLevel::Error;
-    if (!shared.limiter.admit(isHighPriority ? LogRateLimiter::Priority::High : LogRateLimiter::Priority::Normal)) {
+    const bool isUrgent = level == LogLevel::Warning || level == LogLevel::Error;
+    if (!shared.limiter.admit(isUrgent ? LogRateLimiter::Priority::Urgent : LogRateLimiter::Priority::Ordinary)) {
         return false;
     }
     if (!isWritable()) {
         shared.limiter.recordBlocked();
         return false;
     }
-    dropped = shared.limiter.resetDropped();
+    dropped = shared.limiter.takeDropped();
     return true;
 }
 
--- a/Libraries/LibBase/LogRateLimiter.cpp
+++ b/Libraries/LibBase/LogRateLimiter.cpp
@@ -14,11 +14,11 @@
     const SteadyTime now = this->clock.now();
     if (now - this->windowStart >= std::chrono::seconds(1)) {
         this->windowStart = now;
-        this->normalLines = 0;
-        this->highPriorityLines = 0;
+        this->ordinary = 0;
+        this->urgent = 0;
     }
-    std::uint32_t &used = priority == Priority::High ? this->highPriorityLines : this->normalLines;
-    const std::uint32_t limit = priority == Priority::High ? this->limits.highPriorityLines : this->limits.normalLines;
+    std::uint32_t &used = priority == Priority::Urgent ? this->urgent : this->ordinary;
+    const std::uint32_t limit = priority == Priority::Urgent ? this->limits.urgent : this->limits.ordinary;
     if (used >= limit) {
         ++this->dropped;
         return false;
@@ -32,7 +32,7 @@
     ++this->dropped;
 }
 
-std::uint64_t LogRateLimiter::resetDropped()
+std::uint64_t LogRateLimiter::takeDropped()
 {
     return std::exchange(this->dropped, 0);
 }
--- a/Libraries/LibBase/LogRateLimiter.h
+++ b/Libraries/LibBase/LogRateLimiter.h
@@ -9,24 +9,23 @@
 {
 
 /**
- * Limits how many log lines are written per second. Every request writes lines; without a limit, logging under load would
- * use processor time that the requests need. High-priority lines have a separate limit, so that normal lines cannot
- * displace them.
+ * Limits how many log lines are written in a second. Under load each request brings lines; without a limit writing them
+ * takes processor time from the requests. Urgent lines have a separate limit, so that a flood of others does not hide them.
  */
 class LogRateLimiter
 {
 public:
     /** Selects the limit that applies to a line. */
     enum class Priority {
-        Normal,
-        High,
+        Ordinary,
+        Urgent,
     };
 
     /** Lines per second that are admitted for each priority. */
     struct Limits
     {
-        std::uint32_t normalLines = 300;
-        std::uint32_t highPriorityLines = 100;
+        std::uint32_t ordinary = 300;
+        std::uint32_t urgent = 100;
     };
 
     LogRateLimiter(const Clock &clock, Limits limits);
@@ -38,14 +37,14 @@
     void recordBlocked();
 
     /** @return the number of lines dropped since the last call. */
-    std::uint64_t resetDropped();
+    std::uint64_t takeDropped();
 
 private:
     const Clock &clock;
     Limits limits;
     SteadyTime windowStart{};
-    std::uint32_t normalLines = 0;
-    std::uint32_t highPriorityLines = 0;
+    std::uint32_t ordinary = 0;
+    std::uint32_t urgent = 0;
     std::uint64_t dropped = 0;
 };
 
--- a/Tests/LibBase/TestLogRateLimiter.cpp
+++ b/Tests/LibBase/TestLogRateLimiter.cpp
@@ -7,18 +7,18 @@
 
 // Under load, requests write more lines than the limit admits. Lines about a lost dependency must still be written, and the log
 // must state how many lines were dropped.
-TEST_CASE("lines are limited per second, high-priority ones separately, and dropped lines are counted")
+TEST_CASE("lines are limited per second, urgent ones separately, and dropped lines are counted")
 {
     ManualClock clock;
-    LogRateLimiter limiter(clock, {.normalLines = 3, .highPriorityLines = 2});
+    LogRateLimiter limiter(clock, {.ordinary = 3, .urgent = 2});
     int admitted = 0;
     for (int i = 0; i < 10; ++i) {
-        admitted += limiter.admit(LogRateLimiter::Priority::Normal) ? 1 : 0;
+        admitted += limiter.admit(LogRateLimiter::Priority::Ordinary) ? 1 : 0;
     }
     CHECK(admitted == 3);
-    CHECK(limiter.admit(LogRateLimiter::Priority::High));
-    CHECK(limiter.resetDropped() == 7);
-    CHECK(limiter.resetDropped() == 0);
+    CHECK(limiter.admit(LogRateLimiter::Priority::Urgent));
+    CHECK(limiter.takeDropped() == 7);
+    CHECK(limiter.takeDropped() == 0);
     clock.advance(std::chrono::seconds(1));
-    CHECK(limiter.admit(LogRateLimiter::Priority::Normal));
+    CHECK(limiter.admit(LogRateLimiter::Priority::Ordinary));
 }
