--- a/Tests/LibBase/TestLogRateLimiter.cpp
+++ b/Tests/LibBase/TestLogRateLimiter.cpp
@@ -5,9 +5,8 @@
 
 using namespace Dogwoodkeel;
 
-// Under load, requests write more lines than the limit admits. Lines about a lost dependency must still be written, and the log
-// must state how many lines were dropped.
-TEST_CASE("lines are limited per second, urgent ones separately, and dropped lines are counted")
+// Under load, lines about a lost dependency are still written, and the log states how many lines are missing.
+TEST_CASE("lines are limited per second and priority, and dropped lines are counted")
 {
     ManualClock clock;
     LogRateLimiter limiter(clock, {.ordinary = 3, .urgent = 2});
