--- a/Libraries/LibBase/Encoding.cpp
+++ b/Libraries/LibBase/Encoding.cpp
@@ -71,7 +71,7 @@
 {
     std::string bytes(count, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char *>(bytes.data()), static_cast<int>(count)) != 1) {
-        throw std::runtime_error("the operating system gave no random bytes");
+        throw std::runtime_error("the operating system returned no random bytes");
     }
     return encodeHex(bytes);
 }
--- a/Tests/LibBase/TestLogRateLimiter.cpp
+++ b/Tests/LibBase/TestLogRateLimiter.cpp
@@ -9,15 +9,15 @@
 TEST_CASE("lines are limited per second and priority, and dropped lines are counted")
 {
     ManualClock clock;
-    LogRateLimiter limiter(clock, {.ordinary = 3, .urgent = 2});
+    LogRateLimiter gate(clock, {.ordinary = 3, .urgent = 2});
     int admitted = 0;
     for (int i = 0; i < 10; ++i) {
-        admitted += limiter.admit(LogRateLimiter::Priority::Ordinary) ? 1 : 0;
+        admitted += gate.admit(LogRateLimiter::Priority::Ordinary) ? 1 : 0;
     }
     CHECK(admitted == 3);
-    CHECK(limiter.admit(LogRateLimiter::Priority::Urgent));
-    CHECK(limiter.takeDropped() == 7);
-    CHECK(limiter.takeDropped() == 0);
+    CHECK(gate.admit(LogRateLimiter::Priority::Urgent));
+    CHECK(gate.takeDropped() == 7);
+    CHECK(gate.takeDropped() == 0);
     clock.advance(std::chrono::seconds(1));
-    CHECK(limiter.admit(LogRateLimiter::Priority::Ordinary));
+    CHECK(gate.admit(LogRateLimiter::Priority::Ordinary));
 }
