--- a/Libraries/LibBase/Shards.h
+++ b/Libraries/LibBase/Shards.h
@@ -9,8 +9,8 @@
 {
 
 /**
- * Returns the shard that a request or job id belongs to. Nodes that query an owner and the owner itself must agree on it, so it
- * is computed only here.
+ * Returns the shard that a request or job id belongs to. Nodes that query an owner and
+ * the owner itself must agree on it, so it is computed only here.
  * @param id of the request or job
  * @param shards number of shards (owner.shards), at least 1
  * @return the shard
--- a/Libraries/LibBase/TrafficMeter.h
+++ b/Libraries/LibBase/TrafficMeter.h
@@ -10,8 +10,9 @@
 namespace Dogwoodkeel
 {
 
-/** Counts the messages and bytes that a process exchanges with others, by kind and direction, so that traffic which
- * grows with the number of nodes is visible.
+/**
+ * Counts the messages and bytes that a process exchanges with others, by kind and direction, so that traffic which grows
+ * with the number of nodes is visible.
  */
 class TrafficMeter
 {
--- a/Libraries/LibMetrics/TopTenants.h
+++ b/Libraries/LibMetrics/TopTenants.h
@@ -14,8 +14,8 @@
 {
 
 /**
- * Selects the tenants whose metrics are shown by name: those with the most recent requests. All others are shown as one. With
- * tens of thousands of tenants, a series for each would exhaust the memory of the node and of the metrics collector.
+ * Selects the tenants whose metrics are shown by name: those with the largest number of recent requests. All others are shown as
+ * one. With tens of thousands of tenants, a series for each would exhaust the memory of the node and of the metrics collector.
  *
  * Counts are kept by the space-saving algorithm (Metwally et al., 2005) for a few times as many tenants as are named, and
  * halved at each review, so that old requests lose weight. A named tenant is replaced only by one that is clearly larger.
