--- a/Libraries/LibBase/Findings.h
+++ b/Libraries/LibBase/Findings.h
@@ -7,33 +7,33 @@
 namespace Dogwoodkeel
 {
 
-/** Where in a file something was found. */
-struct SourcePlace
+/** Position in a file. */
+struct SourcePosition
 {
     std::string file;
     std::uint32_t line = 0;
     std::uint32_t column = 0;
 };
 
-/** One thing that is wrong, and where. */
+/** One error and its position. */
 struct Finding
 {
-    SourcePlace place;
+    SourcePosition place;
     std::string message;
 
     /** @return "file:line:column: message". */
     std::string toString() const;
 };
 
-/** Collects all that is wrong, so that it is reported together. */
+/** Collects errors, so that they are reported together. */
 class Findings
 {
 public:
     /**
-     * @param place where it is wrong
-     * @param message what is wrong, for a person
+     * @param place position of the error
+     * @param message human-readable description of the error
      */
-    void add(SourcePlace place, std::string message);
+    void add(SourcePosition place, std::string message);
 
     bool isEmpty() const;
     const std::vector<Finding> &all() const;
--- a/Libraries/LibBase/Log.cpp
+++ b/Libraries/LibBase/Log.cpp
@@ -49,44 +49,45 @@
     return *instance;
 }
 
-/** A pipe that reports room takes so many bytes without waiting (PIPE_BUF on Linux), less what the pattern adds. */
-constexpr std::size_t longestLine = 3900;
+/** A pipe that is reported as writable accepts PIPE_BUF bytes (on Linux) without blocking; the limit leaves capacity for what
+ * the pattern adds. */
+constexpr std::size_t maxLineSize = 3900;
 
-/** Guards what bounds the lines. Tasks log side by side. */
-struct SharedGate
+/** Rate limiter of the process and its mutex; tasks log concurrently. */
+struct SharedRateLimiter
 {
     std::mutex mutex;
     SystemClock clock;
-    LogGate gate{this->clock, {}};
+    LogRateLimiter limiter{this->clock, {}};
 };
 
-SharedGate &sharedGate()
+SharedRateLimiter &sharedRateLimiter()
 {
-    static SharedGate instance;
+    static SharedRateLimiter instance;
     return instance;
 }
 
-/** @return whether standard output takes a line without waiting: a reader that stopped reading must not stop the node. */
+/** @return whether standard output accepts a line without blocking: a reader that stops reading must not block the node. */
 bool isWritable()
 {
     pollfd output{STDOUT_FILENO, POLLOUT, 0};
     return ::poll(&output, 1, 0) == 1 && (output.revents & POLLOUT) != 0;
 }
 
-/** @return whether a line may be written; and the count of those left out before, once. */
+/** @return whether a line may be written; sets the number of lines dropped before it and resets the count. */
 bool admit(LogLevel level, std::uint64_t &dropped)
 {
-    SharedGate &shared = sharedGate();
+    SharedRateLimiter &shared = sharedRateLimiter();
     const std::scoped_lock lock(shared.mutex);
-    const bool isGrave = level == LogLevel::Warning || level == LogLevel::Error;
-    if (!shared.gate.admit(isGrave ? LogGate::Weight::Grave : LogGate::Weight::Ordinary)) {
+    const bool isUrgent = level == LogLevel::Warning || level == LogLevel::Error;
+    if (!shared.limiter.admit(isUrgent ? LogRateLimiter::Priority::Urgent : LogRateLimiter::Priority::Ordinary)) {
         return false;
     }
     if (!isWritable()) {
-        shared.gate.noteBlocked();
+        shared.limiter.recordBlocked();
         return false;
     }
-    dropped = shared.gate.takeDropped();
+    dropped = shared.limiter.takeDropped();
     return true;
 }
 
@@ -120,10 +121,10 @@
     if (dropped > 0) {
         line["lines_left_out_before"] = dropped;
     }
-    // NOTE: The pattern opens the object with time and level, so the object's own opening brace is left off,
+    // NOTE: The pattern opens the object with time and level, so the object's own opening brace is omitted,
     // as is its closing one, which the pattern writes.
     std::string text = line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-    if (text.size() > longestLine) {
+    if (text.size() > maxLineSize) {
         text = nlohmann::ordered_json{{"vm", vmOfProcess()}, {"event", event}, {"too_long", text.size()}}.dump();
     }
     logger().log(levelOf(level), "{}", std::string_view(text).substr(1, text.size() - 2));
--- a/Libraries/LibBase/LogRateLimiter.cpp
+++ b/Libraries/LibBase/LogRateLimiter.cpp
@@ -5,20 +5,20 @@
 namespace Dogwoodkeel
 {
 
-LogGate::LogGate(const Clock &clock, Limits limits) : clock(clock), limits(limits)
+LogRateLimiter::LogRateLimiter(const Clock &clock, Limits limits) : clock(clock), limits(limits)
 {
 }
 
-bool LogGate::admit(Weight weight)
+bool LogRateLimiter::admit(Priority priority)
 {
     const SteadyTime now = this->clock.now();
-    if (now - this->second >= std::chrono::seconds(1)) {
-        this->second = now;
+    if (now - this->windowStart >= std::chrono::seconds(1)) {
+        this->windowStart = now;
         this->ordinary = 0;
-        this->grave = 0;
+        this->urgent = 0;
     }
-    std::uint32_t &used = weight == Weight::Grave ? this->grave : this->ordinary;
-    const std::uint32_t limit = weight == Weight::Grave ? this->limits.grave : this->limits.ordinary;
+    std::uint32_t &used = priority == Priority::Urgent ? this->urgent : this->ordinary;
+    const std::uint32_t limit = priority == Priority::Urgent ? this->limits.urgent : this->limits.ordinary;
     if (used >= limit) {
         ++this->dropped;
         return false;
@@ -27,12 +27,12 @@
     return true;
 }
 
-void LogGate::noteBlocked()
+void LogRateLimiter::recordBlocked()
 {
     ++this->dropped;
 }
 
-std::uint64_t LogGate::takeDropped()
+std::uint64_t LogRateLimiter::takeDropped()
 {
     return std::exchange(this->dropped, 0);
 }
--- a/Libraries/LibBase/LogRateLimiter.h
+++ b/Libraries/LibBase/LogRateLimiter.h
@@ -9,42 +9,42 @@
 {
 
 /**
- * Bounds how many log lines are written in a second. Under load each request brings lines; without a bound writing them
- * takes the processor from the requests. Grave lines have a share of their own, so that a flood of others does not hide them.
+ * Limits how many log lines are written in a second. Under load each request brings lines; without a limit writing them
+ * takes processor time from the requests. Urgent lines have a separate limit, so that a flood of others does not hide them.
  */
-class LogGate
+class LogRateLimiter
 {
 public:
-    /** Whether a line is one of many or needs a look. */
-    enum class Weight {
+    /** Selects the limit that applies to a line. */
+    enum class Priority {
         Ordinary,
-        Grave,
+        Urgent,
     };
 
-    /** How many lines a second of each weight are let through. */
+    /** Lines per second that are admitted for each priority. */
     struct Limits
     {
         std::uint32_t ordinary = 300;
-        std::uint32_t grave = 100;
+        std::uint32_t urgent = 100;
     };
 
-    LogGate(const Clock &clock, Limits limits);
+    LogRateLimiter(const Clock &clock, Limits limits);
 
     /** @return whether a line may be written now. */
-    bool admit(Weight weight);
+    bool admit(Priority priority);
 
-    /** A line that was let through could not be written without waiting. */
-    void noteBlocked();
+    /** Counts an admitted line as dropped because writing it would have blocked. */
+    void recordBlocked();
 
-    /** @return lines that were left out since the last call. */
+    /** @return the number of lines dropped since the last call. */
     std::uint64_t takeDropped();
 
 private:
     const Clock &clock;
     Limits limits;
-    SteadyTime second{};
+    SteadyTime windowStart{};
     std::uint32_t ordinary = 0;
-    std::uint32_t grave = 0;
+    std::uint32_t urgent = 0;
     std::uint64_t dropped = 0;
 };
 
--- a/Libraries/LibClient/CallerClient.cpp
+++ b/Libraries/LibClient/CallerClient.cpp
@@ -17,10 +17,10 @@
 
 constexpr int statusOk = 200;
 constexpr int statusUnavailable = 503;
-/** Enough to outlive the loss of a failure domain. */
+/** Requests enough addresses to survive the loss of a failure domain. */
 constexpr const char *entriesQuery = "count=8";
 
-/** @return when the system wants to be asked again. */
+/** @return how long to wait before the next round: Retry-After, or the fallback. */
 std::chrono::milliseconds pauseOf(const HttpResponse &response, std::chrono::milliseconds fallback)
 {
     const std::string after = headerValue(response.headers, "Retry-After").value_or(std::string());
@@ -52,8 +52,8 @@
 
 std::vector<Address> CallerClient::entries()
 {
-    if (!this->known.empty()) {
-        return this->known;
+    if (!this->knownEntries.empty()) {
+        return this->knownEntries;
     }
     for (const Address &node : this->options.nodes) {
         const auto answer = this->callOne(node, {.method = "GET", .path = "/v1/entries", .query = entriesQuery});
@@ -65,14 +65,14 @@
             continue;
         }
         for (const nlohmann::json &entry : reported["entries"]) {
-            const bool isNamed = entry.is_object() && entry.contains("address") && entry["address"].is_string();
-            const auto address = isNamed ? Address::parse(entry["address"].get<std::string>()) : std::nullopt;
+            const bool hasAddress = entry.is_object() && entry.contains("address") && entry["address"].is_string();
+            const auto address = hasAddress ? Address::parse(entry["address"].get<std::string>()) : std::nullopt;
             if (address) {
-                this->known.push_back(*address);
+                this->knownEntries.push_back(*address);
             }
         }
-        if (!this->known.empty()) {
-            return this->known;
+        if (!this->knownEntries.empty()) {
+            return this->knownEntries;
         }
     }
     return this->options.nodes;
@@ -99,8 +99,8 @@
                 last = std::move(*answer);
             }
         }
-        // Those that were named may all be gone by now.
-        this->known.clear();
+        // The reported addresses may all be out of date.
+        this->knownEntries.clear();
         if (round + 1 < this->options.rounds) {
             std::this_thread::sleep_for(pauseOf(last, this->options.pause));
         }
--- a/Libraries/LibExplain/LogLine.cpp
+++ b/Libraries/LibExplain/LogLine.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::ordered_json;
 
-/** Read a time as the log writes it: 2026-01-02T03:04:05.123456+00:00, always in UTC. */
+/** Parses a time in the format of the log: 2026-01-02T03:04:05.123456+00:00, always in UTC. */
 std::optional<WallTime> parseTime(const std::string &text)
 {
     int year = 0;
@@ -55,9 +55,9 @@
 {
     std::string text;
     for (const auto &[name, value] : this->fields) {
-        const bool isWords = value.find(' ') != std::string::npos;
+        const bool hasSpaces = value.find(' ') != std::string::npos;
         text += text.empty() ? "" : " ";
-        text += name + '=' + (isWords ? '"' + value + '"' : value);
+        text += name + '=' + (hasSpaces ? '"' + value + '"' : value);
     }
     return text;
 }
--- a/Libraries/LibTask/EventGuard.h
+++ b/Libraries/LibTask/EventGuard.h
@@ -8,31 +8,32 @@
 namespace Dogwoodkeel
 {
 
-/** Log and count an event whose handler ended by an exception. */
-void noteGivenUpEvent(std::string_view place, std::string_view error) noexcept;
+/** Logs and counts an event whose handler threw an exception. */
+void recordFailedEvent(std::string_view handlerName, std::string_view error) noexcept;
 
-/** @return events of this process whose handlers ended by an exception. */
-std::uint64_t eventsGivenUp() noexcept;
+/** @return the number of events in this process whose handlers threw an exception. */
+std::uint64_t failedEventCount() noexcept;
 
 /**
- * Run the handler of one event, and give up that event alone if it throws.
+ * Runs the handler of one event. If it throws, only that event is abandoned.
  *
- * An exception that leaves a handler would pass through the event library's frames and end the process, and with it all that
- * the node serves; and what throws at one node most likely throws at the next, to which the callers go. Who owns what the event
- * belongs to (a connection, say) closes it, so that nothing goes on from a state that was half changed.
- * @param place names the handler in the log
- * @return whether it came to its end
+ * An exception that leaves a handler would pass through the event library's stack frames and terminate the process with
+ * all requests it serves; the same event would most likely terminate the next node, to which the callers fail over. The owner of
+ * the object that the event belongs to (for example a connection) closes it, so that nothing continues from a partly changed
+ * state.
+ * @param handlerName identifies the handler in the log
+ * @return whether the handler completed without an exception
  */
 template <typename Handler>
-bool runGuarded(std::string_view place, Handler &&handler) noexcept
+bool runGuarded(std::string_view handlerName, Handler &&handler) noexcept
 {
     try {
         std::forward<Handler>(handler)();
         return true;
     } catch (const std::exception &error) {
-        noteGivenUpEvent(place, error.what());
+        recordFailedEvent(handlerName, error.what());
     } catch (...) {
-        noteGivenUpEvent(place, "not a standard exception");
+        recordFailedEvent(handlerName, "not a standard exception");
     }
     return false;
 }
--- a/Tests/LibBase/TestLogRateLimiter.cpp
+++ b/Tests/LibBase/TestLogRateLimiter.cpp
@@ -5,20 +5,19 @@
 
 using namespace Dogwoodkeel;
 
-// A flood of requests brings a flood of lines. The lines that tell of a lost dependency come through all the same, and
-// whoever reads the log learns that lines are missing.
-TEST_CASE("lines are bounded by the second, grave ones by themselves, and what is left out is counted")
+// Under load, lines about a lost dependency are still written, and the log states how many lines are missing.
+TEST_CASE("lines are limited per second and priority, and dropped lines are counted")
 {
     ManualClock clock;
-    LogGate gate(clock, {.ordinary = 3, .grave = 2});
+    LogRateLimiter gate(clock, {.ordinary = 3, .urgent = 2});
     int admitted = 0;
     for (int i = 0; i < 10; ++i) {
-        admitted += gate.admit(LogGate::Weight::Ordinary) ? 1 : 0;
+        admitted += gate.admit(LogRateLimiter::Priority::Ordinary) ? 1 : 0;
     }
     CHECK(admitted == 3);
-    CHECK(gate.admit(LogGate::Weight::Grave));
+    CHECK(gate.admit(LogRateLimiter::Priority::Urgent));
     CHECK(gate.takeDropped() == 7);
     CHECK(gate.takeDropped() == 0);
     clock.advance(std::chrono::seconds(1));
-    CHECK(gate.admit(LogGate::Weight::Ordinary));
+    CHECK(gate.admit(LogRateLimiter::Priority::Ordinary));
 }
