--- a/Services/Owner/BatchOwner.cpp
+++ b/Services/Owner/BatchOwner.cpp
@@ -24,10 +24,10 @@
 constexpr std::chrono::milliseconds tickInterval{200};
 constexpr std::chrono::milliseconds rateWindow{10000};
 constexpr std::chrono::milliseconds warningInterval{10000};
-/** How long a model stays advertised after its last item was handed out: each change is news to every node. */
+/** How long a model stays advertised after its last item was leased, because each change is sent to every node. */
 constexpr std::chrono::milliseconds backlogLinger{5000};
-/** A datagram may be lost; the runners also learn of a cancelled job when they renew their leases. */
-constexpr std::chrono::milliseconds tellAgain[] = {std::chrono::milliseconds(200), std::chrono::milliseconds(1000)};
+/** Delays of repeated notifications, as a datagram may be lost. Runners also detect a cancelled job on lease renewal. */
+constexpr std::chrono::milliseconds notifyRetryDelays[] = {std::chrono::milliseconds(200), std::chrono::milliseconds(1000)};
 
 std::shared_ptr<const std::vector<std::string>> splitLines(const std::string &content)
 {
@@ -68,13 +68,13 @@
                        ShardKeeper &keeper,
                        JournalWriter &journal,
                        ObjectStore &objects,
-                       TellStopped tellStopped)
+                       NotifyStopped notifyStopped)
     : scheduler(scheduler)
     , clock(clock)
     , keeper(keeper)
     , journal(journal)
     , objects(objects)
-    , tellStopped(std::move(tellStopped))
+    , notifyStopped(std::move(notifyStopped))
     , view(std::make_shared<MemberView>(std::vector<Member>()))
     , items(objects, itemBytesKept, splitLines)
     , resultReader(objects)
@@ -114,7 +114,7 @@
         this->renew(request, respond);
     });
     server.handle<ReturnItemsRequest>([this](const auto &request, auto respond) {
-        this->giveBack(request, respond);
+        this->returnItems(request, respond);
     });
 }
 
@@ -129,7 +129,7 @@
         if (view->find(member.session) != nullptr) {
             continue;
         }
-        // Held dead. Should it live all the same, its results still count if they come first.
+        // The runner is considered failed. If it still runs, its results count if they arrive first.
         for (const auto &[shard, state] : this->keeper.owned()) {
             state->jobs.removeRunner(member.session);
         }
@@ -292,8 +292,8 @@
 
 void BatchOwner::confirmAbsent(const JobId &id, const std::function<void(JobState)> &reported)
 {
-    // Another node may have taken the shard without this one having noticed, and may have the job: accepted work must not be
-    // called unknown. So the shard's row is read first.
+    // Another node may have acquired the shard unnoticed by this one and may have accepted the job. Accepted work must
+    // not be reported as unknown, so the row of the shard is read first.
     this->keeper.confirmOwned(this->keeper.shardOf(id.value()), [reported](bool isOwned) {
         reported(isOwned ? JobState::Absent : JobState::NotOwner);
     });
@@ -337,12 +337,12 @@
         const Job *const job = state->jobs.find(record.jobId);
         const std::vector<SessionNumber> runners = job != nullptr ? job->leases().runners() : std::vector<SessionNumber>();
         state->jobs.apply(record);
-        this->tellRunners(record.jobId, runners);
+        this->notifyRunners(record.jobId, runners);
         respond({this->progressOf(*state, record.jobId)});
     });
 }
 
-void BatchOwner::tellRunners(const JobId &job, const std::vector<SessionNumber> &runners)
+void BatchOwner::notifyRunners(const JobId &job, const std::vector<SessionNumber> &runners)
 {
     std::vector<Address> lanes;
     for (const SessionNumber runner : runners) {
@@ -350,16 +350,16 @@
             lanes.push_back(member->lane);
         }
     }
-    const auto tell = [this, job, lanes, alive = this->alive] {
+    const auto notify = [this, job, lanes, alive = this->alive] {
         for (const Address &lane : lanes) {
-            if (*alive && this->tellStopped) {
-                this->tellStopped(lane, {job});
+            if (*alive && this->notifyStopped) {
+                this->notifyStopped(lane, {job});
             }
         }
     };
-    tell();
-    for (const std::chrono::milliseconds delay : tellAgain) {
-        this->scheduler.schedule(delay, tell);
+    notify();
+    for (const std::chrono::milliseconds delay : notifyRetryDelays) {
+        this->scheduler.schedule(delay, notify);
     }
 }
 
@@ -449,7 +449,7 @@
                              this->answerPull(*pull);
                          }
                      });
-    // The next object is asked for before it is needed, one ahead.
+    // Prefetches the next object, one ahead.
     const bool isPastHalf = (line + leased.span.count) * 2 > job.itemsPerObject;
     if (isPastHalf && object + 1 < job.itemObjects.size()) {
         this->items.read(job.itemObjects[object + 1], [](const std::shared_ptr<const Lines> &) {});
@@ -508,7 +508,8 @@
     ++this->moving;
     const std::string content = encode(ResultPage{draft.results});
     const std::uint64_t hash = stableHash(content);
-    // Named by its content: written again after a lost answer, or by the next owner, it is the same object.
+    // The key contains a hash of the content, so a repeated write after a lost response, or by the next owner, yields the
+    // same object.
     const std::string key = "results/" + draft.jobId.value() + '/' + std::to_string(draft.page) + '-'
         + encodeHex(std::string_view(reinterpret_cast<const char *>(&hash), sizeof(hash)));
     this->objects.putIfAbsent(key, content, [this, shard, draft, key, alive = this->alive](WriteOutcome outcome) {
@@ -539,8 +540,8 @@
     RenewItemsResponse response;
     for (const HeldItems &held : request.held) {
         ShardState *const state = this->stateOf(held.jobId);
-        // Only a job that is known to have ended is stopped. Told so of one that is not known here, a runner would drop its
-        // items and turn away for a while what it pulls of the job.
+        // Only a job that is known to have ended is reported as stopped. If an unknown job were reported so, its runner
+        // would drop its items and for a while reject further items of the job.
         if (state == nullptr || state->jobs.find(held.jobId) == nullptr) {
             response.notOwned.push_back(held.jobId);
             continue;
@@ -555,7 +556,7 @@
     respond(response);
 }
 
-void BatchOwner::giveBack(const ReturnItemsRequest &request, const Respond<ReturnItemsResponse> &respond)
+void BatchOwner::returnItems(const ReturnItemsRequest &request, const Respond<ReturnItemsResponse> &respond)
 {
     ReturnItemsResponse response;
     for (const HeldItems &held : request.items) {
--- a/Services/Owner/BatchOwner.h
+++ b/Services/Owner/BatchOwner.h
@@ -21,7 +21,7 @@
 namespace Dogwoodkeel
 {
 
-/** What an owner tells the lanes of its waiting items. */
+/** Summary of the waiting items that an owner advertises to the lanes. */
 struct Backlog
 {
     std::uint32_t items = 0;
@@ -32,7 +32,8 @@
 };
 
 /**
- * Answers for the batch jobs of the shards this node owns. What it tells others as done is in the journal by then.
+ * Serves the batch jobs of the shards that this node owns. A decision is durable in the journal before it is reported to
+ * another node as done.
  */
 class BatchOwner
 {
@@ -40,40 +41,40 @@
     template <typename Response>
     using Respond = PeerServer::Respond<Response>;
 
-    /** Tells a runner that a job was cancelled; it may be lost. */
-    using TellStopped = std::function<void(const Address &lane, const JobStopped &)>;
+    /** Notifies a runner that a job was cancelled. The notification may be lost. */
+    using NotifyStopped = std::function<void(const Address &lane, const JobStopped &)>;
 
     BatchOwner(Scheduler &scheduler,
                const Clock &clock,
                ShardKeeper &keeper,
                JournalWriter &journal,
                ObjectStore &objects,
-               TellStopped tellStopped);
+               NotifyStopped notifyStopped);
     ~BatchOwner();
     BatchOwner(const BatchOwner &) = delete;
     BatchOwner &operator=(const BatchOwner &) = delete;
 
-    /** Answer the calls of other nodes, and of this one. */
+    /** Registers the handlers for calls from other nodes and from this one. */
     void serve(PeerServer &server);
 
     void start();
     void setView(MemberViewPointer view);
 
-    /** @return what waits at this node's shards. */
+    /** @return a summary of the items that wait in the shards of this node. */
     Backlog backlog();
 
-    /** Tell where a job stands. */
+    /** Reports the state and progress of a job. */
     void status(const JobStatusRequest &request, const Respond<JobStatusResponse> &respond);
 
 private:
     using Lines = std::vector<std::string>;
 
-    /** Items that are being read for a lane. */
+    /** The items that are being read to answer one pull request of a lane. */
     struct Pull;
-    /** Results that are being journalled for a lane. */
+    /** The results of one commit request of a lane that are being journalled. */
     struct Commit;
 
-    /** @param reported gets Absent only if this node still owns the job's shard */
+    /** @param reported receives Absent only if this node still owns the shard of the job */
     void confirmAbsent(const JobId &id, const std::function<void(JobState)> &reported);
     void submit(const SubmitJobRequest &request, const Respond<SubmitJobResponse> &respond);
     void list(const ListJobsRequest &request, const Respond<ListJobsResponse> &respond);
@@ -82,7 +83,7 @@
     void pull(const PullItemsRequest &request, const Respond<PullItemsResponse> &respond);
     void commitItems(const CommitItemsRequest &request, const Respond<CommitItemsResponse> &respond);
     void renew(const RenewItemsRequest &request, const Respond<RenewItemsResponse> &respond);
-    void giveBack(const ReturnItemsRequest &request, const Respond<ReturnItemsResponse> &respond);
+    void returnItems(const ReturnItemsRequest &request, const Respond<ReturnItemsResponse> &respond);
 
     ShardState *stateOf(const JobId &id);
     const Job *jobOf(ShardState *state, const JobId &id, const WorkspaceName &tenant) const;
@@ -91,7 +92,7 @@
     void tick();
     void refreshSchedule();
     void warnOfLateJobs();
-    void tellRunners(const JobId &job, const std::vector<SessionNumber> &runners);
+    void notifyRunners(const JobId &job, const std::vector<SessionNumber> &runners);
     std::vector<LeasedItems> leaseNext(const PullItemsRequest &request);
     void answerPull(Pull &pull);
     void readLeased(const std::shared_ptr<Pull> &pull, const LeasedItems &leased);
@@ -107,13 +108,13 @@
     ShardKeeper &keeper;
     JournalWriter &journal;
     ObjectStore &objects;
-    TellStopped tellStopped;
+    NotifyStopped notifyStopped;
     MemberViewPointer view;
     ObjectCache<Lines> items;
     ResultReader resultReader;
 
     JobSchedule schedule;
-    /** The jobs that the schedule has of each shard, and under which epoch they were put there. */
+    /** The scheduled jobs of one shard, and the shard epoch in which they were scheduled. */
     struct Scheduled
     {
         ShardEpoch epoch;
--- a/Services/Owner/Checkpointer.cpp
+++ b/Services/Owner/Checkpointer.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::chrono::milliseconds retryDelay{200};
 constexpr std::size_t nonceBytes = 8;
-/** A run is merged with younger ones of at least half its size; below this size, with any. */
+/** A run is merged with newer ones of at least half its size; below this size, with any. */
 constexpr std::size_t smallRun = 262144;
 
 std::size_t sizeOf(const ResultRecord &result)
@@ -29,14 +29,14 @@
 
 } // namespace
 
-/** One checkpoint on its way. */
+/** State of the checkpoint that is being written. */
 struct Checkpointer::Work
 {
     ShardNumber shard;
     std::shared_ptr<ShardState> state;
-    /** Results that were new when it began. */
+    /** Results that were new when the checkpoint started. */
     std::vector<ResultRecord> fresh;
-    /** All results of the new run: the fresh ones, and those of the merged runs. */
+    /** All results of the new run: the new ones and those of the merged runs. */
     std::vector<ResultRecord> results;
     Checkpoint checkpoint;
     GroupNumber boundary;
@@ -87,10 +87,10 @@
     return next > first ? next - first : 0;
 }
 
-bool Checkpointer::isWorthBeforeHandover(const ShardState &state) const
+bool Checkpointer::isWorthwhileBeforeHandover(const ShardState &state) const
 {
     const bool canWrite = !this->journal.isStalled() && !this->journal.isFenced() && !state.row.spans.empty();
-    return canWrite && this->growth(state) * this->options.handoverPart >= this->options.groups;
+    return canWrite && this->growth(state) * this->options.handoverDivisor >= this->options.groups;
 }
 
 void Checkpointer::write(ShardNumber shard, std::shared_ptr<ShardState> state, std::function<void()> ended)
@@ -101,7 +101,7 @@
     work->shard = shard;
     work->state = std::move(state);
     work->state->isCheckpointing = true;
-    // What is durable now stands in the groups up to the last durable one, so the row's span can start behind it.
+    // All durable records are in the groups up to the last durable one, so the span of the row can start after it.
     work->boundary = this->journal.lastDurableGroup();
     work->newest = this->clock.wallNow();
     work->fresh = work->state->requests.unindexed();
@@ -161,7 +161,7 @@
         }
         auto block = result.outcome == ReadOutcome::Found ? decode<ResultBlock>(result.content) : std::nullopt;
         if (!block) {
-            // Merging can wait: the runs stay as they are.
+            // Merging is not urgent, so the runs stay unmerged.
             work->results.clear();
             std::ranges::move(std::exchange(work->merged, {}), std::back_inserter(work->kept));
             this->build(work);
@@ -177,7 +177,7 @@
 {
     std::ranges::copy(work->fresh, std::back_inserter(work->results));
     std::ranges::sort(work->results, {}, &ResultRecord::requestId);
-    // The epoch in the names keeps a paused former owner's objects apart from this owner's.
+    // The epoch in the names separates the objects of a paused former owner from those of this owner.
     const std::string nonce = std::to_string(work->state->row.epoch.value()) + '-' + randomHex(nonceBytes);
     if (!work->results.empty()) {
         this->buildRun(*work, nonce);
@@ -241,7 +241,7 @@
         if (!*alive) {
             return;
         }
-        // Refused: the key has this work's nonce, so an earlier try of this very put took effect.
+        // The key contains the nonce of this checkpoint, so a refusal means that an earlier attempt of the same put took effect.
         if (outcome == WriteOutcome::Done || outcome == WriteOutcome::Refused) {
             work->puts.pop_front();
             this->putNext(work);
@@ -282,7 +282,7 @@
         if (row && *row == work->row) {
             this->adopt(*work, result.row.version);
         } else if (row && result.row.version == work->state->version) {
-            // The lost write has not arrived. Under the same condition, only one of the two takes effect.
+            // The lost write has not taken effect so far. Both writes have the same condition, so only one of them can.
             this->retry(work, &Checkpointer::swapRow);
             return;
         }
@@ -324,9 +324,9 @@
 
 void Checkpointer::sweep(ShardNumber shard, const std::shared_ptr<ShardState> &state)
 {
-    // A former owner that was lost while it wrote a checkpoint left objects that no row names. Only those of earlier epochs
-    // are looked at: rows to come refer to what this row names and to objects of this or later epochs, so nobody will
-    // need them, even if this node is itself a former owner by now.
+    // A former owner that was lost while it wrote a checkpoint left objects that no row names. Only objects of earlier
+    // epochs are checked: future rows refer only to objects that this row names and to those of this or later epochs. So
+    // the deleted objects are never needed, even if this node is no longer the owner.
     this->platform.objects().list(JournalKeys::statePrefix(shard),
                                   [this, shard, state, alive = this->alive](const ObjectKeysResult &listed) {
                                       if (!*alive || listed.outcome != ReadOutcome::Found) {
--- a/Services/Owner/Checkpointer.h
+++ b/Services/Owner/Checkpointer.h
@@ -18,30 +18,31 @@
 {
 
 /**
- * Writes a shard's state to objects and lets its row start from there, so that a new owner replays little and the old
- * groups can go. New results become a sorted run of the shard's index; young runs are merged, old ones are deleted.
+ * Writes checkpoints of shards to objects and makes the shard rows refer to them, so that a new owner replays little and
+ * old journal groups can be deleted. New results become a sorted run of the shard's index. Recent runs are merged,
+ * expired ones are deleted.
  *
- * Objects are written before the row that names them, and deleted after no row names them. So whoever read a row a while
- * ago may find an object gone, and then knows that the row has changed.
+ * Objects are written before the row that names them and are deleted only when no row names them. A reader with an
+ * outdated row may therefore find an object missing, which shows that the row has changed.
  */
 class Checkpointer
 {
 public:
-    /** When to write, and how large the parts are. */
+    /** Thresholds for writing a checkpoint, and sizes of its objects. */
     struct Options
     {
-        /** New results, in bytes. */
+        /** Size of the new results that makes a checkpoint due, in bytes. */
         std::size_t bytes = 4194304;
-        /** Growth of the journal, in groups. */
+        /** Growth of the journal that makes a checkpoint due, in groups. */
         std::uint64_t groups = 2000;
         std::chrono::milliseconds retention{604800000};
         std::size_t blockBytes = 1048576;
-        /** Young runs that are merged into one when there are so many. */
+        /** Number of recent runs at which they are merged into one. */
         std::size_t runsToMerge = 4;
-        /** Runs larger than this together are not merged. */
+        /** Max total size of the runs that are merged. */
         std::size_t mergeBytes = 67108864;
-        /** Growth of the journal that makes a checkpoint worth it before a planned handover, as a part of groups. */
-        std::uint64_t handoverPart = 10;
+        /** Before a planned handover, growth by `groups` divided by this number already justifies a checkpoint. */
+        std::uint64_t handoverDivisor = 10;
     };
 
     Checkpointer(Platform &platform,
@@ -54,17 +55,17 @@
     Checkpointer(const Checkpointer &) = delete;
     Checkpointer &operator=(const Checkpointer &) = delete;
 
-    /** @return whether a checkpoint is being written; there is one at a time. */
+    /** @return whether a checkpoint is being written. Only one is written at a time. */
     bool isBusy() const;
 
     bool isDue(const ShardState &state) const;
 
-    /** @return whether a new owner would replay so much that a checkpoint before a planned handover is worth its writes. */
-    bool isWorthBeforeHandover(const ShardState &state) const;
+    /** @return whether a checkpoint before a planned handover would save a new owner enough replay to justify its writes. */
+    bool isWorthwhileBeforeHandover(const ShardState &state) const;
 
     /**
-     * Write a checkpoint. The state may go on changing; what becomes durable meanwhile is left to the row's span.
-     * @param ended told when it is written, or given up
+     * Writes a checkpoint. The state may change meanwhile; records that become durable then are covered by the row's span.
+     * @param ended called when the checkpoint is written or abandoned
      */
     void write(ShardNumber shard, std::shared_ptr<ShardState> state, std::function<void()> ended = {});
 
--- a/Services/Owner/JournalCleaner.cpp
+++ b/Services/Owner/JournalCleaner.cpp
@@ -21,11 +21,11 @@
 } // namespace
 
 JournalCleaner::JournalCleaner(
-    Platform &platform, const Clock &clock, SessionNumber self, std::function<bool(SessionNumber)> isGone, Options options)
+    Platform &platform, const Clock &clock, SessionNumber self, std::function<bool(SessionNumber)> hasDeparted, Options options)
     : platform(platform)
     , clock(clock)
     , self(self)
-    , isGone(std::move(isGone))
+    , hasDeparted(std::move(hasDeparted))
     , options(options)
     , last(clock.now())
     , lastLost(clock.now())
@@ -37,22 +37,22 @@
     *this->alive = false;
 }
 
-void JournalCleaner::tick(const Duty &duty)
+void JournalCleaner::tick(const CleaningScope &scope)
 {
     if (this->busy || this->clock.now() - this->last < this->options.interval) {
         return;
     }
     this->busy = true;
     this->last = this->clock.now();
-    this->readRows(duty);
+    this->readRows(scope);
 }
 
-void JournalCleaner::readRows(const Duty &duty)
+void JournalCleaner::readRows(const CleaningScope &scope)
 {
     this->platform.tables().readRange(JournalKeys::shard(ShardNumber(0)),
                                       JournalKeys::shardsEnd(),
                                       this->options.shards,
-                                      [this, duty, alive = this->alive](const RowsResult &result) {
+                                      [this, scope, alive = this->alive](const RowsResult &result) {
                                           if (!*alive) {
                                               return;
                                           }
@@ -71,11 +71,12 @@
                                               return;
                                           }
                                           const auto own = this->needed.find(this->self);
-                                          const GroupNumber below
-                                              = own != this->needed.end() ? std::min(own->second, duty.ownLimit) : duty.ownLimit;
-                                          this->cleanJournal(this->self, this->cleaned, below, [this, duty, below] {
+                                          const GroupNumber below = own != this->needed.end()
+                                              ? std::min(own->second, scope.ownLimit)
+                                              : scope.ownLimit;
+                                          this->cleanJournal(this->self, this->cleaned, below, [this, scope, below] {
                                               this->cleaned = std::max(this->cleaned, below);
-                                              this->cleanOthers(duty);
+                                              this->cleanOthers(scope);
                                           });
                                       });
 }
@@ -132,7 +133,7 @@
                 return;
             }
             if (outcome != WriteOutcome::Done) {
-                // The next round reads on from where this one began.
+                // The next round starts at the same group again.
                 this->finish();
             } else if (isLastPage) {
                 cleaned();
@@ -142,9 +143,9 @@
         });
 }
 
-void JournalCleaner::cleanOthers(const Duty &duty)
+void JournalCleaner::cleanOthers(const CleaningScope &scope)
 {
-    if (!duty.cleansOthers || this->clock.now() - this->lastLost < this->options.lostInterval) {
+    if (!scope.cleansOthers || this->clock.now() - this->lastLost < this->options.lostInterval) {
         this->finish();
         return;
     }
@@ -168,7 +169,7 @@
         this->finish();
         return;
     }
-    // Most rows are seals of sessions that are cleaned: a page of them is passed over in one read.
+    // Most rows are seals of sessions that are already cleaned; one read skips a whole page of them.
     const auto isDone = [this](const Row &row) {
         return this->done.contains(JournalKeys::sessionOf(row.key));
     };
@@ -185,7 +186,7 @@
     const auto next = [this, session] {
         this->findLost(JournalKeys::groupsEnd(session));
     };
-    if (session == this->self || !this->isGone(session)) {
+    if (session == this->self || !this->hasDeparted(session)) {
         next();
         return;
     }
--- a/Services/Owner/JournalCleaner.h
+++ b/Services/Owner/JournalCleaner.h
@@ -19,47 +19,50 @@
 {
 
 /**
- * Deletes groups of journals that no shard's row needs any more. Rows never come to need a group again that they did not
- * need before: a claim's span starts behind all groups there are, and a checkpoint only shortens spans.
+ * Deletes journal groups that no shard row refers to any more. A group without references never gets one again: the span
+ * of a claim starts after all existing groups, and a checkpoint only shortens spans.
  *
- * NOTE: Seals stay for ever, one small row for each session that was lost. A paused owner that wakes after any time writes
- * at the place of its seal; were that free, it would acknowledge what nobody replays.
+ * NOTE: Seals are never deleted; they cost one small row per lost session. A paused owner that resumes after any time
+ * writes to the key of its seal. If the key were free, it would acknowledge records that are never replayed.
  */
 class JournalCleaner
 {
 public:
-    /** When to clean. */
+    /** Number of shards and cleaning intervals. */
     struct Options
     {
         std::uint32_t shards = 64;
         std::chrono::milliseconds interval{30000};
-        /** How often journals of lost sessions are looked for. */
+        /** Interval between searches for journals of lost sessions. */
         std::chrono::milliseconds lostInterval{300000};
     };
 
-    /** Which journals this node cleans. */
-    struct Duty
+    /** The journals that this node cleans. */
+    struct CleaningScope
     {
-        /** Groups of the own journal from here on are kept. */
+        /** The first group of the own journal that must be kept, with all later ones. */
         GroupNumber ownLimit;
-        /** Whether to clean after lost sessions as well: one node does so. */
+        /** Whether to clean journals of lost sessions as well. One node does so. */
         bool cleansOthers = false;
     };
 
-    JournalCleaner(
-        Platform &platform, const Clock &clock, SessionNumber self, std::function<bool(SessionNumber)> isGone, Options options);
+    JournalCleaner(Platform &platform,
+                   const Clock &clock,
+                   SessionNumber self,
+                   std::function<bool(SessionNumber)> hasDeparted,
+                   Options options);
     ~JournalCleaner();
     JournalCleaner(const JournalCleaner &) = delete;
     JournalCleaner &operator=(const JournalCleaner &) = delete;
 
-    /** Called often; cleans when it is time. */
-    void tick(const Duty &duty);
+    /** Cleans if the interval has passed. Called periodically. */
+    void tick(const CleaningScope &scope);
 
 private:
-    void readRows(const Duty &duty);
+    void readRows(const CleaningScope &scope);
     void cleanJournal(SessionNumber session, GroupNumber from, GroupNumber below, const std::function<void()> &cleaned);
     void onPage(const RowsResult &page, SessionNumber session, GroupNumber below, const std::function<void()> &cleaned);
-    void cleanOthers(const Duty &duty);
+    void cleanOthers(const CleaningScope &scope);
     void findLost(const std::string &from);
     void onJournals(const std::vector<Row> &rows);
     void cleanLost(SessionNumber session);
@@ -68,14 +71,14 @@
     Platform &platform;
     const Clock &clock;
     SessionNumber self;
-    std::function<bool(SessionNumber)> isGone;
+    std::function<bool(SessionNumber)> hasDeparted;
     Options options;
     bool busy = false;
     SteadyTime last;
     SteadyTime lastLost;
-    /** The first group of each journal that a row needs. */
+    /** The first group of each journal that a row refers to. */
     std::map<SessionNumber, GroupNumber> needed;
-    /** Groups of the own journal before it are deleted. */
+    /** Groups of the own journal before this one are deleted. */
     GroupNumber cleaned{1};
     /** Lost sessions of which only the seal is left. */
     std::set<SessionNumber> done;
--- a/Services/Owner/ObjectCache.h
+++ b/Services/Owner/ObjectCache.h
@@ -14,18 +14,18 @@
 {
 
 /**
- * Reads objects of one kind and keeps the ones read last, up to a number of bytes. Reads of an object that is on its
- * way wait for it together.
- * @tparam Content what an object holds
+ * Reads objects of one kind and caches the most recently used ones, up to a number of bytes. Concurrent reads of an object
+ * share one request.
+ * @tparam Content parsed content of an object
  */
 template <typename Content>
 class ObjectCache
 {
 public:
     using Pointer = std::shared_ptr<const Content>;
-    /** Gets the content, or null if it cannot be read now. */
+    /** Receives the content, or null if it cannot be read now. */
     using Read = std::function<void(const Pointer &)>;
-    /** Makes the content of an object's bytes; null if it is none. */
+    /** Parses the bytes of an object. Returns null if they are invalid. */
     using Parse = std::function<Pointer(const std::string &)>;
 
     ObjectCache(ObjectStore &objects, std::size_t bytesKept, Parse parse)
--- a/Services/Owner/OwnerService.cpp
+++ b/Services/Owner/OwnerService.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-/** How long a commit may wait for the platform before its runner is told that the result is held. */
+/** How long a commit may wait for the platform before the runner gets the answer that the result is held. */
 constexpr std::chrono::milliseconds holdAfter{500};
-/** How long an intent may wait for the platform before its claimer is told that the request was not run. */
+/** How long an intent may wait for the platform before the claimer gets the answer that the request was not run. */
 constexpr std::chrono::milliseconds intentTimeout{1000};
 
 ShardKeeper::Options keeperOptions(const Settings &settings, std::function<void(const Member &)> onReleased)
@@ -26,13 +26,13 @@
     options.checkpoint.bytes = static_cast<std::size_t>(settings.owner.checkpointBytes);
     options.checkpoint.groups = static_cast<std::uint64_t>(settings.owner.checkpointGroups);
     options.checkpoint.retention = settings.owner.resultRetention;
-    options.strangerGrace = settings.membership.suspicion * 3;
+    options.unknownOwnerTimeout = settings.membership.suspicion * 3;
     options.pauseLimit = settings.membership.suspicion;
     options.onReleased = std::move(onReleased);
     return options;
 }
 
-/** Answers once, whatever comes first. */
+/** Sends only the first of several possible responses. */
 template <typename Response>
 std::function<void(const Response &)> onlyOnce(std::function<void(const Response &)> respond)
 {
@@ -51,14 +51,14 @@
                            const SettingsHandle &settings,
                            SessionNumber self,
                            std::function<void()> onFenced,
-                           BatchOwner::TellStopped tellStopped,
+                           BatchOwner::NotifyStopped notifyStopped,
                            std::function<void(const Member &)> onReleased)
     : scheduler(scheduler)
     , settings(settings)
     , onFenced(std::move(onFenced))
     , journal(platform, scheduler, clock, self, this->journalOptions())
     , keeper(platform, scheduler, clock, self, this->journal, keeperOptions(settings.current(), std::move(onReleased)))
-    , batch(scheduler, clock, this->keeper, this->journal, platform.objects(), std::move(tellStopped))
+    , batch(scheduler, clock, this->keeper, this->journal, platform.objects(), std::move(notifyStopped))
 {
 }
 
@@ -95,7 +95,7 @@
         this->release(request, respond);
     });
     server.handle<ShardsReleasedRequest>([this](const auto &, auto respond) {
-        this->keeper.lookSoon();
+        this->keeper.checkSoon();
         respond({});
     });
     server.handle<ResultRequest>([this](const auto &request, auto respond) {
@@ -181,7 +181,7 @@
         ShardState *const state = this->stateOf(id.value());
         const bool isChanged = state != nullptr && (state->row.epoch != epoch || state->index.generation() != generation);
         if (isChanged) {
-            // While the object was read, a result of the id may have gone through memory into a run of its own.
+            // While the object was read, a result of the id may have been committed and moved from memory to a new run.
             this->lookUp(id, then);
             return;
         }
@@ -199,7 +199,7 @@
         if (state == nullptr) {
             respond({ClaimDecision::NotOwner, {}});
         } else if (!isCertain) {
-            // Its result may stand in an object that cannot be read now: run again, the request would have two.
+            // The result may be in an object that cannot be read now. If the request ran again, it would have two results.
             respond({ClaimDecision::Unavailable, {}});
         } else {
             this->claimAt(*state, request, respond);
@@ -212,7 +212,7 @@
     ShardState *const state = &owned;
     if (request.isNonIdempotent && this->journal.isStalled()
         && state->requests.state(request.requestId) == RequestState::Absent) {
-        // Its intent could not be journalled now, and without that it must not run.
+        // The intent cannot be journalled now, and without an intent the request must not run.
         respond({ClaimDecision::Unavailable, {}});
         return;
     }
@@ -244,7 +244,8 @@
 
 bool OwnerService::isFull() const
 {
-    // Results that were run already are taken beyond the bound: no more of them come than were running when it was met.
+    // Results of started requests are accepted beyond the limit; their number is bounded by the requests that were
+    // running when the limit was reached.
     return this->journal.waiting() >= static_cast<std::size_t>(this->settings->owner.heldResults);
 }
 
@@ -260,8 +261,8 @@
         if (!*alive) {
             return;
         }
-        // The claimer tells its caller that the request was not run. Should the intent become durable after all, it is
-        // withdrawn: left standing, it would answer every resend with "it may have run", which is not so.
+        // The claimer reports to its caller that the request was not run. If the intent still becomes durable, it is
+        // withdrawn; otherwise every resend would be wrongly answered with "it may have run".
         if (ShardState *const state = this->keeper.find(shard)) {
             state->requests.abandonIntent(request);
         }
@@ -274,7 +275,7 @@
     const ShardNumber shard = this->keeper.shardOf(request.requestId.value());
     ShardState *const state = this->keeper.find(shard);
     if (outcome == AppendOutcome::Fenced || state == nullptr) {
-        // Given up meanwhile: the new owner finds the intent, and lets the claimer run when it asks there.
+        // The shard was released meanwhile. The new owner finds the intent and lets the claimer run when it claims there.
         respond({ClaimDecision::NotOwner, {}});
         return;
     }
@@ -308,9 +309,9 @@
     const auto isWaiting = std::make_shared<bool>(true);
     // NOTE: claim() has just found the request there.
     state->requests.await(request.requestId, [this, request, respond, isWaiting, alive = this->alive] {
-        // Told from inside the table: looked at again from the loop.
+        // This is called from inside the table, so the table is read again later, from the event loop.
         this->scheduler.schedule(std::chrono::milliseconds(0), [this, request, respond, isWaiting, alive] {
-            // One that was told "still running" may be gone. A claim made for it would keep the request from running.
+            // A caller that got "still running" may have left. A claim granted to it would keep the request from running.
             if (*alive && std::exchange(*isWaiting, false)) {
                 this->claim(request, respond);
             }
@@ -393,9 +394,9 @@
         respond({.isOwner = true, .isReleased = !isRefused});
         return;
     }
-    // Told before the withdrawal is durable, the claimer would leave it at that. Were this owner then lost, the next one
-    // would find an intent whose runner lives, and resends would wait for it until its lease ends. Told "not the owner",
-    // the claimer goes on to the next one.
+    // If the release were confirmed before the withdrawal is durable, the claimer would not repeat it. If this owner were
+    // then lost, the next one would find an intent whose runner is alive, and resends would wait until its lease ends. On
+    // the answer "not the owner", the claimer repeats the release at the next owner.
     state->requests.await(request.requestId, [this, id = request.requestId, respond] {
         const ShardState *const state = this->stateOf(id.value());
         const bool isReleased = state != nullptr && state->requests.state(id) == RequestState::Absent;
@@ -420,8 +421,8 @@
 
 void OwnerService::confirmNoResult(const ResultRequest &request, const Respond<ResultResponse> &respond)
 {
-    // Another node may have taken the shard without this one having noticed, and may have a result that was committed
-    // since. That there is none is told only when the shard's row still names this node.
+    // Another node may have acquired the shard unnoticed by this one and may have committed a result since. So the absence
+    // of a result is reported only if the row of the shard still names this node.
     this->keeper.confirmOwned(this->keeper.shardOf(request.requestId.value()), [this, request, respond](bool isOwned) {
         const ShardState *const state = this->stateOf(request.requestId.value());
         if (!isOwned || state == nullptr) {
--- a/Services/Owner/OwnerService.h
+++ b/Services/Owner/OwnerService.h
@@ -15,16 +15,16 @@
 {
 
 /**
- * Answers for the requests and batch jobs of the shards this node owns. What it tells others as done is in the journal
- * by then.
+ * Serves the requests and batch jobs of the shards that this node owns. A decision is durable in the journal before it is
+ * reported to another node as done.
  */
 class OwnerService
 {
 public:
     /**
-     * @param onFenced told once, when another session has sealed this one's journal: it can decide nothing any more
-     * @param tellStopped see BatchOwner::TellStopped
-     * @param onReleased told of the member that should own a shard which has just been given up
+     * @param onFenced called once, when another session has sealed the journal of this one, which can decide nothing any more
+     * @param notifyStopped see BatchOwner::NotifyStopped
+     * @param onReleased called with the member that should own a shard that has just been released
      */
     OwnerService(Scheduler &scheduler,
                  const Clock &clock,
@@ -32,59 +32,59 @@
                  const SettingsHandle &settings,
                  SessionNumber self,
                  std::function<void()> onFenced = {},
-                 BatchOwner::TellStopped tellStopped = {},
+                 BatchOwner::NotifyStopped notifyStopped = {},
                  std::function<void(const Member &)> onReleased = {});
     ~OwnerService();
     OwnerService(const OwnerService &) = delete;
     OwnerService &operator=(const OwnerService &) = delete;
 
-    /** Answer the calls of other nodes, and of this one. */
+    /** Registers the handlers for calls from other nodes and from this one. */
     void serve(PeerServer &server);
 
-    /** Start taking shards. */
+    /** Starts acquiring shards. */
     void start();
 
     void setView(const MemberViewPointer &view);
 
-    /** Give everything up, as planned. @param stopped told when the last shard is released */
+    /** Releases all shards for a planned stop. @param stopped called when the last shard is released */
     void stop(std::function<void()> stopped);
 
-    /** @return what waits of batch jobs at this node's shards. */
+    /** @return a summary of the batch items that wait in the shards of this node. */
     Backlog backlog();
 
-    /** @return requests of all shards that are in memory. */
+    /** @return the number of requests of all shards that are in memory. */
     std::size_t resultsInMemory() const;
 
-    /** @return shards owned now. */
+    /** @return the number of shards owned now. */
     std::size_t shardCount() const;
 
     const JournalWriter &journalWriter() const;
 
-    /** @return the part that answers for batch jobs. */
+    /** @return the component that serves batch jobs. */
     BatchOwner &batches();
 
     template <typename Response>
     using Respond = PeerServer::Respond<Response>;
 
-    /** Decide whether the asking node runs a request. */
+    /** Decides whether the calling node runs a request. */
     void claim(const ClaimRequest &request, const Respond<ClaimResponse> &respond);
-    /** Take a result: the first one counts. */
+    /** Accepts a result. The first one counts. */
     void commit(const CommitRequest &request, const Respond<CommitResponse> &respond);
-    /** Take a claim back whose request was proved not to have run. */
+    /** Releases a claim whose request has provably not run. */
     void release(const ReleaseRequest &request, const Respond<ReleaseResponse> &respond);
-    /** Tell where a request stands. */
+    /** Reports the state of a request, and its result if there is one. */
     void result(const ResultRequest &request, const Respond<ResultResponse> &respond);
 
 private:
-    /** Gets the shard's state, or null if this node does not own it, and whether it is certain what the id's result is. */
+    /** Receives the shard state, or null if the shard is not owned, and whether it is certain if the id has a result. */
     using LookedUp = std::function<void(ShardState *state, bool isCertain)>;
 
-    /** Bring a result that was written long ago into memory, if there is one. */
+    /** Loads the result of a request from the index into memory, if there is one. */
     void lookUp(const RequestId &id, const LookedUp &then);
     void claimAt(ShardState &owned, const ClaimRequest &request, const Respond<ClaimResponse> &respond);
     void commitAt(ShardState &owned, const CommitRequest &request, const Respond<CommitResponse> &respond);
     void confirmNoResult(const ResultRequest &request, const Respond<ResultResponse> &respond);
-    /** @return whether as many results wait for the platform as this node may hold: nothing new is run then. */
+    /** @return whether the max number of results wait for the platform. No new request is run then. */
     bool isFull() const;
     void join(const ClaimRequest &request, const Respond<ClaimResponse> &respond);
     void writeIntent(const ClaimRequest &request, const Respond<ClaimResponse> &respond);
--- a/Services/Owner/OwnerTask.h
+++ b/Services/Owner/OwnerTask.h
@@ -17,14 +17,14 @@
 namespace Dogwoodkeel
 {
 
-/** What the task that owns shards has: its listening socket, its platform client and the owner service. */
+/** The task that owns shards, with its listening socket, its platform client and the owner service. */
 class OwnerTask
 {
 public:
     using PlatformFactory = std::function<std::unique_ptr<Platform>(EventLoop &)>;
 
     /**
-     * @param onFenced told, on this task, when the session's journal was sealed by another
+     * @param onFenced called on this task when another session has sealed the journal of this one
      * @throws std::runtime_error if it cannot listen
      */
     OwnerTask(EventLoop &loop,
@@ -47,38 +47,38 @@
     }
 
     /**
-     * Begin again as another session, with an empty journal and no shards: the former one was fenced, and what it had is
-     * with others.
+     * Starts again as a new session with an empty journal and no shards. Used after the former session was fenced and its
+     * shards were acquired by other nodes.
      */
     void renew(SessionNumber self)
     {
-        const auto tellStopped = [this](const Address &lane, const JobStopped &stopped) {
+        const auto notifyStopped = [this](const Address &lane, const JobStopped &stopped) {
             this->datagrams.send(lane, stopped);
         };
         const auto onReleased = [this](const Member &successor) {
-            this->tellReleased(successor.owner);
+            this->notifyReleased(successor.owner);
         };
         this->service = std::make_unique<OwnerService>(
-            this->loop, this->clock, *this->platform, this->settings, self, this->onFenced, tellStopped, onReleased);
+            this->loop, this->clock, *this->platform, this->settings, self, this->onFenced, notifyStopped, onReleased);
         this->service->serve(this->server);
     }
 
-    /** @return where other nodes call it. */
+    /** @return the address on which other nodes call this task. */
     const Address &address() const
     {
         return this->server.address();
     }
 
-    /** Answer a request that another task of this node makes. */
+    /** Answers a request from another task of this node. */
     void answer(MessageNumber number, const std::string &payload, const PeerServer::SendPayload &send)
     {
         if (!this->server.answer(number, payload, send)) {
-            // The caller's call ends as unknown: its number fits no response.
+            // This number matches no response, so the call ends as unknown for the caller.
             send(MessageNumber(), {});
         }
     }
 
-    /** Takes the calls of other nodes; other tasks' handlers are hung in here. */
+    /** @return the server for calls from other nodes. Other tasks register their handlers here. */
     PeerServer &peers()
     {
         return this->server;
@@ -89,15 +89,15 @@
         return *this->service;
     }
 
-    /** Put a new configuration into force. */
+    /** Puts a new configuration in force. */
     void putInForce(const SettingsPointer &settings)
     {
         this->settings.replace(settings);
     }
 
 private:
-    /** Tell a member that shards wait for it; it would find them by itself a little later. */
-    void tellReleased(const Address &successor)
+    /** Notifies a member of shards that it can acquire. Without this, the member finds them itself a little later. */
+    void notifyReleased(const Address &successor)
     {
         this->otherNodes.call<ShardsReleasedRequest>(
             successor, {}, this->settings->peers.callTimeout, [](const CallResult<ShardsReleasedResponse> &) {});
--- a/Services/Owner/ResultReader.cpp
+++ b/Services/Owner/ResultReader.cpp
@@ -62,7 +62,7 @@
         return;
     }
     if (reading.hasFailed) {
-        // The object cannot be read now. Without it the page would look as if its items were not done.
+        // The object cannot be read now. Without it, the items of the page would appear as not done.
         reading.respond({.state = JobState::NotOwner});
         return;
     }
--- a/Services/Owner/ResultReader.h
+++ b/Services/Owner/ResultReader.h
@@ -11,7 +11,7 @@
 namespace Dogwoodkeel
 {
 
-/** Reads a part of a job's results for a caller: those in memory, and those that were moved to objects. */
+/** Reads a range of the results of a job, both those in memory and those that were moved to objects. */
 class ResultReader
 {
 public:
@@ -20,14 +20,14 @@
     explicit ResultReader(ObjectStore &objects);
 
     /**
-     * @param request from which item on, and how many
-     * @param page where these results are, see Job::resultsFrom
-     * @param respond gets the results in the order of their items; NotOwner if an object cannot be read now
+     * @param request the first item and the number of items
+     * @param page location of these results, see Job::resultsFrom
+     * @param respond receives the results in the order of their items, or NotOwner if an object cannot be read now
      */
     void read(const JobResultsRequest &request, PageOfResults page, const Respond &respond);
 
 private:
-    /** A part of a job's results that is being read. */
+    /** The state of one read. */
     struct Reading;
 
     static void finishOne(Reading &reading);
--- a/Services/Owner/ShardKeeper.cpp
+++ b/Services/Owner/ShardKeeper.cpp
@@ -17,7 +17,7 @@
 {
 
 constexpr std::chrono::milliseconds releaseRetry{50};
-/** How often a release looks whether the journal has written all that came before it: that costs nothing. */
+/** Interval at which a release checks whether all earlier records are durable. The check is cheap. */
 constexpr std::chrono::milliseconds durableInterval{2};
 constexpr std::chrono::milliseconds runnerCheckInterval{1000};
 
@@ -48,7 +48,7 @@
               clock,
               self,
               [this](SessionNumber session) {
-                  return this->hasLeft(session);
+                  return this->hasDeparted(session);
               },
               {options.shards, options.cleanInterval})
     , view(std::make_shared<MemberView>(std::vector<Member>()))
@@ -70,34 +70,34 @@
 {
     this->view = std::move(view);
     for (const Member &member : this->view->members()) {
-        this->everSeen.insert(member.session);
+        this->knownSessions.insert(member.session);
     }
     this->dropLostRunners();
 }
 
 bool ShardKeeper::mayChange() const
 {
-    return !this->busy && !this->closing && !this->unsure && !this->journal.isFenced();
+    return !this->busy && !this->isStopping && !this->isOwnershipUncertain && !this->journal.isFenced();
 }
 
-void ShardKeeper::releaseAndTake()
+void ShardKeeper::releaseAndAcquire()
 {
     if (this->mayChange()) {
         this->releaseUnwanted();
-        this->look();
+        this->checkRows();
         this->checkpointOne();
         this->cleanJournals();
-    } else if (!this->busy && this->closing) {
+    } else if (!this->busy && this->isStopping) {
         this->releaseOwned();
     }
 }
 
-void ShardKeeper::lookSoon()
+void ShardKeeper::checkSoon()
 {
     if (this->busy) {
-        this->lookAgain = true;
+        this->isRecheckNeeded = true;
     } else if (this->mayChange()) {
-        this->look();
+        this->checkRows();
     }
 }
 
@@ -106,7 +106,7 @@
     this->lastRunnerCheck = this->clock.now();
     for (const auto &[shard, state] : this->shards) {
         state->requests.dropRunners([this](SessionNumber runner) {
-            return this->hasLeft(runner);
+            return this->hasDeparted(runner);
         });
     }
 }
@@ -119,14 +119,13 @@
 
 bool ShardKeeper::wasPaused() const
 {
-    return this->unsure || this->clock.now() - this->lastTick > this->options.pauseLimit;
+    return this->isOwnershipUncertain || this->clock.now() - this->lastTick > this->options.pauseLimit;
 }
 
 ShardState *ShardKeeper::serving(ShardNumber shard)
 {
-    // A VM that was paused wakes with shards in its memory that others may own by now. What it would tell of them is
-    // old: it would let requests run again that are answered. The journal's seal keeps such runs from counting, but not
-    // from being made.
+    // After a pause of the VM, other nodes may own the shards in memory, whose state is then outdated: answered requests
+    // would run again. The seal of the journal prevents such runs from counting, but does not prevent the runs.
     return this->wasPaused() ? nullptr : this->find(shard);
 }
 
@@ -169,9 +168,9 @@
                                           if (!*alive) {
                                               return;
                                           }
-                                          // Without the platform, nothing can be found out, and nobody can take over either:
-                                          // the node goes on with what it has. What it decides still has to pass the journal.
-                                          this->unsure = false;
+                                          // Without the platform the owners cannot be read, and no node can take over either.
+                                          // So the node keeps its shards. Its decisions still have to be journalled.
+                                          this->isOwnershipUncertain = false;
                                           if (result.outcome == ReadOutcome::Found) {
                                               this->dropLost(result.rows);
                                           }
@@ -186,12 +185,14 @@
         if (found == this->shards.end() || isSameOwnership(*found->second, row)) {
             continue;
         }
-        log(LogLevel::Warning, "shard was lost while this node was paused", {{"shard", std::int64_t{found->first.value()}}});
+        log(LogLevel::Warning,
+            "shard acquired by another node while this node was paused, dropped",
+            {{"shard", std::int64_t{found->first.value()}}});
         const auto lost = this->shards.extract(found);
         lost.mapped()->requests.abandon();
         isAnyLost = true;
     }
-    // Whoever took a shard has sealed this journal first. What this node would take now, it could not write for.
+    // The new owner of a shard has sealed this journal first. This node could not journal for shards it acquired now.
     if (isAnyLost) {
         this->journal.lookForSeal();
     }
@@ -204,16 +205,16 @@
 
 void ShardKeeper::tick()
 {
-    if (!this->unsure && this->wasPaused()) {
-        this->unsure = true;
+    if (!this->isOwnershipUncertain && this->wasPaused()) {
+        this->isOwnershipUncertain = true;
         this->checkOwned();
     }
     this->lastTick = this->clock.now();
-    // A runner that no member has told of since counts as lost after a while, which no new view tells.
+    // A runner that was never in the view counts as lost after a timeout, without a change of the view.
     if (this->lastTick - this->lastRunnerCheck >= runnerCheckInterval) {
         this->dropLostRunners();
     }
-    this->releaseAndTake();
+    this->releaseAndAcquire();
     this->scheduler.schedule(this->options.interval, [this, alive = this->alive] {
         if (*alive) {
             this->tick();
@@ -223,17 +224,17 @@
 
 bool ShardKeeper::isHeld(ShardNumber shard) const
 {
-    // A shard that is being released is not taken back before its row is written. The row still names this session:
-    // taken as it stands, its open span would be skipped as this node's own, and all results in it would be missing.
+    // A shard that is being released is not acquired again before its row is written. The row still names this session, so
+    // its open span would be skipped as this node's own, and all results in it would be missing.
     return this->shards.contains(shard) || this->releasing.contains(shard);
 }
 
-void ShardKeeper::look()
+void ShardKeeper::checkRows()
 {
     bool isMissing = false;
     for (std::uint32_t number = 0; number < this->options.shards && !isMissing; ++number) {
-        const Member *const wanted = this->view->ownerOf(ShardNumber(number));
-        isMissing = wanted != nullptr && wanted->session == this->self && !this->isHeld(ShardNumber(number));
+        const Member *const assignedOwner = this->view->ownerOf(ShardNumber(number));
+        isMissing = assignedOwner != nullptr && assignedOwner->session == this->self && !this->isHeld(ShardNumber(number));
     }
     if (!isMissing) {
         return;
@@ -247,13 +248,13 @@
                                               return;
                                           }
                                           this->finishTakeover();
-                                          if (result.outcome == ReadOutcome::Found && !this->closing) {
-                                              this->consider(result.rows);
+                                          if (result.outcome == ReadOutcome::Found && !this->isStopping) {
+                                              this->acquireAssigned(result.rows);
                                           }
                                       });
 }
 
-void ShardKeeper::consider(const std::vector<Row> &rows)
+void ShardKeeper::acquireAssigned(const std::vector<Row> &rows)
 {
     std::map<ShardNumber, Row> byShard;
     for (const Row &row : rows) {
@@ -262,8 +263,8 @@
     std::vector<ReadShard> takeable;
     for (std::uint32_t number = 0; number < this->options.shards; ++number) {
         const ShardNumber shard(number);
-        const Member *const wanted = this->view->ownerOf(shard);
-        if (wanted == nullptr || wanted->session != this->self || this->isHeld(shard)) {
+        const Member *const assignedOwner = this->view->ownerOf(shard);
+        if (assignedOwner == nullptr || assignedOwner->session != this->self || this->isHeld(shard)) {
             continue;
         }
         const auto found = byShard.find(shard);
@@ -273,10 +274,12 @@
         }
         auto row = decode<ShardRow>(found->second.value);
         if (!row) {
-            log(LogLevel::Error, "shard row cannot be read", {{"shard", static_cast<std::int64_t>(number)}});
+            log(LogLevel::Error,
+                "shard row cannot be decoded, shard not acquired",
+                {{"shard", static_cast<std::int64_t>(number)}});
             continue;
         }
-        const bool isFree = row->owner.value() == 0 || row->owner == this->self || this->hasLeft(row->owner);
+        const bool isFree = row->owner.value() == 0 || row->owner == this->self || this->hasDeparted(row->owner);
         if (isFree) {
             takeable.push_back({shard, std::move(*row), found->second.version});
         }
@@ -286,22 +289,22 @@
     }
 }
 
-bool ShardKeeper::hasLeft(SessionNumber session)
+bool ShardKeeper::hasDeparted(SessionNumber session)
 {
     if (session == this->self) {
         return false;
     }
     if (this->view->find(session) != nullptr) {
-        this->strangers.erase(session);
+        this->unknownOwnersSince.erase(session);
         return false;
     }
-    if (this->everSeen.contains(session)) {
+    if (this->knownSessions.contains(session)) {
         return true;
     }
-    // A node that has just started knows few members: one it has not heard of yet may well live. Sealing its journal
-    // would be safe but would cost all that it is doing, so it gets the time to be heard of.
-    const auto [since, isNew] = this->strangers.try_emplace(session, this->clock.now());
-    return this->clock.now() - since->second >= this->options.strangerGrace;
+    // A node that has just started knows few members, so an unknown one may be alive. Sealing its journal would be safe
+    // but would abort all its work, so there is a timeout before it counts as departed.
+    const auto [since, isNew] = this->unknownOwnersSince.try_emplace(session, this->clock.now());
+    return this->clock.now() - since->second >= this->options.unknownOwnerTimeout;
 }
 
 void ShardKeeper::takeOver(std::vector<ReadShard> shards)
@@ -317,7 +320,7 @@
             return;
         }
         if (!isComplete) {
-            // A row has changed since it was read: the next look reads it again.
+            // A row has changed since it was read. The next check reads it again.
             this->finishTakeover();
             return;
         }
@@ -327,8 +330,8 @@
 
 void ShardKeeper::closeOwnSpans(ShardRow &row) const
 {
-    // A claim that counted as lost took effect after all: its span is open and names this very session, which must not be
-    // sealed. All that this session has written of the shard is durable, as the shard is neither owned nor being released.
+    // A claim that was considered lost took effect. Its span is open and names this session, which must not be sealed. All
+    // records of the shard from this session are durable, as the shard is neither owned nor being released.
     for (JournalSpan &span : row.spans) {
         if (span.session == this->self && span.last.value() == 0) {
             span.last = this->journal.lastDurableGroup();
@@ -364,7 +367,7 @@
             this->confirm(takeover, shard, claimed);
             return;
         }
-        // Another node was first, or the platform was not reached: the next look finds out.
+        // Another node was first, or the platform was not reached. The next check reads the rows again.
         this->finishOne(takeover);
     });
 }
@@ -388,7 +391,7 @@
             if (row && *row == claimed && !this->journal.isFenced()) {
                 this->adopt(*takeover->recovery, shard, claimed, result.row.version);
             } else {
-                // The claim may yet arrive, if its answer was lost: the groups from its span on are kept for that.
+                // The claim may still take effect if its response was lost, so the groups from its span on are kept.
                 const GroupNumber first = claimed.spans.back().first;
                 this->unconfirmedSpan = std::min(first, this->unconfirmedSpan.value_or(first));
             }
@@ -403,10 +406,10 @@
     state->version = version;
     recovery.replay(shard, claimed, *state);
     state->requests.dropRunners([this](SessionNumber runner) {
-        return this->hasLeft(runner);
+        return this->hasDeparted(runner);
     });
     log(LogLevel::Info,
-        "shard taken",
+        "shard acquired",
         {{"shard", static_cast<std::int64_t>(shard.shard.value())},
          {"epoch", static_cast<std::int64_t>(claimed.epoch.value())},
          {"requests", static_cast<std::int64_t>(state->requests.size())}});
@@ -423,12 +426,12 @@
 void ShardKeeper::finishTakeover()
 {
     this->busy = false;
-    if (this->closing) {
+    if (this->isStopping) {
         this->releaseOwned();
-    } else if (std::exchange(this->lookAgain, false)) {
+    } else if (std::exchange(this->isRecheckNeeded, false)) {
         this->scheduler.schedule(std::chrono::milliseconds(0), [this, alive = this->alive] {
             if (*alive) {
-                this->lookSoon();
+                this->checkSoon();
             }
         });
     }
@@ -457,15 +460,15 @@
 
 void ShardKeeper::releaseUnwanted()
 {
-    // Given up as soon as this node hears of the new owner, a shard would have nobody to answer for it until the others
-    // have heard of that one too: requests would wait for most of a second. So it is served on until the news has spread;
-    // those who ask the new owner too early are told that it is not the owner, and come here.
+    // If a shard were released as soon as this node knows the new owner, requests would fail over to it only once the other
+    // nodes know it too, and would wait for most of a second. So the shard is served until the update has spread. Callers
+    // that reach the new owner earlier get the answer that it is not the owner, and call this node.
     const SteadyTime now = this->clock.now();
     std::map<ShardNumber, SteadyTime> unwanted;
     std::vector<ShardNumber> due;
     for (const auto &[shard, state] : this->shards) {
-        const Member *const wanted = this->view->ownerOf(shard);
-        if (wanted == nullptr || wanted->session == this->self) {
+        const Member *const assignedOwner = this->view->ownerOf(shard);
+        if (assignedOwner == nullptr || assignedOwner->session == this->self) {
             continue;
         }
         const auto before = this->unwantedSince.find(shard);
@@ -483,7 +486,7 @@
 
 void ShardKeeper::releaseAll(std::function<void()> released)
 {
-    this->closing = true;
+    this->isStopping = true;
     this->onAllReleased = std::move(released);
     this->releaseOwned();
 }
@@ -502,10 +505,10 @@
 
 void ShardKeeper::handOver(ShardNumber shard)
 {
-    // While a shard is between two owners nobody answers for it. So what its next owner has to replay is made short first,
-    // while this one still serves.
+    // A shard is not served between two owners. So a checkpoint is written first, while this node still serves it, to
+    // shorten the replay of the next owner.
     const std::shared_ptr<ShardState> &state = this->shards.at(shard);
-    const bool wantsCheckpoint = !state->isHandoverPrepared && this->checkpointer.isWorthBeforeHandover(*state);
+    const bool wantsCheckpoint = !state->isHandoverPrepared && this->checkpointer.isWorthwhileBeforeHandover(*state);
     if (state->isCheckpointing || (wantsCheckpoint && this->checkpointer.isBusy())) {
         return;
     }
@@ -515,7 +518,7 @@
     }
     state->isHandoverPrepared = true;
     this->checkpointer.write(shard, state, [this] {
-        this->closing ? this->releaseOwned() : this->releaseUnwanted();
+        this->isStopping ? this->releaseOwned() : this->releaseUnwanted();
     });
 }
 
@@ -538,16 +541,16 @@
         this->releaseWritten(shard);
         return;
     }
-    // Records of this shard may still be on their way to the journal. The span must hold them, so the row is written
-    // only when all that was appended before the release is durable. A checkpoint that is on its way changes the row too.
+    // Records of this shard may still be in flight to the journal. The span must cover them, so the row is written only when
+    // all records appended before the release are durable. A checkpoint in progress changes the row too.
     if (this->journal.durable() < appended || state->isCheckpointing) {
         this->scheduler.schedule(durableInterval, again);
         return;
     }
     ShardRow row = state->row;
     row.owner = SessionNumber(0);
-    // The last durable group and not the one in flight: that one holds nothing of this shard, and if it never arrived,
-    // the span's end would be missing for ever.
+    // The span ends at the last durable group, not at the one in flight. That one contains no record of this shard, and if
+    // it never arrived, the end of the span would be missing forever.
     this->closeOwnSpans(row);
     Transaction transaction;
     transaction.conditions.push_back({JournalKeys::shard(shard), state->version});
@@ -556,8 +559,8 @@
         if (!*alive) {
             return;
         }
-        // Unknown: were it left at that, the row could go on naming this session, which lives and so is never taken
-        // over, and nobody would own the shard. Written again under the same condition, it takes effect once.
+        // The outcome is unknown. Without a retry, the row could keep naming this session, which is alive and thus never
+        // taken over, and the shard would have no owner. A retry under the same condition takes effect only once.
         if (outcome == WriteOutcome::NotApplied || outcome == WriteOutcome::Unknown) {
             this->scheduler.schedule(releaseRetry, again);
             return;
@@ -571,14 +574,15 @@
     log(LogLevel::Info, "shard released", {{"shard", static_cast<std::int64_t>(shard.value())}});
     this->releasing.erase(shard);
     this->released.push_back(shard);
-    // Told one by one, a successor would replay the same journals once for each, and the last shard would wait for all.
+    // Notified of each shard separately, a successor would replay the same journals once per shard, and the last shard
+    // would wait for all replays.
     if (this->releasing.empty()) {
-        this->tellSuccessors();
+        this->notifySuccessors();
     }
     this->releaseFinished();
 }
 
-void ShardKeeper::tellSuccessors()
+void ShardKeeper::notifySuccessors()
 {
     std::set<SessionNumber> reported;
     for (const ShardNumber shard : std::exchange(this->released, {})) {
@@ -592,10 +596,10 @@
 
 void ShardKeeper::releaseFinished()
 {
-    // A takeover in progress brings shards that are then to be released as well: a row left behind would name a session
-    // that is gone, and its shard would wait for others to find that out.
+    // The shards of a takeover in progress must be released as well. Otherwise their rows would name a departed session, and
+    // the shards would have no owner until other nodes detect that.
     const bool isLeft = this->busy || !this->shards.empty() || !this->releasing.empty();
-    if (this->closing && !isLeft && this->onAllReleased) {
+    if (this->isStopping && !isLeft && this->onAllReleased) {
         std::exchange(this->onAllReleased, nullptr)();
     }
 }
--- a/Services/Owner/ShardKeeper.h
+++ b/Services/Owner/ShardKeeper.h
@@ -21,30 +21,30 @@
 {
 
 /**
- * Takes and gives up shards, so that each is owned by the member that should own it.
+ * Acquires and releases shards, so that each is owned by the member that should own it.
  *
- * A shard changes hands only by a conditional transaction on its row. From an owner that is gone it is taken by
- * sealing that owner's journal first: what is replayed is then all that the owner ever acknowledged, and a paused owner
- * that wakes can acknowledge nothing more. An owner that is there gives its shards up itself.
+ * The owner of a shard changes only by a conditional transaction on the shard's row. A shard of a departed owner is
+ * acquired after that owner's journal has been sealed: the replay then covers all that the owner ever acknowledged, and a
+ * paused owner that resumes can acknowledge nothing more. A live owner releases its shards itself.
  */
 class ShardKeeper
 {
 public:
-    /** Sizes and times. */
+    /** Sizes, intervals and timeouts. */
     struct Options
     {
         std::uint32_t shards = 64;
         ShardState::Options state;
         Checkpointer::Options checkpoint;
-        /** How often ownership is looked at. */
+        /** Interval between checks of the ownership. */
         std::chrono::milliseconds interval{100};
-        /** How long an owner that no member has ever told of must stay unknown before it counts as gone. */
-        std::chrono::milliseconds strangerGrace{3000};
-        /** A node that did not run for so long may have lost its shards meanwhile, and reads their rows first. */
+        /** How long an owner that was never in the member view must stay unknown before it counts as departed. */
+        std::chrono::milliseconds unknownOwnerTimeout{3000};
+        /** A node that was paused for longer than this may have lost its shards, and reads their rows before it serves. */
         std::chrono::milliseconds pauseLimit{1000};
-        /** Told of the member that should own a shard whose row now says that it is free. */
+        /** Called with the member that should own a shard whose row has just been marked as free. */
         std::function<void(const Member &successor)> onReleased;
-        /** How often groups that are not needed any more are deleted. */
+        /** Interval between deletions of journal groups that are not needed any more. */
         std::chrono::milliseconds cleanInterval{30000};
     };
 
@@ -61,24 +61,24 @@
     void start();
     void setView(MemberViewPointer view);
 
-    /** Look for shards to take now: one has just been given up. */
-    void lookSoon();
+    /** Checks for shards to acquire now, because another node has just released one. */
+    void checkSoon();
 
-    /** Give up every shard and take none; told when all rows are written. */
+    /** Releases every shard and acquires no more. @param released called when all rows are written */
     void releaseAll(std::function<void()> released);
 
-    /** The journal was sealed by another session: all shards are lost, and those who wait at them are told. */
+    /** Drops all shards and fails the waiting calls, because another session has sealed the journal. */
     void fenced();
 
     /** @return a shard's state, or null if this node does not own it. */
     ShardState *find(ShardNumber shard);
 
-    /** @return a shard's state to answer from, or null if this node does not own it or was paused and has to look first. */
+    /** @return the state of a shard to serve from, or null if it is not owned or has to be confirmed after a pause. */
     ShardState *serving(ShardNumber shard);
 
     /**
-     * Find out whether a shard is still this node's.
-     * @param reported gets whether its row says so; false also if the platform does not answer
+     * Checks whether this node still owns a shard.
+     * @param reported receives true if the shard's row names this node, and false also if the platform does not answer
      */
     void confirmOwned(ShardNumber shard, std::function<void(bool isOwned)> reported);
 
@@ -90,7 +90,7 @@
 private:
     using States = std::map<ShardNumber, std::shared_ptr<ShardState>>;
 
-    /** Claims that are on their way. */
+    /** The claims that are in progress. */
     struct Takeover
     {
         std::shared_ptr<ShardRecovery> recovery;
@@ -99,9 +99,9 @@
 
     void tick();
     bool mayChange() const;
-    void releaseAndTake();
-    void look();
-    void consider(const std::vector<Row> &rows);
+    void releaseAndAcquire();
+    void checkRows();
+    void acquireAssigned(const std::vector<Row> &rows);
     void takeOver(std::vector<ReadShard> shards);
     void closeOwnSpans(ShardRow &row) const;
     void claim(const std::shared_ptr<Takeover> &takeover);
@@ -115,7 +115,7 @@
     void dropLost(const std::vector<Row> &rows);
     static bool isSameOwnership(const ShardState &state, const Row &row);
     bool isHeld(ShardNumber shard) const;
-    bool hasLeft(SessionNumber session);
+    bool hasDeparted(SessionNumber session);
     void dropLostRunners();
     void checkpointOne();
     void cleanJournals();
@@ -125,7 +125,7 @@
     void release(ShardNumber shard);
     void writeRelease(const std::shared_ptr<ShardState> &state, ShardNumber shard, std::uint64_t appended);
     void releaseWritten(ShardNumber shard);
-    void tellSuccessors();
+    void notifySuccessors();
     void releaseFinished();
 
     Platform &platform;
@@ -136,25 +136,25 @@
     Options options;
     Checkpointer checkpointer;
     JournalCleaner cleaner;
-    /** Where the span of a claim starts that may still reach the platform. */
+    /** Start of the span of a claim that may still reach the platform. */
     std::optional<GroupNumber> unconfirmedSpan;
     MemberViewPointer view;
     States shards;
-    /** Given up here, while their rows may still name this session. */
+    /** Shards that were released in memory, while their rows may still name this session. */
     std::set<ShardNumber> releasing;
     SteadyTime lastTick;
     SteadyTime lastRunnerCheck{};
-    /** This node was paused, and has not read its rows since. */
-    bool unsure = false;
-    std::set<SessionNumber> everSeen;
-    std::map<SessionNumber, SteadyTime> strangers;
-    /** Since when a shard has been another member's to own. */
+    /** Whether this node was paused and has not read the shard rows since. */
+    bool isOwnershipUncertain = false;
+    std::set<SessionNumber> knownSessions;
+    std::map<SessionNumber, SteadyTime> unknownOwnersSince;
+    /** The time since when each owned shard should belong to another member. */
     std::map<ShardNumber, SteadyTime> unwantedSince;
-    /** A shard was given up while a takeover was going on. */
-    bool lookAgain = false;
+    /** Whether another node released a shard while a takeover was in progress. */
+    bool isRecheckNeeded = false;
     bool busy = false;
-    bool closing = false;
-    /** Given up since the successors were told last. */
+    bool isStopping = false;
+    /** Shards released since the last notification of the successors. */
     std::vector<ShardNumber> released;
     std::function<void()> onAllReleased;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/Services/Owner/ShardRecovery.cpp
+++ b/Services/Owner/ShardRecovery.cpp
@@ -18,7 +18,7 @@
     return span.last.value() == 0;
 }
 
-/** Spans of one journal, joined where they overlap or touch: the gaps between them may have been deleted. */
+/** Joins spans of one journal that overlap or touch. Groups in the gaps between spans may have been deleted. */
 std::vector<JournalSpan> joined(std::vector<JournalSpan> spans)
 {
     std::ranges::sort(spans, {}, &JournalSpan::first);
@@ -157,7 +157,7 @@
             span.last = this->ends.at(span.session);
         }
     }
-    // An empty span (nothing was written since it was opened) is dropped, else rows would grow with every owner.
+    // A span without a group is dropped; otherwise rows would grow with every owner.
     std::erase_if(row.spans, [](const JournalSpan &span) {
         return span.last < span.first;
     });
--- a/Services/Owner/ShardRecovery.h
+++ b/Services/Owner/ShardRecovery.h
@@ -24,27 +24,27 @@
 };
 
 /**
- * Reads what shards are replayed from, and seals the journals that their owners may still write. Groups that several
- * shards need are read once.
+ * Reads the checkpoints and journal groups from which shards are replayed, and seals the journals to which their owners
+ * may still write. Groups that several shards need are read once.
  */
 class ShardRecovery : public std::enable_shared_from_this<ShardRecovery>
 {
 public:
-    /** @param shards what to recover; spans of this session itself are closed already */
+    /** @param shards the shards to recover; spans of this session itself are closed already */
     ShardRecovery(Platform &platform, Scheduler &scheduler, SessionNumber self, std::vector<ReadShard> shards);
 
     /**
-     * Start.
-     * @param recovered told once; false if something that a row names is gone, because the row has changed since
+     * Starts the recovery.
+     * @param recovered called once, with false if an object that a row names is missing because the row has changed since
      */
     void start(std::function<void(bool isComplete)> recovered);
 
     const std::vector<ReadShard> &shards() const;
 
-    /** @return the shard's row with every span closed, and those without a group left out. */
+    /** @return the row of the shard with every span closed and without empty spans. */
     ShardRow closedRow(const ReadShard &shard) const;
 
-    /** Bring a shard's state back: its checkpoint, and on top of it the row's spans, oldest first. */
+    /** Restores the state of a shard from its checkpoint and then from the spans of the row, oldest first. */
     void replay(const ReadShard &shard, const ShardRow &row, ShardState &state) const;
 
 private:
--- a/Services/Owner/ShardState.cpp
+++ b/Services/Owner/ShardState.cpp
@@ -20,7 +20,7 @@
         }
         return;
     }
-    log(LogLevel::Error, "journal record cannot be read", {{"kind", std::string(toString(record.kind))}});
+    log(LogLevel::Error, "journal record cannot be decoded, skipped in replay", {{"kind", std::string(toString(record.kind))}});
 }
 
 } // namespace
--- a/Services/Owner/ShardState.h
+++ b/Services/Owner/ShardState.h
@@ -9,10 +9,10 @@
 namespace Dogwoodkeel
 {
 
-/** A shard that this node owns. */
+/** The state of a shard that this node owns. */
 struct ShardState
 {
-    /** Times and sizes. */
+    /** Lease times and sizes. */
     struct Options
     {
         std::chrono::milliseconds claimLease{120000};
@@ -30,16 +30,16 @@
     RowVersion version = 0;
     RequestTable requests;
     JobTable jobs;
-    /** Results written long ago. */
+    /** Results that were moved from memory to runs. */
     ResultIndex index;
-    /** A checkpoint is being written: the row must not be changed by anything else. */
+    /** Whether a checkpoint is being written. Only the checkpoint may change the row then. */
     bool isCheckpointing = false;
-    /** A checkpoint was begun because the shard is to be handed over. */
+    /** Whether a checkpoint was started because the shard is to be handed over. */
     bool isHandoverPrepared = false;
-    /** Objects that former owners left behind were looked for. */
+    /** Whether unreferenced objects of former owners have been searched for. */
     bool isSwept = false;
 
-    /** Take over one journalled decision. Records that cannot be read are reported and left out. */
+    /** Applies one journalled decision. Records that cannot be decoded are logged and skipped. */
     void replay(const JournalRecord &record);
 };
 
--- a/Tests/ServiceOwner/OwnerFixture.h
+++ b/Tests/ServiceOwner/OwnerFixture.h
@@ -13,7 +13,7 @@
 namespace Dogwoodkeel
 {
 
-/** A view with these sessions as living members. */
+/** Returns a view with these sessions as live members. */
 inline MemberViewPointer viewOf(const std::vector<SessionNumber> &sessions)
 {
     std::vector<Member> members;
@@ -25,7 +25,7 @@
     return std::make_shared<MemberView>(members);
 }
 
-/** An owner service on a platform client of its own; several on one store act as nodes beside each other. */
+/** An owner service with its own platform client. Several of them on one store act as separate nodes. */
 struct OwnerNode
 {
     OwnerNode(const std::shared_ptr<EmbeddedStore> &store,
@@ -52,7 +52,7 @@
     OwnerService service;
 };
 
-/** Keeps what a service answered, in order. */
+/** Collects the responses of a service, in order. */
 template <typename Response>
 struct Answers
 {
@@ -86,15 +86,15 @@
         return settings;
     }
 
-    /** Show both nodes these members, and let them act on it. */
-    void show(const std::vector<SessionNumber> &members, std::chrono::milliseconds time = std::chrono::seconds(1))
+    /** Gives both nodes a view with these members, and advances the clock so that they act on it. */
+    void setMembers(const std::vector<SessionNumber> &members, std::chrono::milliseconds time = std::chrono::seconds(1))
     {
         this->a.service.setView(viewOf(members));
         this->b.service.setView(viewOf(members));
         this->clock.advance(time);
     }
 
-    /** Hand a result in at a node and tell what became of it. */
+    /** Commits a result at a node. @return the decision, or Unavailable if there is none within two seconds */
     CommitDecision commit(OwnerNode &node, const std::string &id, const std::string &body)
     {
         Answers<CommitResponse> answers;
@@ -103,7 +103,7 @@
         return answers.count() == 0 ? CommitDecision::Unavailable : answers.last().decision;
     }
 
-    /** What a node answers to a claim within two seconds. */
+    /** @return the response of a node to a claim, or Unavailable if there is none within 2.5 seconds. */
     ClaimResponse claim(OwnerNode &node, const ClaimRequest &request)
     {
         Answers<ClaimResponse> answers;
@@ -112,7 +112,7 @@
         return answers.count() == 0 ? ClaimResponse{ClaimDecision::Unavailable, {}} : answers.last();
     }
 
-    /** What a node says of a request. */
+    /** @return the state of a request at a node, or NotOwner if there is no response within a second. */
     ResultResponse result(OwnerNode &node, const std::string &id)
     {
         Answers<ResultResponse> answers;
--- a/Tests/ServiceOwner/TestCheckpoint.cpp
+++ b/Tests/ServiceOwner/TestCheckpoint.cpp
@@ -34,7 +34,7 @@
         return "offer-" + std::to_string(number);
     }
 
-    /** Commit results one after the other. @return how many were committed */
+    /** Commits results one after the other. @return the number of committed results */
     int commitMany(int from, int to)
     {
         int done = 0;
@@ -47,47 +47,47 @@
         return done;
     }
 
-    /** Let the owner die and another take over. */
-    void loseOwner()
+    /** Fails the owner and lets the successor take over. */
+    void failOwner()
     {
         this->owner.platform.setDown(true);
-        this->taker.service.setView(viewOf({ownerSession, takerSession}));
-        this->taker.service.setView(viewOf({takerSession}));
+        this->successor.service.setView(viewOf({ownerSession, successorSession}));
+        this->successor.service.setView(viewOf({successorSession}));
         this->clock.advance(3s);
     }
 
     static constexpr SessionNumber ownerSession{11};
-    static constexpr SessionNumber takerSession{12};
+    static constexpr SessionNumber successorSession{12};
 
     SettingsHandle small{smallCheckpoints()};
     OwnerNode owner{this->store, this->clock, this->small, ownerSession};
-    OwnerNode taker{this->store, this->clock, this->small, takerSession};
+    OwnerNode successor{this->store, this->clock, this->small, successorSession};
 };
 
 } // namespace
 
-TEST_CASE("results written long ago stay readable while memory stays flat, also at the next owner")
+TEST_CASE("old results stay readable with bounded memory, also at the next owner")
 {
-    // A caller reads the offer note of last week. The owner keeps only the youngest results in memory; the rest stand in
-    // runs, which are merged, and the next owner reads the checkpoint in place of the whole journal.
+    // The owner keeps only the newest results in memory. The remaining ones are in runs, which are merged, and the next owner
+    // reads the checkpoint instead of the whole journal.
     Checkpointed fixture;
     REQUIRE(fixture.commitMany(0, 600) == 600);
     CHECK(fixture.owner.service.resultsInMemory() < 200);
     CHECK(fixture.result(fixture.owner, Checkpointed::idOf(0)).answer.body == "note 0");
     CHECK((fixture.claim(fixture.owner, fixture.owner.claimOf(Checkpointed::idOf(1), 7)).decision == ClaimDecision::Done));
     CHECK((fixture.commit(fixture.owner, Checkpointed::idOf(2), "another") == CommitDecision::Superseded));
-    fixture.loseOwner();
-    REQUIRE(fixture.taker.service.shardCount() == 4);
-    CHECK(fixture.taker.service.resultsInMemory() < 200);
+    fixture.failOwner();
+    REQUIRE(fixture.successor.service.shardCount() == 4);
+    CHECK(fixture.successor.service.resultsInMemory() < 200);
     int wrong = 0;
     for (int i = 0; i < 600; i += 7) {
-        wrong += fixture.result(fixture.taker, Checkpointed::idOf(i)).answer.body == "note " + std::to_string(i) ? 0 : 1;
+        wrong += fixture.result(fixture.successor, Checkpointed::idOf(i)).answer.body == "note " + std::to_string(i) ? 0 : 1;
     }
     CHECK(wrong == 0);
-    CHECK((fixture.result(fixture.taker, "never asked").state == RequestState::Absent));
+    CHECK((fixture.result(fixture.successor, "never asked").state == RequestState::Absent));
 }
 
-TEST_CASE("a checkpoint that meets lost writes and lost answers at any step loses nothing")
+TEST_CASE("a checkpoint with lost writes or lost responses at any step loses no result")
 {
     for (std::size_t step = 0; step < 12; ++step) {
         CAPTURE(step);
@@ -99,28 +99,29 @@
             fixture.commitMany(static_cast<int>(30 + i * 10), static_cast<int>(40 + i * 10));
         }
         fixture.clock.advance(20s);
-        fixture.loseOwner();
-        REQUIRE(fixture.taker.service.shardCount() == 4);
+        fixture.failOwner();
+        REQUIRE(fixture.successor.service.shardCount() == 4);
         int wrong = 0;
         for (int i = 0; i < 130; ++i) {
-            wrong += fixture.result(fixture.taker, Checkpointed::idOf(i)).answer.body == "note " + std::to_string(i) ? 0 : 1;
+            wrong += fixture.result(fixture.successor, Checkpointed::idOf(i)).answer.body == "note " + std::to_string(i) ? 0 : 1;
         }
         CHECK(wrong == 0);
     }
 }
 
-TEST_CASE("an intent outlives the journal groups it was written in")
+TEST_CASE("an intent is kept when the journal groups with it are deleted")
 {
-    // The payout's runner is lost long after its intent was written. The groups that held the intent are no longer read by
-    // the next owner, so the checkpoint must hold it: the payout must not run again.
+    // The runner of the payout is lost long after the intent was written. The next owner no longer reads the groups with the
+    // intent, so the checkpoint must contain it. Otherwise the payout would run again.
     Checkpointed fixture;
     REQUIRE((fixture.claim(fixture.owner, fixture.owner.claimOf("payout", 1, true)).decision == ClaimDecision::Run));
     REQUIRE(fixture.commitMany(0, 200) == 200);
-    fixture.loseOwner();
-    CHECK((fixture.claim(fixture.taker, fixture.taker.claimOf("payout", 2, true)).decision == ClaimDecision::OutcomeUnknown));
+    fixture.failOwner();
+    CHECK((fixture.claim(fixture.successor, fixture.successor.claimOf("payout", 2, true)).decision
+           == ClaimDecision::OutcomeUnknown));
 }
 
-TEST_CASE("a request whose result may stand in an object that cannot be read is not run again")
+TEST_CASE("a request whose result may be in an unreadable object is not run again")
 {
     Checkpointed fixture;
     REQUIRE(fixture.commitMany(0, 300) == 300);
@@ -129,10 +130,10 @@
     CHECK((fixture.claim(fixture.owner, fixture.owner.claimOf("new", 8)).decision == ClaimDecision::Run));
 }
 
-TEST_CASE("a taker that read a row before a checkpoint finds out that it is old")
+TEST_CASE("a recovery from a row that is older than the last checkpoint reports itself incomplete")
 {
-    // The taker reads the rows and is slow. Meanwhile the owner writes a checkpoint and deletes the former one. The taker
-    // must not take the missing object for an empty state, nor wait for it for ever.
+    // After the successor has read the rows, the owner writes a checkpoint and deletes the former one. The successor must
+    // neither treat the missing object as an empty state nor wait for it forever.
     Checkpointed fixture;
     REQUIRE(fixture.commitMany(0, 200) == 200);
     std::vector<ReadShard> rows;
@@ -143,7 +144,7 @@
     }
     REQUIRE(fixture.commitMany(200, 400) == 200);
     const auto recovery
-        = std::make_shared<ShardRecovery>(fixture.taker.platform, fixture.clock, Checkpointed::takerSession, rows);
+        = std::make_shared<ShardRecovery>(fixture.successor.platform, fixture.clock, Checkpointed::successorSession, rows);
     std::vector<bool> reported;
     recovery->start([&reported](bool isComplete) {
         reported.push_back(isComplete);
@@ -152,7 +153,7 @@
     CHECK(reported == std::vector<bool>{false});
 }
 
-TEST_CASE("results are forgotten after their retention")
+TEST_CASE("results are removed after their retention")
 {
     Checkpointed fixture;
     REQUIRE(fixture.commitMany(0, 200) == 200);
@@ -162,7 +163,7 @@
     CHECK(fixture.result(fixture.owner, Checkpointed::idOf(300)).answer.body == "note 300");
 }
 
-TEST_CASE("groups that no shard needs are deleted, the seal is not")
+TEST_CASE("journal groups that no shard needs are deleted, but the seal is kept")
 {
     Checkpointed fixture;
     REQUIRE(fixture.commitMany(0, 400) == 400);
@@ -172,22 +173,22 @@
         return fixture.store->readRange(JournalKeys::group(session, GroupNumber(0)), JournalKeys::groupsEnd(session), 10'000);
     };
     CHECK(groups().size() < 150);
-    // The owner is lost: the taker writes checkpoints of its own, and only the seal is left. A paused owner that wakes
-    // would otherwise write at that place, and acknowledge what nobody replays.
-    fixture.loseOwner();
+    // After the owner is lost, the successor writes its own checkpoints, and only the seal remains. Without the seal, a
+    // paused owner that resumes would write to its key and acknowledge records that are never replayed.
+    fixture.failOwner();
     fixture.clock.advance(330s);
     REQUIRE(groups().size() == 1);
-    CHECK((decode<JournalGroup>(groups().front().value)->sealedBy == Checkpointed::takerSession));
+    CHECK((decode<JournalGroup>(groups().front().value)->sealedBy == Checkpointed::successorSession));
     int wrong = 0;
     for (int i = 0; i < 400; i += 7) {
-        wrong += fixture.result(fixture.taker, Checkpointed::idOf(i)).answer.body == "note " + std::to_string(i) ? 0 : 1;
+        wrong += fixture.result(fixture.successor, Checkpointed::idOf(i)).answer.body == "note " + std::to_string(i) ? 0 : 1;
     }
     CHECK(wrong == 0);
     fixture.owner.platform.setDown(false);
     CHECK(fixture.commitMany(400, 401) == 0);
 }
 
-TEST_CASE("a planned stop writes a checkpoint first, and the next owner has little to replay")
+TEST_CASE("a planned stop writes a checkpoint first, and the next owner has no spans to replay")
 {
     Checkpointed fixture;
     REQUIRE(fixture.commitMany(0, 35) == 35);
@@ -203,27 +204,27 @@
         CHECK_FALSE(row->checkpoint.empty());
         CHECK(row->spans.empty());
     }
-    fixture.taker.service.setView(viewOf({Checkpointed::takerSession}));
+    fixture.successor.service.setView(viewOf({Checkpointed::successorSession}));
     fixture.clock.advance(1s);
-    CHECK(fixture.result(fixture.taker, Checkpointed::idOf(0)).answer.body == "note 0");
+    CHECK(fixture.result(fixture.successor, Checkpointed::idOf(0)).answer.body == "note 0");
 }
 
-TEST_CASE("what a lost owner left half-written is swept, and nothing that is needed")
+TEST_CASE("unreferenced objects of a lost owner are deleted, and no needed ones")
 {
-    // The owner dies between the objects of a checkpoint and the row that would have named them.
+    // The owner fails after it wrote objects of a checkpoint and before it wrote the row that names them.
     Checkpointed fixture;
     REQUIRE(fixture.commitMany(0, 300) == 300);
     const std::string left = JournalKeys::block(ShardNumber(0), "1-halfwritten", 0);
     const std::string later = JournalKeys::block(ShardNumber(0), "99-another", 0);
     fixture.store->putIfAbsent(left, "left");
     fixture.store->putIfAbsent(later, "of a later owner");
-    fixture.loseOwner();
+    fixture.failOwner();
     fixture.clock.advance(5s);
     CHECK_FALSE(fixture.store->get(left));
     CHECK(fixture.store->get(later));
     int wrong = 0;
     for (int i = 0; i < 300; i += 7) {
-        wrong += fixture.result(fixture.taker, Checkpointed::idOf(i)).answer.body == "note " + std::to_string(i) ? 0 : 1;
+        wrong += fixture.result(fixture.successor, Checkpointed::idOf(i)).answer.body == "note " + std::to_string(i) ? 0 : 1;
     }
     CHECK(wrong == 0);
 }
--- a/Tests/ServiceOwner/TestHandover.cpp
+++ b/Tests/ServiceOwner/TestHandover.cpp
@@ -5,12 +5,12 @@
 using namespace Dogwoodkeel;
 using namespace std::chrono_literals;
 
-TEST_CASE("a shard is served by its former owner until every node has heard of the new one")
+TEST_CASE("a shard is served by its former owner until every node knows the new one")
 {
-    // A node joins. Its shards' owner hears of it first and gives them up; for most of a second the other nodes go on asking
-    // the former owner, and every claim on those shards waits that long.
+    // Guards against an early release: if the owner released shards as soon as it knows that a node has joined, the other
+    // nodes would still call the former owner for most of a second, and every claim on those shards would wait that long.
     OwnerFixture fixture;
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::first});
     REQUIRE(fixture.a.service.shardCount() == 4);
     const std::vector<Member> members = viewOf({OwnerFixture::first, OwnerFixture::second})->members();
     const auto view = std::make_shared<MemberView>(members, false, 1000ms);
--- a/Tests/ServiceOwner/TestOwnerService.cpp
+++ b/Tests/ServiceOwner/TestOwnerService.cpp
@@ -5,12 +5,12 @@
 using namespace Dogwoodkeel;
 using namespace std::chrono_literals;
 
-TEST_CASE("those who wait at an owner that is fenced are told so at once")
+TEST_CASE("calls that wait at an owner are answered with NotOwner as soon as it is fenced")
 {
-    // A resend waits for the first run's result, which is on its way to the journal when another node seals it. Left
-    // waiting, the resend's caller would hear "still running" from a node that decides nothing any more.
+    // A resend waits for the result of the first run, which is in flight to the journal when another node seals it. If the
+    // resend kept waiting, its caller would get "still running" from a node that can decide nothing any more.
     OwnerFixture fixture;
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::first});
     REQUIRE((fixture.claim(fixture.a, fixture.a.claimOf("offer", 1)).decision == ClaimDecision::Run));
     fixture.a.platform.setDown(true);
     Answers<ClaimResponse> joined;
@@ -33,28 +33,28 @@
     CHECK(fixture.a.service.shardCount() == 0);
 }
 
-TEST_CASE("an owner that was paused while another took over does not say that a kept result is unknown")
+TEST_CASE("an owner that was paused during a takeover does not report a committed result as absent")
 {
-    // The result is committed at the new owner. The paused one wakes, is asked before it has written anything, and its
-    // memory knows nothing of the id: "no such id" would be false.
+    // The result is committed at the new owner. The paused one resumes and gets a query before it has written anything. Its
+    // memory does not contain the id, so "no such id" would be false.
     OwnerFixture fixture;
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::first});
     fixture.b.service.setView(viewOf({OwnerFixture::first, OwnerFixture::second}));
     fixture.b.service.setView(viewOf({OwnerFixture::second}));
     fixture.clock.advance(2s);
     REQUIRE((fixture.commit(fixture.b, "offer", "note") == CommitDecision::Committed));
     CHECK((fixture.result(fixture.a, "offer").state == RequestState::NotOwner));
-    // A job that was accepted there is not called unknown either.
+    // A job that was accepted there is not reported as unknown either.
     Answers<JobStatusResponse> status;
     fixture.a.service.batches().status({JobId("lot"), WorkspaceName("retailer")}, status.keep());
     fixture.clock.advance(1s);
     CHECK((status.count() == 1 && status.last().progress.state == JobState::NotOwner));
 }
 
-TEST_CASE("a node that was paused while its shards were taken finds out when it wakes, before it answers")
+TEST_CASE("a node that was paused while its shards were taken over detects that before it answers")
 {
-    // The VM is paused for longer than the suspicion. On waking it is asked for a request that was answered meanwhile: it
-    // must not let that run again. Its journal is sealed, so it has to go on as another session, and is told so at once.
+    // The VM is paused for longer than the suspicion. After it resumes, it gets a claim for a request that was answered
+    // meanwhile and must not let it run again. Its journal is sealed, so it must be fenced at once and renew its session.
     OwnerFixture fixture;
     bool isFenced = false;
     ManualClock pausedClock;
@@ -68,7 +68,7 @@
     REQUIRE(paused.shardCount() == 4);
 
     fixture.a.service.setView(viewOf({OwnerFixture::first, SessionNumber(3)}));
-    fixture.show({OwnerFixture::first}, 2s);
+    fixture.setMembers({OwnerFixture::first}, 2s);
     REQUIRE((fixture.commit(fixture.a, "offer", "note") == CommitDecision::Committed));
 
     pausedClock.jump(3s);
@@ -79,7 +79,7 @@
     CHECK(isFenced);
     CHECK(paused.shardCount() == 0);
 
-    // As a new session, the same node takes its share again.
+    // As a new session, the same node acquires its shards again.
     OwnerNode renewed(fixture.store, fixture.clock, fixture.settings, SessionNumber(4));
     fixture.a.service.setView(viewOf({SessionNumber(4)}));
     renewed.service.setView(viewOf({SessionNumber(4)}));
@@ -88,13 +88,13 @@
     CHECK(fixture.result(renewed, "offer").answer.body == "note");
 }
 
-TEST_CASE("a resend that stopped waiting does not take the claim when the runner gives up")
+TEST_CASE("a resend that stopped waiting does not get the claim that the runner releases")
 {
-    // A resend waits for the first run, is told "still running", and its caller goes away. Then the first runner gives the
-    // claim back. Given to the resend that is not there, the request would stand still until the claim's lease ends; a
-    // non-idempotent one would even get an intent that nobody runs, and end as "it may have run".
+    // A resend waits for the first run, is answered with "still running", and its caller leaves. Then the first runner
+    // releases the claim. If the departed resend got it, the request would be blocked until the lease of the claim ends. A
+    // non-idempotent request would even get an intent that is never run, and end as "it may have run".
     OwnerFixture fixture;
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::first});
     for (const bool isNonIdempotent : {false, true}) {
         CAPTURE(isNonIdempotent);
         const std::string id = isNonIdempotent ? "payout" : "label";
@@ -108,15 +108,15 @@
     }
 }
 
-TEST_CASE("while the platform is down results are held up to the bound, and nothing new runs beyond it")
+TEST_CASE("while the platform is down, results are held up to the limit, and no new request runs beyond it")
 {
-    // Callers get their answers, marked as pending, until the node holds as many results as it may. From then on requests
-    // are refused before they run. When the platform is back, all that was held is kept.
+    // Callers get their answers, marked as pending, until the node holds the max number of results. From then on requests
+    // are refused before they run. When the platform is available again, all held results are committed.
     OwnerFixture fixture;
     const auto settings = std::make_shared<Settings>(fixture.settings.current());
     settings->owner.heldResults = 3;
     fixture.settings.replace(settings);
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::first});
     fixture.a.platform.setDown(true);
     for (const char *const id : {"one", "two", "three"}) {
         REQUIRE((fixture.claim(fixture.a, fixture.a.claimOf(id, 1)).decision == ClaimDecision::Run));
@@ -132,11 +132,11 @@
     }
 }
 
-TEST_CASE("a claim that nobody ever gave back does not stay in memory for ever")
+TEST_CASE("a claim that is never released does not stay in memory forever")
 {
-    // The entry's release was lost, and the caller never asked again.
+    // The release from the entry node was lost, and the caller never sent the request again.
     OwnerFixture fixture;
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::first});
     REQUIRE((fixture.claim(fixture.a, fixture.a.claimOf("label", 1)).decision == ClaimDecision::Run));
     CHECK(fixture.a.service.resultsInMemory() == 1);
     fixture.clock.advance(5min);
--- a/Tests/ServiceOwner/TestShardKeeper.cpp
+++ b/Tests/ServiceOwner/TestShardKeeper.cpp
@@ -5,13 +5,13 @@
 using namespace Dogwoodkeel;
 using namespace std::chrono_literals;
 
-TEST_CASE("a shard that is wanted back before its release was written keeps what was acknowledged")
+TEST_CASE("a shard that is reassigned to its owner before its release was written keeps acknowledged results")
 {
-    // The caller reads a result that it was told is kept, and gets 404. The owner is told to give its shards up while
-    // its write to the platform is lost, so the release waits. Before it is written the node is wanted again, finds the
-    // rows still naming itself, and takes the shards as if its own journal held nothing of them.
+    // Guards against a 404 for an acknowledged result. The owner has to release its shards, but its writes to the platform
+    // are lost, so the release is pending. The node is then assigned the shards again and finds rows that still name it. It
+    // must not acquire them as if its own journal had no records of them.
     OwnerFixture fixture;
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::first});
     REQUIRE((fixture.commit(fixture.a, "offer", "note") == CommitDecision::Committed));
     fixture.a.platform.loseWrites(4);
     fixture.a.service.setView(viewOf({OwnerFixture::second}));
@@ -23,22 +23,22 @@
     CHECK(fixture.result(fixture.a, "offer").answer.body == "note");
 }
 
-TEST_CASE("a release whose answer was lost is one release")
+TEST_CASE("a release whose response was lost takes effect once")
 {
     OwnerFixture fixture;
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::first});
     REQUIRE((fixture.commit(fixture.a, "offer", "note") == CommitDecision::Committed));
     fixture.a.platform.loseAnswers(4);
-    fixture.show({OwnerFixture::second}, 3s);
+    fixture.setMembers({OwnerFixture::second}, 3s);
     CHECK(fixture.a.service.shardCount() == 0);
     CHECK(fixture.b.service.shardCount() == 4);
     CHECK(fixture.result(fixture.b, "offer").answer.body == "note");
 }
 
-TEST_CASE("a planned stop during a takeover gives up what the takeover brings")
+TEST_CASE("a planned stop during a takeover also releases the shards of the takeover")
 {
-    // A node that is taking shards is told to stop. It must not be done before the shards it then gets are released:
-    // they would stand on the name of a session that is gone, and wait for its suspicion.
+    // A node is stopped while it acquires shards. The stop must not end before these shards are released. Otherwise their
+    // rows would name a departed session, and they would have no owner until it is suspected.
     OwnerFixture fixture;
     fixture.a.service.setView(viewOf({OwnerFixture::first}));
     fixture.clock.advance(100ms);
@@ -59,7 +59,7 @@
     }
 }
 
-TEST_CASE("a claim whose answer was lost is read back, and two takers of one store never both own a shard")
+TEST_CASE("a claim whose response was lost is read back, and two nodes never both own a shard")
 {
     OwnerFixture fixture;
     fixture.a.platform.loseAnswers(2);
@@ -70,20 +70,20 @@
     CHECK(fixture.a.service.shardCount() + fixture.b.service.shardCount() == 4);
 }
 
-TEST_CASE("what was acknowledged outlives two owners that were lost one after the other")
+TEST_CASE("acknowledged results survive the loss of two owners one after the other")
 {
-    // The owner dies, the taker serves for a while and dies too, before it wrote anything of that shard. The third owner
-    // has to replay the first one's journal, which only the row still names. The first owner had the shards before, gave
-    // them up and got them back, so that its span does not start at its journal's first group.
+    // The owner fails, and its successor fails too before it wrote any record of that shard. The third owner has to replay
+    // the journal of the first one, which only the row still names. The first owner released the shards once and acquired
+    // them again, so that its span does not start at the first group of its journal.
     OwnerFixture fixture;
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::first});
     REQUIRE((fixture.commit(fixture.a, "earlier", "note") == CommitDecision::Committed));
-    fixture.show({OwnerFixture::second});
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::second});
+    fixture.setMembers({OwnerFixture::first});
     REQUIRE((fixture.commit(fixture.a, "offer", "note") == CommitDecision::Committed));
     fixture.a.platform.setDown(true);
     fixture.b.service.setView(viewOf({OwnerFixture::first, OwnerFixture::second}));
-    fixture.show({OwnerFixture::second}, 2s);
+    fixture.setMembers({OwnerFixture::second}, 2s);
     REQUIRE(fixture.result(fixture.b, "offer").answer.body == "note");
     fixture.b.platform.setDown(true);
     OwnerNode third(fixture.store, fixture.clock, fixture.settings, SessionNumber(3));
@@ -94,11 +94,11 @@
     CHECK(fixture.result(third, "offer").answer.body == "note");
 }
 
-TEST_CASE("a taker that is lost between its claim and its first answer loses nothing")
+TEST_CASE("a new owner that is lost between its claim and its first response loses no result")
 {
-    // The taker's claims reach the platform, their answers do not, and it dies before it has read them back.
+    // The claims of the new owner reach the platform, but the responses are lost, and it fails before it reads them back.
     OwnerFixture fixture;
-    fixture.show({OwnerFixture::first});
+    fixture.setMembers({OwnerFixture::first});
     REQUIRE((fixture.commit(fixture.a, "offer", "note") == CommitDecision::Committed));
     fixture.a.platform.setDown(true);
     fixture.b.service.setView(viewOf({OwnerFixture::first, OwnerFixture::second}));
