--- a/Services/Owner/BatchOwner.cpp
+++ b/Services/Owner/BatchOwner.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr std::size_t itemBytesKept = 16777216;
+constexpr std::size_t itemCacheBytes = 16777216;
 /** Results kept in memory before unfinished pages are moved to objects as well. */
 constexpr std::size_t resultBytesInMemory = 16777216;
 constexpr std::size_t movesAtOnce = 4;
@@ -25,7 +25,7 @@
 constexpr std::chrono::milliseconds rateWindow{10000};
 constexpr std::chrono::milliseconds warningInterval{10000};
 /** How long a model stays advertised after its last item was leased, because each change is sent to every node. */
-constexpr std::chrono::milliseconds backlogLinger{5000};
+constexpr std::chrono::milliseconds backlogRetention{5000};
 /** Delays of repeated notifications, as a datagram may be lost. Runners also detect a cancelled job on lease renewal. */
 constexpr std::chrono::milliseconds notifyRetryDelays[] = {std::chrono::milliseconds(200), std::chrono::milliseconds(1000)};
 
@@ -76,7 +76,7 @@
     , objects(objects)
     , notifyStopped(std::move(notifyStopped))
     , view(std::make_shared<MemberView>(std::vector<Member>()))
-    , items(objects, itemBytesKept, splitLines)
+    , items(objects, itemCacheBytes, splitLines)
     , resultReader(objects)
     , schedule({})
 {
@@ -212,7 +212,7 @@
         found.items += static_cast<std::uint32_t>(this->schedule.waiting(model));
     }
     std::erase_if(this->lastBacklog, [now](const auto &entry) {
-        return now - entry.second > backlogLinger;
+        return now - entry.second > backlogRetention;
     });
     for (const auto &[model, seen] : this->lastBacklog) {
         found.models |= backlogBit(model);
--- a/Services/Owner/JournalCleaner.cpp
+++ b/Services/Owner/JournalCleaner.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t rowsPerPage = 64;
 constexpr SessionNumber firstSession{1};
 constexpr GroupNumber firstGroup{1};
-constexpr GroupNumber behindAll{std::numeric_limits<std::uint64_t>::max()};
+constexpr GroupNumber afterAllGroups{std::numeric_limits<std::uint64_t>::max()};
 
 } // namespace
 
@@ -27,8 +27,8 @@
     , self(self)
     , hasDeparted(std::move(hasDeparted))
     , options(options)
-    , last(clock.now())
-    , lastLost(clock.now())
+    , lastCleaning(clock.now())
+    , lastLostSearch(clock.now())
 {
 }
 
@@ -39,11 +39,11 @@
 
 void JournalCleaner::tick(const CleaningScope &scope)
 {
-    if (this->busy || this->clock.now() - this->last < this->options.interval) {
+    if (this->busy || this->clock.now() - this->lastCleaning < this->options.interval) {
         return;
     }
     this->busy = true;
-    this->last = this->clock.now();
+    this->lastCleaning = this->clock.now();
     this->readRows(scope);
 }
 
@@ -56,13 +56,14 @@
                                           if (!*alive) {
                                               return;
                                           }
-                                          this->needed.clear();
+                                          this->firstNeededGroups.clear();
                                           bool isWhole = result.outcome == ReadOutcome::Found;
                                           for (const Row &each : result.rows) {
                                               const auto row = decode<ShardRow>(each.value);
                                               isWhole = isWhole && row;
                                               for (const JournalSpan &span : row ? row->spans : std::vector<JournalSpan>()) {
-                                                  const auto found = this->needed.try_emplace(span.session, span.first).first;
+                                                  const auto found
+                                                      = this->firstNeededGroups.try_emplace(span.session, span.first).first;
                                                   found->second = std::min(found->second, span.first);
                                               }
                                           }
@@ -70,8 +71,8 @@
                                               this->finish();
                                               return;
                                           }
-                                          const auto own = this->needed.find(this->self);
-                                          const GroupNumber below = own != this->needed.end()
+                                          const auto own = this->firstNeededGroups.find(this->self);
+                                          const GroupNumber below = own != this->firstNeededGroups.end()
                                               ? std::min(own->second, scope.ownLimit)
                                               : scope.ownLimit;
                                           this->cleanJournal(this->self, this->cleaned, below, [this, scope, below] {
@@ -90,7 +91,7 @@
         cleaned();
         return;
     }
-    const std::string to = below == behindAll ? JournalKeys::groupsEnd(session) : JournalKeys::group(session, below);
+    const std::string to = below == afterAllGroups ? JournalKeys::groupsEnd(session) : JournalKeys::group(session, below);
     this->platform.tables().readRange(JournalKeys::group(session, from),
                                       to,
                                       rowsPerPage,
@@ -145,11 +146,11 @@
 
 void JournalCleaner::cleanOthers(const CleaningScope &scope)
 {
-    if (!scope.cleansOthers || this->clock.now() - this->lastLost < this->options.lostInterval) {
+    if (!scope.cleansOthers || this->clock.now() - this->lastLostSearch < this->options.lostSearchInterval) {
         this->finish();
         return;
     }
-    this->lastLost = this->clock.now();
+    this->lastLostSearch = this->clock.now();
     this->findLost(JournalKeys::group(firstSession, GroupNumber(0)));
 }
 
@@ -171,7 +172,7 @@
     }
     // Most rows are seals of sessions that are already cleaned; one read skips a whole page of them.
     const auto isDone = [this](const Row &row) {
-        return this->done.contains(JournalKeys::sessionOf(row.key));
+        return this->cleanedSessions.contains(JournalKeys::sessionOf(row.key));
     };
     const auto row = std::ranges::find_if_not(rows, isDone);
     if (row == rows.end()) {
@@ -190,11 +191,11 @@
         next();
         return;
     }
-    const auto found = this->needed.find(session);
-    const GroupNumber below = found != this->needed.end() ? found->second : behindAll;
+    const auto found = this->firstNeededGroups.find(session);
+    const GroupNumber below = found != this->firstNeededGroups.end() ? found->second : afterAllGroups;
     this->cleanJournal(session, firstGroup, below, [this, session, below, next] {
-        if (below == behindAll) {
-            this->done.insert(session);
+        if (below == afterAllGroups) {
+            this->cleanedSessions.insert(session);
         }
         next();
     });
--- a/Services/Owner/JournalCleaner.h
+++ b/Services/Owner/JournalCleaner.h
@@ -34,7 +34,7 @@
         std::uint32_t shards = 64;
         std::chrono::milliseconds interval{30000};
         /** Interval between searches for journals of lost sessions. */
-        std::chrono::milliseconds lostInterval{300000};
+        std::chrono::milliseconds lostSearchInterval{300000};
     };
 
     /** The journals that this node cleans. */
@@ -74,14 +74,14 @@
     std::function<bool(SessionNumber)> hasDeparted;
     Options options;
     bool busy = false;
-    SteadyTime last;
-    SteadyTime lastLost;
+    SteadyTime lastCleaning;
+    SteadyTime lastLostSearch;
     /** The first group of each journal that a row refers to. */
-    std::map<SessionNumber, GroupNumber> needed;
+    std::map<SessionNumber, GroupNumber> firstNeededGroups;
     /** Groups of the own journal before this one are deleted. */
     GroupNumber cleaned{1};
     /** Lost sessions of which only the seal is left. */
-    std::set<SessionNumber> done;
+    std::set<SessionNumber> cleanedSessions;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/Services/Owner/ObjectCache.h
+++ b/Services/Owner/ObjectCache.h
@@ -28,8 +28,8 @@
     /** Parses the bytes of an object. Returns null if they are invalid. */
     using Parse = std::function<Pointer(const std::string &)>;
 
-    ObjectCache(ObjectStore &objects, std::size_t bytesKept, Parse parse)
-        : objects(objects), bytesKept(bytesKept), parse(std::move(parse))
+    ObjectCache(ObjectStore &objects, std::size_t maxBytes, Parse parse)
+        : objects(objects), maxBytes(maxBytes), parse(std::move(parse))
     {
     }
 
@@ -43,9 +43,9 @@
 
     void read(const std::string &key, Read read)
     {
-        const auto found = this->kept.find(key);
-        if (found != this->kept.end()) {
-            this->byUse.splice(this->byUse.end(), this->byUse, found->second.use);
+        const auto found = this->cache.find(key);
+        if (found != this->cache.end()) {
+            this->usageOrder.splice(this->usageOrder.end(), this->usageOrder, found->second.use);
             read(found->second.content);
             return;
         }
@@ -62,7 +62,7 @@
     }
 
 private:
-    struct Kept
+    struct CachedObject
     {
         Pointer content;
         std::size_t bytes = 0;
@@ -76,14 +76,14 @@
             content = this->parse(result.content);
         }
         if (content != nullptr) {
-            this->kept[key] = {content, result.content.size(), this->byUse.insert(this->byUse.end(), key)};
+            this->cache[key] = {content, result.content.size(), this->usageOrder.insert(this->usageOrder.end(), key)};
             this->bytes += result.content.size();
         }
-        while (this->bytes > this->bytesKept && this->byUse.size() > 1) {
-            const auto oldest = this->kept.find(this->byUse.front());
+        while (this->bytes > this->maxBytes && this->usageOrder.size() > 1) {
+            const auto oldest = this->cache.find(this->usageOrder.front());
             this->bytes -= oldest->second.bytes;
-            this->kept.erase(oldest);
-            this->byUse.pop_front();
+            this->cache.erase(oldest);
+            this->usageOrder.pop_front();
         }
         auto waiting = this->loading.extract(key);
         for (const Read &each : waiting.mapped()) {
@@ -92,11 +92,12 @@
     }
 
     ObjectStore &objects;
-    std::size_t bytesKept;
+    std::size_t maxBytes;
     Parse parse;
     std::size_t bytes = 0;
-    std::unordered_map<std::string, Kept> kept;
-    std::list<std::string> byUse;
+    std::unordered_map<std::string, CachedObject> cache;
+    /** Keys of the cached objects, least recently used first. */
+    std::list<std::string> usageOrder;
     std::unordered_map<std::string, std::vector<Read>> loading;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/Services/Owner/OwnerService.cpp
+++ b/Services/Owner/OwnerService.cpp
@@ -173,7 +173,7 @@
         then(state, true);
         return;
     }
-    const auto looked = [this, id, then, epoch = state->row.epoch, generation = state->index.generation(), alive = this->alive](
+    const auto onRead = [this, id, then, epoch = state->row.epoch, generation = state->index.generation(), alive = this->alive](
                             ReadOutcome outcome, const std::optional<ResultRecord> &found) {
         if (!*alive) {
             return;
@@ -190,7 +190,7 @@
         }
         then(state, outcome != ReadOutcome::Failed);
     };
-    state->index.find(id, looked);
+    state->index.find(id, onRead);
 }
 
 void OwnerService::claim(const ClaimRequest &request, const Respond<ClaimResponse> &respond)
--- a/Services/Owner/ResultReader.cpp
+++ b/Services/Owner/ResultReader.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr std::size_t resultBytesKept = 8388608;
+constexpr std::size_t resultCacheBytes = 8388608;
 constexpr std::size_t resultsPerPage = 1000;
 
 std::shared_ptr<const ResultPage> parsePage(const std::string &content)
@@ -34,7 +34,7 @@
     bool hasFailed = false;
 };
 
-ResultReader::ResultReader(ObjectStore &objects) : pages(objects, resultBytesKept, parsePage)
+ResultReader::ResultReader(ObjectStore &objects) : pages(objects, resultCacheBytes, parsePage)
 {
 }
 
--- a/Services/Owner/ShardKeeper.cpp
+++ b/Services/Owner/ShardKeeper.cpp
@@ -83,7 +83,7 @@
 void ShardKeeper::releaseAndAcquire()
 {
     if (this->mayChange()) {
-        this->releaseUnwanted();
+        this->releaseReassigned();
         this->checkRows();
         this->checkpointOne();
         this->cleanJournals();
@@ -222,7 +222,7 @@
     });
 }
 
-bool ShardKeeper::isHeld(ShardNumber shard) const
+bool ShardKeeper::isOwnedOrReleasing(ShardNumber shard) const
 {
     // A shard that is being released is not acquired again before its row is written. The row still names this session, so
     // its open span would be skipped as this node's own, and all results in it would be missing.
@@ -234,7 +234,8 @@
     bool isMissing = false;
     for (std::uint32_t number = 0; number < this->options.shards && !isMissing; ++number) {
         const Member *const assignedOwner = this->view->ownerOf(ShardNumber(number));
-        isMissing = assignedOwner != nullptr && assignedOwner->session == this->self && !this->isHeld(ShardNumber(number));
+        isMissing
+            = assignedOwner != nullptr && assignedOwner->session == this->self && !this->isOwnedOrReleasing(ShardNumber(number));
     }
     if (!isMissing) {
         return;
@@ -264,7 +265,7 @@
     for (std::uint32_t number = 0; number < this->options.shards; ++number) {
         const ShardNumber shard(number);
         const Member *const assignedOwner = this->view->ownerOf(shard);
-        if (assignedOwner == nullptr || assignedOwner->session != this->self || this->isHeld(shard)) {
+        if (assignedOwner == nullptr || assignedOwner->session != this->self || this->isOwnedOrReleasing(shard)) {
             continue;
         }
         const auto found = byShard.find(shard);
@@ -458,27 +459,27 @@
     this->cleaner.tick({std::min(next, this->unconfirmedSpan.value_or(next)), cleansOthers});
 }
 
-void ShardKeeper::releaseUnwanted()
+void ShardKeeper::releaseReassigned()
 {
     // If a shard were released as soon as this node knows the new owner, requests would fail over to it only once the other
     // nodes know it too, and would wait for most of a second. So the shard is served until the update has spread. Callers
     // that reach the new owner earlier get the answer that it is not the owner, and call this node.
     const SteadyTime now = this->clock.now();
-    std::map<ShardNumber, SteadyTime> unwanted;
+    std::map<ShardNumber, SteadyTime> reassigned;
     std::vector<ShardNumber> due;
     for (const auto &[shard, state] : this->shards) {
         const Member *const assignedOwner = this->view->ownerOf(shard);
         if (assignedOwner == nullptr || assignedOwner->session == this->self) {
             continue;
         }
-        const auto before = this->unwantedSince.find(shard);
-        const SteadyTime since = before != this->unwantedSince.end() ? before->second : now;
-        unwanted[shard] = since;
+        const auto before = this->reassignedSince.find(shard);
+        const SteadyTime since = before != this->reassignedSince.end() ? before->second : now;
+        reassigned[shard] = since;
         if (now - since >= this->view->spreadTime()) {
             due.push_back(shard);
         }
     }
-    this->unwantedSince = std::move(unwanted);
+    this->reassignedSince = std::move(reassigned);
     for (const ShardNumber shard : due) {
         this->handOver(shard);
     }
@@ -518,7 +519,7 @@
     }
     state->isHandoverPrepared = true;
     this->checkpointer.write(shard, state, [this] {
-        this->isStopping ? this->releaseOwned() : this->releaseUnwanted();
+        this->isStopping ? this->releaseOwned() : this->releaseReassigned();
     });
 }
 
@@ -598,8 +599,8 @@
 {
     // The shards of a takeover in progress must be released as well. Otherwise their rows would name a departed session, and
     // the shards would have no owner until other nodes detect that.
-    const bool isLeft = this->busy || !this->shards.empty() || !this->releasing.empty();
-    if (this->isStopping && !isLeft && this->onAllReleased) {
+    const bool isReleasePending = this->busy || !this->shards.empty() || !this->releasing.empty();
+    if (this->isStopping && !isReleasePending && this->onAllReleased) {
         std::exchange(this->onAllReleased, nullptr)();
     }
 }
--- a/Services/Owner/ShardKeeper.h
+++ b/Services/Owner/ShardKeeper.h
@@ -114,12 +114,12 @@
     void checkOwned();
     void dropLost(const std::vector<Row> &rows);
     static bool isSameOwnership(const ShardState &state, const Row &row);
-    bool isHeld(ShardNumber shard) const;
+    bool isOwnedOrReleasing(ShardNumber shard) const;
     bool hasDeparted(SessionNumber session);
     void dropLostRunners();
     void checkpointOne();
     void cleanJournals();
-    void releaseUnwanted();
+    void releaseReassigned();
     void releaseOwned();
     void handOver(ShardNumber shard);
     void release(ShardNumber shard);
@@ -149,7 +149,7 @@
     std::set<SessionNumber> knownSessions;
     std::map<SessionNumber, SteadyTime> unknownOwnersSince;
     /** The time since when each owned shard should belong to another member. */
-    std::map<ShardNumber, SteadyTime> unwantedSince;
+    std::map<ShardNumber, SteadyTime> reassignedSince;
     /** Whether another node released a shard while a takeover was in progress. */
     bool isRecheckNeeded = false;
     bool busy = false;
--- a/Tests/ServiceOwner/TestCheckpoint.cpp
+++ b/Tests/ServiceOwner/TestCheckpoint.cpp
@@ -84,7 +84,7 @@
         wrong += fixture.result(fixture.successor, Checkpointed::idOf(i)).answer.body == "note " + std::to_string(i) ? 0 : 1;
     }
     CHECK(wrong == 0);
-    CHECK((fixture.result(fixture.successor, "never asked").state == RequestState::Absent));
+    CHECK((fixture.result(fixture.successor, "never sent").state == RequestState::Absent));
 }
 
 TEST_CASE("a checkpoint with lost writes or lost responses at any step loses no result")
