--- a/Services/Lane/ItemRun.cpp
+++ b/Services/Lane/ItemRun.cpp
@@ -118,22 +118,22 @@
             this->sawEnd = true;
             continue;
         }
-        const auto said = EngineEvent::parse(event);
-        if (!said) {
+        const auto parsed = EngineEvent::parse(event);
+        if (!parsed) {
             continue;
         }
-        if (!said->text.empty()) {
-            this->current.text += said->text;
+        if (!parsed->text.empty()) {
+            this->current.text += parsed->text;
             ++this->current.tokens;
         }
-        if (!said->finishReason.empty()) {
-            this->finishReason = said->finishReason;
+        if (!parsed->finishReason.empty()) {
+            this->finishReason = parsed->finishReason;
         }
     }
-    this->tellGap(this->current.tokens - before);
+    this->reportGap(this->current.tokens - before);
 }
 
-void ItemRun::tellGap(std::uint32_t tokens)
+void ItemRun::reportGap(std::uint32_t tokens)
 {
     const SteadyTime now = this->clock.now();
     const auto passed = now - std::exchange(this->progressAt, now);
--- a/Services/Lane/ItemRun.h
+++ b/Services/Lane/ItemRun.h
@@ -13,23 +13,23 @@
 namespace Dogwoodkeel
 {
 
-/** A batch item with the tokens it has so far, which are kept when it has to yield. */
+/** A batch item with the tokens generated so far, which are kept when the item has to yield. */
 struct HeldItem
 {
     BatchItem item;
     std::string text;
     std::uint32_t tokens = 0;
-    /** Runs that went silent; none of them is held against it. */
-    std::uint32_t silences = 0;
+    /** Number of runs that stalled. A stall does not count as a loss for the quarantine. */
+    std::uint32_t stalls = 0;
     ContentFingerprint fingerprint;
 };
 
 /** How a run of an item ended. */
 enum class RunEnd {
     Finished,
-    /** The endpoint said that the item itself is wrong. */
+    /** The endpoint reported that the item itself is invalid. */
     Rejected,
-    /** The endpoint was lost or broke off. */
+    /** The endpoint or the connection to it was lost. */
     Lost,
     /** The endpoint refused it before running. */
     Refused,
@@ -41,39 +41,39 @@
 public:
     using Ended = std::function<void(RunEnd, const std::string &detail)>;
 
-    /** Told of a time that has passed. */
+    /** Receives a duration. */
     using Gap = std::function<void(std::chrono::nanoseconds)>;
 
-    /** What a run tells. */
+    /** Callbacks of a run. */
     struct Hooks
     {
         std::function<void()> firstToken;
         /** The time between two tokens. */
         Gap gap;
-        /** Told once, unless stop() comes first; nothing comes after it. */
+        /** Called once, unless stop() is called before. No other callback follows. */
         Ended ended;
     };
 
-    /** @param runId names this run to the engine; no other run has the same */
+    /** @param runId identifies this run to the engine; unique among all runs */
     ItemRun(HttpClient &http, const Clock &clock, HeldItem held, std::string runId);
 
     void start(const Address &engine, ConnectionChoice connection, Hooks hooks);
 
-    /** @return whether this run got a token. */
+    /** @return whether this run received a token. */
     bool hasProceeded() const;
 
     /**
-     * Cancel it at the engine: by its id, which takes effect at once, and by closing the connection, which engines notice
-     * at a later token.
-     * @param cancelled told how long the engine took to confirm, if it does; may be empty
-     * @return the item, with the tokens it got
+     * Cancels the run at the engine by its id, which takes effect at once, and by closing the connection, which engines
+     * detect only at a later token.
+     * @param cancelled meant to receive the time until the engine confirms; may be empty. Not called at present.
+     * @return the item with the tokens received
      */
     HeldItem stop(const Gap &cancelled = {});
 
-    /** @return when it was sent. */
+    /** @return when the request was sent. */
     SteadyTime sent() const;
 
-    /** @return when the engine last gave a sign of life on it. */
+    /** @return when the engine last sent data for this run. */
     SteadyTime lastProgress() const;
 
     const HeldItem &held() const;
@@ -81,7 +81,7 @@
 private:
     std::string engineBody() const;
     void onData(std::string_view data);
-    void tellGap(std::uint32_t tokens);
+    void reportGap(std::uint32_t tokens);
     void onEnd(ExchangeEnd end);
     void finish(RunEnd end, const std::string &detail);
 
--- a/Services/Lane/ItemSource.cpp
+++ b/Services/Lane/ItemSource.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-/** Items looked at for one that may run. */
+/** Maximum number of queued items that are checked for one that may run. */
 constexpr std::size_t lookAhead = 16;
-/** Longer than a pull may take. */
-constexpr std::chrono::milliseconds rememberStopped{10000};
+/** Must be longer than a pull may take. */
+constexpr std::chrono::milliseconds stoppedJobRetention{10000};
 
 } // namespace
 
@@ -32,7 +32,7 @@
     , peers(peers)
     , owners(owners)
     , arrived(std::move(arrived))
-    , choice(clock)
+    , ownerSelector(clock)
 {
 }
 
@@ -41,7 +41,7 @@
     *this->alive = false;
 }
 
-std::optional<HeldItem> ItemSource::take(const std::string &model, const std::function<bool(const HeldItem &)> &mayRun)
+std::optional<HeldItem> ItemSource::pop(const std::string &model, const std::function<bool(const HeldItem &)> &mayRun)
 {
     std::deque<HeldItem> &queue = this->queues[model];
     const auto end = queue.begin() + static_cast<std::ptrdiff_t>(std::min(queue.size(), lookAhead));
@@ -74,33 +74,33 @@
             candidates.push_back(member.session);
         }
     }
-    const std::optional<SessionNumber> chosen = this->choice.select(model, candidates);
-    if (!chosen) {
+    const std::optional<SessionNumber> selected = this->ownerSelector.select(model, candidates);
+    if (!selected) {
         return;
     }
     this->pulling[model] = true;
     const auto limit = static_cast<std::uint32_t>(wanted - there);
     this->peers.call<PullItemsRequest>(
-        this->owners.view().find(*chosen)->owner,
+        this->owners.view().find(*selected)->owner,
         {model, limit, this->self},
         this->settings->peers.callTimeout,
-        [this, model, owner = *chosen, alive = this->alive](const CallResult<PullItemsResponse> &result) {
+        [this, model, owner = *selected, alive = this->alive](const CallResult<PullItemsResponse> &result) {
             if (*alive) {
-                this->arrive(model, owner, result);
+                this->handleItems(model, owner, result);
             }
         });
 }
 
-void ItemSource::arrive(const std::string &model, SessionNumber owner, const CallResult<PullItemsResponse> &result)
+void ItemSource::handleItems(const std::string &model, SessionNumber owner, const CallResult<PullItemsResponse> &result)
 {
     this->pulling[model] = false;
     if (!result.response || this->isClosed) {
-        // What may have been leased to this node is not renewed, and so is handed out again.
+        // Items that the owner may have leased to this node are not renewed, so the owner hands them out again.
         return;
     }
-    this->choice.recordAnswer(model, owner, result.response->waiting, result.response->latestStart);
+    this->ownerSelector.recordAnswer(model, owner, result.response->waiting, result.response->latestStart);
     std::erase_if(this->stopped, [this](const auto &entry) {
-        return this->clock.now() - entry.second > rememberStopped;
+        return this->clock.now() - entry.second > stoppedJobRetention;
     });
     for (const BatchItem &item : result.response->items) {
         if (!this->stopped.contains(item.jobId)) {
@@ -136,7 +136,7 @@
 
 void ItemSource::forgetOwner(SessionNumber owner)
 {
-    this->choice.remove(owner);
+    this->ownerSelector.remove(owner);
 }
 
 ItemsByJob ItemSource::close()
@@ -159,7 +159,7 @@
     return names;
 }
 
-ItemsByJob ItemSource::takeAll(const std::string &model)
+ItemsByJob ItemSource::popAll(const std::string &model)
 {
     ItemsByJob items;
     for (const HeldItem &held : std::exchange(this->queues[model], {})) {
--- a/Services/Lane/ItemSource.h
+++ b/Services/Lane/ItemSource.h
@@ -17,11 +17,11 @@
 namespace Dogwoodkeel
 {
 
-/** The items that wait on this node for a place: pulled from owners a little ahead, or stopped to make room. */
+/** Queues the items that wait on this node for a slot: those prefetched from owners, and those stopped to free capacity. */
 class ItemSource
 {
 public:
-    /** @param arrived told when items of a model came */
+    /** @param arrived called when items of a model were received */
     ItemSource(EventLoop &loop,
                const Clock &clock,
                const SettingsHandle &settings,
@@ -34,31 +34,31 @@
     ItemSource &operator=(const ItemSource &) = delete;
 
     /**
-     * Take the first item that may run, of the first few.
-     * @param mayRun looks at each
+     * Removes and returns the first item that may run. Only the first few in the queue are checked.
+     * @param mayRun whether an item may run
      */
-    std::optional<HeldItem> take(const std::string &model, const std::function<bool(const HeldItem &)> &mayRun);
+    std::optional<HeldItem> pop(const std::string &model, const std::function<bool(const HeldItem &)> &mayRun);
 
-    /** An item waits again, before the others: it has tokens already, or was first in line. */
+    /** Puts an item at the front of the queue, because it already has tokens or was next in the queue. */
     void putBack(const std::string &model, HeldItem item);
 
-    /** Pull more of a model. @param wanted items that are to wait here */
+    /** Pulls more items of a model. @param wanted number of items that are to wait here */
     void refill(const std::string &model, std::size_t wanted);
 
     void dropJob(const JobId &job);
     void dropItems(const JobId &job, const std::set<std::uint32_t> &items);
 
-    /** An owner is gone. */
+    /** Removes an owner that has left. */
     void forgetOwner(SessionNumber owner);
 
-    /** Pull nothing more. @return what waited */
+    /** Stops pulling. @return the items that waited here */
     ItemsByJob close();
 
     /** @return models with items that wait here. */
     std::vector<std::string> models() const;
 
-    /** @return the items of a model that waited here; they are to be given back */
-    ItemsByJob takeAll(const std::string &model);
+    /** Removes the items of a model. @return the removed items, which the caller returns to their owners */
+    ItemsByJob popAll(const std::string &model);
 
     /** @return items of a model that wait here. */
     std::size_t waiting(const std::string &model) const;
@@ -66,20 +66,20 @@
     void addHeld(ItemsByJob &held) const;
 
 private:
-    void arrive(const std::string &model, SessionNumber owner, const CallResult<PullItemsResponse> &result);
+    void handleItems(const std::string &model, SessionNumber owner, const CallResult<PullItemsResponse> &result);
 
     EventLoop &loop;
     const Clock &clock;
     const SettingsHandle &settings;
-    /** Of the lanes; it changes when this node has to begin again as another session. */
+    /** Refers to the session number in LaneService, which changes when this node continues as another session. */
     const SessionNumber &self;
     PeerClient &peers;
     const JobOwners &owners;
     std::function<void(const std::string &model)> arrived;
-    OwnerSelector choice;
+    OwnerSelector ownerSelector;
     std::map<std::string, std::deque<HeldItem>> queues;
     std::map<std::string, bool> pulling;
-    /** Jobs that were stopped lately: items of them may still be on their way. */
+    /** Recently stopped jobs, with the time. A pull that is still in flight may bring items of them. */
     std::map<JobId, SteadyTime> stopped;
     bool isClosed = false;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/Services/Lane/JobOwners.h
+++ b/Services/Lane/JobOwners.h
@@ -10,7 +10,7 @@
 namespace Dogwoodkeel
 {
 
-/** Which node owns a job, as far as this node knows. */
+/** Looks up the owner of a job in this node's current view of the members. */
 class JobOwners
 {
 public:
@@ -29,7 +29,7 @@
         return *this->current;
     }
 
-    /** @return the owner, or null if there is none now. */
+    /** @return the owner, or null if the job has none at present. */
     const Member *of(const JobId &job) const
     {
         const auto shards = static_cast<std::uint64_t>(this->settings->owner.shards);
--- a/Services/Lane/LaneService.cpp
+++ b/Services/Lane/LaneService.cpp
@@ -14,16 +14,16 @@
 {
 
 constexpr std::chrono::milliseconds reportTimeout{1000};
-/** How often an engine is asked for its load while its lane is not settled, or while this node only sees items through. */
-constexpr std::chrono::milliseconds reportOften{150};
-constexpr std::chrono::milliseconds reportSeldom{1000};
-/** A tick that comes so much late means that the process or its VM stood still. */
-constexpr std::chrono::milliseconds pauseNoticed{1000};
-/** How long an engine is left alone that is away or takes nothing. */
-constexpr std::chrono::milliseconds restAfterRefusal{500};
-constexpr std::chrono::milliseconds restAfterLoss{500};
-/** Runs of one item that may go silent before it ends failed. */
-constexpr std::uint32_t mostSilences = 10;
+/** Interval of load queries while a lane is not settled, or while this node only finishes running items. */
+constexpr std::chrono::milliseconds shortReportInterval{150};
+constexpr std::chrono::milliseconds longReportInterval{1000};
+/** A tick delayed by more than this means that the process or its VM was paused. */
+constexpr std::chrono::milliseconds pauseThreshold{1000};
+/** How long no item is started on an engine that is unreachable or refuses items. */
+constexpr std::chrono::milliseconds backoffAfterRefusal{500};
+constexpr std::chrono::milliseconds backoffAfterLoss{500};
+/** Number of stalled runs after which an item fails. */
+constexpr std::uint32_t maxStalls = 10;
 constexpr std::chrono::milliseconds logInterval{2000};
 constexpr int statusOk = 200;
 
@@ -109,7 +109,7 @@
         this->items.forgetOwner(member.session);
     }
     this->owners.setView(std::move(view));
-    this->takeLanes();
+    this->updateLanes();
     this->leases.ownersChanged();
 }
 
@@ -159,7 +159,7 @@
     if (found != this->lanes.end()) {
         found->second.lane.observeOnline(notice.from, notice.sequence, notice.inFlight);
         this->yield(found->first, found->second);
-        // Also on the other replicas: what had to stop here may go on there.
+        // Fills the other replicas too: items stopped on this one may continue there.
         this->fillAll(found->second.serves);
     }
 }
@@ -185,8 +185,8 @@
 {
     this->draining = true;
     this->drained = std::move(drained);
-    this->leases.giveBack(this->items.close());
-    this->takeLanes();
+    this->leases.returnItems(this->items.close());
+    this->updateLanes();
 }
 
 bool LaneService::isIdle() const
@@ -199,15 +199,15 @@
 
 void LaneService::tick()
 {
-    this->noticePause();
-    this->takeLanes();
+    this->detectPause();
+    this->updateLanes();
     for (auto &[name, held] : this->lanes) {
         held.lane.expireNotices();
-        this->stopSilentRuns(name, held);
-        this->askEngine(name, held);
+        this->stopStalledRuns(name, held);
+        this->queryEngine(name, held);
         this->fill(name, held);
     }
-    this->giveBackUnrunnable();
+    this->returnUnrunnable();
     this->leases.tick();
     this->logLanes();
     if (this->draining && this->drained && this->isIdle()) {
@@ -220,16 +220,16 @@
     });
 }
 
-void LaneService::giveBackUnrunnable()
+void LaneService::returnUnrunnable()
 {
-    // The lanes of a model may all have gone to other nodes while items wait here, pulled or stopped. Kept and renewed, they
-    // would never run, and their jobs never end.
+    // All lanes of a model may have moved to other nodes while pulled or stopped items wait here. If their leases were
+    // renewed further, the items would never run and their jobs never end.
     for (const std::string &model : this->items.models()) {
         const bool hasLane = std::ranges::any_of(this->lanes, [&model](const auto &entry) {
-            return entry.second.isOurs && entry.second.serves == model;
+            return entry.second.isLocal && entry.second.serves == model;
         });
         if (!hasLane) {
-            this->leases.giveBack(this->items.takeAll(model));
+            this->leases.returnItems(this->items.popAll(model));
         }
     }
 }
@@ -251,69 +251,69 @@
              {"limit", static_cast<std::int64_t>(held.lane.streamLimit())},
              {"reaction_ms", std::chrono::duration<double, std::milli>(held.lane.reactionTime()).count()},
              {"waiting", static_cast<std::int64_t>(this->items.waiting(held.serves))},
-             {"is_ours", held.isOurs},
+             {"is_ours", held.isLocal},
              {"is_settled", held.lane.isSettled()}});
     }
 }
 
-void LaneService::noticePause()
+void LaneService::detectPause()
 {
-    // While this process stood still, others may have held it dead and another node may run items in its lanes. Its view
-    // of the members is as old as the pause, so only the engines can tell.
+    // While this process was paused, other nodes may have considered it dead, and another node may run items in its lanes.
+    // Its view of the members is as old as the pause, so only the engines know what runs.
     const SteadyTime now = this->clock.now();
-    if (now - std::exchange(this->lastTick, now) < this->settings->batch.pullInterval + pauseNoticed) {
+    if (now - std::exchange(this->lastTick, now) < this->settings->batch.pullInterval + pauseThreshold) {
         return;
     }
-    log(LogLevel::Warning, "lanes stood still, asking the engines what runs");
+    log(LogLevel::Warning, "process was paused, querying the engines for running items");
     for (auto &[name, held] : this->lanes) {
         held.lane.unsettle();
         held.unsettledSince = now;
     }
 }
 
-void LaneService::takeLanes()
+void LaneService::updateLanes()
 {
     for (const EndpointSettings &endpoint : this->settings->endpoints) {
         const EndpointName name(endpoint.name);
         const Member *const holder = this->owners.view().laneHolderOf(name);
-        const bool isOurs = holder != nullptr && holder->session == this->self && !endpoint.model.empty() && !this->draining;
+        const bool isLocal = holder != nullptr && holder->session == this->self && !endpoint.model.empty() && !this->draining;
         const auto held = this->lanes.find(name);
-        if (isOurs && held == this->lanes.end()) {
+        if (isLocal && held == this->lanes.end()) {
             const Lane::Options options = this->laneOptions(static_cast<std::uint32_t>(endpoint.capacity));
-            HeldLane &taken = this->lanes.emplace(name, HeldLane(endpoint.model, this->clock, options)).first->second;
-            taken.unsettledSince = this->clock.now();
-        } else if (held != this->lanes.end() && held->second.isOurs != isOurs) {
-            held->second.isOurs = isOurs;
+            HeldLane &added = this->lanes.emplace(name, HeldLane(endpoint.model, this->clock, options)).first->second;
+            added.unsettledSince = this->clock.now();
+        } else if (held != this->lanes.end() && held->second.isLocal != isLocal) {
+            held->second.isLocal = isLocal;
             held->second.lane.unsettle();
             held->second.unsettledSince = this->clock.now();
         }
-        if (!isOurs && held != this->lanes.end() && held->second.runs.empty()) {
+        if (!isLocal && held != this->lanes.end() && held->second.runs.empty()) {
             this->lanes.erase(held);
         }
     }
 }
 
-void LaneService::stopSilentRuns(const EndpointName &name, HeldLane &held)
+void LaneService::stopStalledRuns(const EndpointName &name, HeldLane &held)
 {
     const SteadyTime oldest = this->clock.now() - this->settings->entry.progressTimeout;
-    std::vector<HeldItem> silent;
+    std::vector<HeldItem> stalled;
     std::erase_if(held.runs, [&](const std::shared_ptr<ItemRun> &run) {
         if (run->lastProgress() >= oldest) {
             return false;
         }
-        silent.push_back(run->stop());
+        stalled.push_back(run->stop());
         held.lane.itemStopped(run->hasProceeded());
         return true;
     });
-    if (silent.empty()) {
+    if (stalled.empty()) {
         return;
     }
-    // The connection may have gone silent while the engine is well: what is left idle of its kind is not used again.
+    // The connection may have stalled while the engine works: idle connections to the same address are not used again.
     if (const Replica *const replica = this->replicas.find(name)) {
         this->http.retireIdle(replica->address);
     }
-    for (HeldItem &item : silent) {
-        if (++item.silences >= mostSilences) {
+    for (HeldItem &item : stalled) {
+        if (++item.stalls >= maxStalls) {
             this->addResult(item, ItemStatus::Failed, "no endpoint made progress on it");
         } else {
             this->items.putBack(held.serves, std::move(item));
@@ -321,19 +321,19 @@
     }
 }
 
-void LaneService::askEngine(const EndpointName &name, HeldLane &held)
+void LaneService::queryEngine(const EndpointName &name, HeldLane &held)
 {
     const SteadyTime now = this->clock.now();
-    const auto interval = held.isOurs && held.lane.isSettled() ? reportSeldom : reportOften;
+    const auto interval = held.isLocal && held.lane.isSettled() ? longReportInterval : shortReportInterval;
     const Replica *const replica = this->replicas.find(name);
-    if (replica == nullptr || held.isAsking || now - held.lastAsked < interval) {
+    if (replica == nullptr || held.isQuerying || now - held.lastQuery < interval) {
         return;
     }
     if (!held.lane.isSettled() && now - held.unsettledSince > this->settings->batch.itemLease) {
         held.lane.settle();
     }
-    held.isAsking = true;
-    held.lastAsked = now;
+    held.isQuerying = true;
+    held.lastQuery = now;
     this->http.fetch(replica->address,
                      {.method = "GET", .path = "/load"},
                      reportTimeout,
@@ -345,7 +345,7 @@
                          if (found == this->lanes.end()) {
                              return;
                          }
-                         found->second.isAsking = false;
+                         found->second.isQuerying = false;
                          if (end == ExchangeEnd::Complete && response.status == statusOk) {
                              found->second.lane.observeAnswer(this->clock.now() - now);
                              this->onReport(name, response);
@@ -361,25 +361,25 @@
     }
     HeldLane &held = this->lanes.at(name);
     const EngineLoad report{json.value("running", 0U), json.value("queued", 0U)};
-    // What has to last, over a list that lags and until another start of the endpoint, the entry task says (setLeaving).
+    // The entry task sets the lasting mark (setLeaving), which holds until the endpoint restarts, even if lists lag behind.
     held.isLeaving = json.value("leaving", false);
-    if (held.isOurs) {
+    if (held.isLocal) {
         held.lane.observeReport(report);
         this->fill(name, held);
         return;
     }
-    // Entries tell the new holder of their requests, not this node. What queues at the engine is all there is to go by.
-    this->yieldTo(name, held, report.queued);
+    // Entries report their requests to the new holder, not to this node, which knows only the queue of the engine.
+    this->stopItems(name, held, report.queued);
 }
 
 void LaneService::yield(const EndpointName &name, HeldLane &held)
 {
-    this->yieldTo(name, held, held.lane.excess());
+    this->stopItems(name, held, held.lane.excess());
 }
 
-void LaneService::yieldTo(const EndpointName &name, HeldLane &held, std::uint32_t places)
+void LaneService::stopItems(const EndpointName &name, HeldLane &held, std::uint32_t slots)
 {
-    if (places == 0 || held.runs.empty()) {
+    if (slots == 0 || held.runs.empty()) {
         return;
     }
     const auto cancelled = [this, name, alive = this->alive](std::chrono::nanoseconds passed) {
@@ -392,20 +392,20 @@
     std::ranges::sort(held.runs, std::ranges::greater(), [](const auto &run) {
         return run->held().tokens;
     });
-    while (places > 0 && !held.runs.empty()) {
+    while (slots > 0 && !held.runs.empty()) {
         const std::shared_ptr<ItemRun> run = held.runs.back();
         held.runs.pop_back();
         HeldItem item = run->stop(cancelled);
         held.lane.itemStopped(run->hasProceeded());
-        --places;
+        --slots;
         this->items.putBack(held.serves, std::move(item));
     }
 }
 
 bool LaneService::mayRun(const HeldLane &held, const HeldItem &item) const
 {
-    // Items that ran on an endpoint that was lost run one at a time on a replica: should one of them crash it again, the
-    // others are not taken for it.
+    // Items that ran on a lost endpoint run one at a time on a replica. If one of them crashes the replica again, the crash
+    // is not attributed to the others.
     if (this->quarantine.status(item.fingerprint) == QuarantineStatus::Clear) {
         return true;
     }
@@ -417,8 +417,8 @@
 void LaneService::fill(const EndpointName &name, HeldLane &held)
 {
     const Replica *const replica = this->replicas.find(name);
-    const bool isResting = held.restUntil > this->clock.now();
-    if (replica == nullptr || !held.isOurs || held.isLeaving || replica->isLeaving || isResting || this->draining) {
+    const bool isBackingOff = held.backoffUntil > this->clock.now();
+    if (replica == nullptr || !held.isLocal || held.isLeaving || replica->isLeaving || isBackingOff || this->draining) {
         return;
     }
     std::uint32_t free = held.lane.freeSlots();
@@ -426,7 +426,7 @@
         return this->mayRun(held, item);
     };
     while (free > 0) {
-        auto item = this->items.take(held.serves, allowed);
+        auto item = this->items.pop(held.serves, allowed);
         if (!item) {
             break;
         }
@@ -442,11 +442,11 @@
 
 std::size_t LaneService::wantedItems(const std::string &model) const
 {
-    // A few ahead of the places, so that the next place does not wait for a round trip. No more: what waits here is kept
-    // from nodes whose lanes may stand empty, and the last items of a job would all run on one node.
+    // Prefetches a few more items than there are free slots, so that a slot does not wait for a round trip. Prefetching more
+    // would withhold items from nodes with empty lanes, and the last items of a job would all run on one node.
     std::size_t wanted = 0;
     for (const auto &[name, held] : this->lanes) {
-        if (held.serves == model && held.isOurs) {
+        if (held.serves == model && held.isLocal) {
             wanted += held.lane.freeSlots() + (held.lane.running() + 1) / 2;
         }
     }
@@ -465,10 +465,10 @@
 void LaneService::startItem(const Replica &replica, HeldLane &held, HeldItem item)
 {
     const std::string runId = "batch-" + std::to_string(this->self.value()) + '-' + std::to_string(++this->lastRun);
-    // An idle connection of an engine that crashed and is back breaks as soon as it is used. Taken for a second crash, that
-    // would end an item that only ran beside the one that crashes: over a fresh connection, a break is the engine's.
+    // An idle connection to an engine that crashed and restarted fails on its next use. Counted as a second crash, that would
+    // fail an item that only ran beside the crashing one. On a fresh connection, a disconnect is the engine's fault.
     const bool isSuspect = this->quarantine.status(item.fingerprint) != QuarantineStatus::Clear;
-    const auto connection = item.silences > 0 || isSuspect ? ConnectionChoice::Fresh : ConnectionChoice::Pooled;
+    const auto connection = item.stalls > 0 || isSuspect ? ConnectionChoice::Fresh : ConnectionChoice::Pooled;
     const auto run = std::make_shared<ItemRun>(this->http, this->clock, std::move(item), runId);
     held.runs.push_back(run);
     held.lane.itemStarted();
@@ -511,7 +511,7 @@
         break;
     case RunEnd::Refused:
         this->items.putBack(held.serves, item);
-        held.restUntil = this->clock.now() + restAfterRefusal;
+        held.backoffUntil = this->clock.now() + backoffAfterRefusal;
         return;
     case RunEnd::Lost:
         this->onLost(name, held, *run);
@@ -525,9 +525,9 @@
     const Replica *const replica = this->replicas.find(name);
     const FailureDomain domain = replica != nullptr ? replica->failureDomain : FailureDomain();
     const HeldItem &item = run.held();
-    // An engine that is going down may still accept a connection and break it. An item that is started there at once would
-    // be lost a second time to the same crash, and be taken for its cause.
-    held.restUntil = this->clock.now() + restAfterLoss;
+    // An engine that is shutting down may still accept a connection and close it. An item started there at once would be
+    // lost a second time to the same crash, and the crash would be attributed to it.
+    held.backoffUntil = this->clock.now() + backoffAfterLoss;
     log(LogLevel::Info,
         "item lost with its endpoint",
         {{"job", item.item.jobId.value()},
--- a/Services/Lane/LaneService.h
+++ b/Services/Lane/LaneService.h
@@ -24,9 +24,9 @@
 {
 
 /**
- * Runs batch items on the replicas whose lanes this node holds: starts as many as online requests leave room for, and
- * stops them as soon as online requests need the room. Stopped items keep their tokens and go on here, on any replica of
- * their model.
+ * Runs batch items on the replicas whose lanes this node holds. Starts as many items as online requests leave capacity
+ * for, and stops items as soon as online requests need the capacity. Stopped items keep their tokens and continue on any
+ * replica of their model whose lane this node holds.
  */
 class LaneService
 {
@@ -44,25 +44,28 @@
     void start();
     void setView(MemberViewPointer view);
 
-    /** This node goes on as another session. */
+    /** Sets the session number under which this node continues. */
     void setSession(SessionNumber self);
 
-    /** A replica is about to go, and gets no new items; or another start of it is back. */
+    /** Marks a replica as leaving, so that it gets no new items, or clears the mark after a restart of the replica. */
     void setLeaving(const EndpointName &endpoint, bool isLeaving);
 
-    /** The settings behind the handle were replaced. */
+    /** Applies the settings after those behind the handle were replaced. */
     void settingsChanged();
 
-    /** An entry told of its online requests on a replica. */
+    /** Applies an entry's report of its online requests on a replica. */
     void observe(const ReplicaLoad &notice);
 
-    /** @return how many items run on each replica whose lane is held here. */
+    /** @return the number of running items on each replica whose lane this node holds or still finishes. */
     std::map<EndpointName, std::uint32_t> itemsRunning() const;
 
-    /** An owner told that a job was cancelled. */
+    /** Stops the items of a job that its owner reports as stopped. */
     void observe(const JobStopped &stopped);
 
-    /** Start nothing more, and tell when nothing runs. Items that run are finished, those that wait are given back. */
+    /**
+     * Starts no further items. Running items are finished, waiting ones are returned to their owners.
+     * @param drained called once no item runs and every result is journalled
+     */
     void drain(std::function<void()> drained);
 
 private:
@@ -73,31 +76,31 @@
         {
         }
 
-        /** The model; kept here because a new configuration may take the endpoint out while items run there. */
+        /** The model. Kept here because a new configuration may remove the endpoint while items run there. */
         std::string serves;
         Lane lane;
         std::vector<std::shared_ptr<ItemRun>> runs;
-        /** Whether this node starts items there; else it only sees the running ones through. */
-        bool isOurs = true;
-        /** The engine's own word; once seen, it stays so. */
+        /** Whether this node holds the lane and may start items. If not, it only finishes the running ones. */
+        bool isLocal = true;
+        /** Whether the engine's last load report says that it is leaving. */
         bool isLeaving = false;
-        bool isAsking = false;
-        SteadyTime lastAsked{};
+        bool isQuerying = false;
+        SteadyTime lastQuery{};
         SteadyTime unsettledSince{};
-        /** Nothing is started before: the engine refused. */
-        SteadyTime restUntil{};
+        /** No item is started before this time, because the engine refused or lost one. */
+        SteadyTime backoffUntil{};
     };
 
     void tick();
-    void giveBackUnrunnable();
+    void returnUnrunnable();
     void logLanes();
-    void noticePause();
-    void takeLanes();
-    void stopSilentRuns(const EndpointName &name, HeldLane &held);
-    void askEngine(const EndpointName &name, HeldLane &held);
+    void detectPause();
+    void updateLanes();
+    void stopStalledRuns(const EndpointName &name, HeldLane &held);
+    void queryEngine(const EndpointName &name, HeldLane &held);
     void onReport(const EndpointName &name, const HttpResponse &response);
     void yield(const EndpointName &name, HeldLane &held);
-    void yieldTo(const EndpointName &name, HeldLane &held, std::uint32_t places);
+    void stopItems(const EndpointName &name, HeldLane &held, std::uint32_t slots);
     void fill(const EndpointName &name, HeldLane &held);
     void fillAll(const std::string &model);
     std::size_t wantedItems(const std::string &model) const;
--- a/Services/Lane/LaneTask.h
+++ b/Services/Lane/LaneTask.h
@@ -9,11 +9,11 @@
 namespace Dogwoodkeel
 {
 
-/** What the task that runs batch items has: the socket for load notices, its clients and the lane service. */
+/** Owns the parts of the task that runs batch items: the socket for load notices, the clients and the lane service. */
 class LaneTask
 {
 public:
-    /** @throws std::runtime_error if it cannot take datagrams */
+    /** @throws std::runtime_error if the datagram socket cannot be opened */
     LaneTask(EventLoop &loop,
              const Clock &clock,
              const SettingsPointer &settings,
@@ -30,7 +30,7 @@
     {
     }
 
-    /** @return where load notices go. */
+    /** @return the address that receives load notices. */
     const Address &address() const
     {
         return this->datagrams.address();
@@ -41,7 +41,7 @@
         return this->service;
     }
 
-    /** Put a new configuration into force; items that run go on. */
+    /** Puts a new configuration into force. Running items continue. */
     void putInForce(const SettingsPointer &settings)
     {
         this->settings.replace(settings);
@@ -53,10 +53,10 @@
     {
         switch (datagram.number) {
         case ReplicaLoad::number:
-            this->take<ReplicaLoad>(datagram);
+            this->handle<ReplicaLoad>(datagram);
             return;
         case JobStopped::number:
-            this->take<JobStopped>(datagram);
+            this->handle<JobStopped>(datagram);
             return;
         default:
             return;
@@ -64,7 +64,7 @@
     }
 
     template <typename Message>
-    void take(const Datagram &datagram)
+    void handle(const Datagram &datagram)
     {
         if (const auto message = decode<Message>(datagram.payload)) {
             this->service.observe(*message);
--- a/Services/Lane/LeaseRenewer.cpp
+++ b/Services/Lane/LeaseRenewer.cpp
@@ -105,12 +105,12 @@
                                                     this->unreported.insert(jobs.begin(), jobs.end());
                                                     return;
                                                 }
-                                                this->answered(result);
+                                                this->handleResponse(result);
                                             });
     }
 }
 
-void LeaseRenewer::answered(const CallResult<RenewItemsResponse> &result)
+void LeaseRenewer::handleResponse(const CallResult<RenewItemsResponse> &result)
 {
     for (const JobId &job : result.response->stopped) {
         this->hooks.stopJob(job);
@@ -127,7 +127,7 @@
     this->unreported.insert(result.response->notOwned.begin(), result.response->notOwned.end());
 }
 
-void LeaseRenewer::giveBack(const ItemsByJob &items)
+void LeaseRenewer::returnItems(const ItemsByJob &items)
 {
     for (const auto &[owner, held] : this->byOwner(items)) {
         this->peers.call<ReturnItemsRequest>(
--- a/Services/Lane/LeaseRenewer.h
+++ b/Services/Lane/LeaseRenewer.h
@@ -18,13 +18,13 @@
 using ItemsByJob = std::map<JobId, std::set<std::uint32_t>>;
 
 /**
- * Keeps the leases on all items a node holds, and learns which of them it is not to run any more. An owner that has just
- * taken a shard over is told at once, so that it does not hand the items out again.
+ * Renews the leases on all items that this node holds, and drops those that their owner no longer leases to it. An owner
+ * that has just acquired a shard gets a renewal with the next tick, so that it does not hand the items out again.
  */
 class LeaseRenewer
 {
 public:
-    /** What the lanes are asked and told. */
+    /** Callbacks into the lanes. */
     struct Hooks
     {
         std::function<ItemsByJob()> held;
@@ -43,32 +43,32 @@
     LeaseRenewer(const LeaseRenewer &) = delete;
     LeaseRenewer &operator=(const LeaseRenewer &) = delete;
 
-    /** Renew if it is time to. */
+    /** Renews the leases if they are due or an owner has to be notified. */
     void tick();
 
-    /** Jobs may have other owners now. */
+    /** Marks the jobs whose owner changed for an early renewal. */
     void ownersChanged();
 
-    /** Tell the owners that items will not be run here. If it is lost, the leases run out. */
-    void giveBack(const ItemsByJob &items);
+    /** Returns items that will not run here to their owners. If the message is lost, the leases expire. */
+    void returnItems(const ItemsByJob &items);
 
 private:
     void renew(const ItemsByJob &items);
-    void answered(const CallResult<RenewItemsResponse> &result);
+    void handleResponse(const CallResult<RenewItemsResponse> &result);
     std::map<Address, std::vector<HeldItems>> byOwner(const ItemsByJob &items) const;
 
     EventLoop &loop;
     const Clock &clock;
     const SettingsHandle &settings;
-    /** Of the lanes; it changes when this node has to begin again as another session. */
+    /** Refers to the session number in LaneService, which changes when this node continues as another session. */
     const SessionNumber &self;
     PeerClient &peers;
     const JobOwners &owners;
     Hooks hooks;
     SteadyTime lastRenewal{};
-    /** Jobs whose owner has to be told of their items soon: it is new, or did not own the shard yet. */
+    /** Jobs to be renewed at the next tick: the owner is new, did not own the shard yet, or did not answer. */
     std::set<JobId> unreported;
-    /** Who was told last of each job. */
+    /** The owner to which each job's items were last reported. */
     std::map<JobId, SessionNumber> reportedOwner;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/Services/Lane/ResultReporter.cpp
+++ b/Services/Lane/ResultReporter.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds interval{20};
+constexpr std::chrono::milliseconds flushInterval{20};
 constexpr std::chrono::milliseconds retryDelay{200};
 
 } // namespace
@@ -27,31 +27,31 @@
 
 void ResultReporter::add(ItemRecord result)
 {
-    if (this->ready.empty()) {
-        this->loop.schedule(interval, [this, alive = this->alive] {
+    if (this->pending.empty()) {
+        this->loop.schedule(flushInterval, [this, alive = this->alive] {
             if (*alive) {
                 this->flush();
             }
         });
     }
-    this->kept[result.jobId].insert(result.index);
-    this->ready.push_back(std::move(result));
+    this->unconfirmed[result.jobId].insert(result.index);
+    this->pending.push_back(std::move(result));
 }
 
 bool ResultReporter::isEmpty() const
 {
-    return this->kept.empty();
+    return this->unconfirmed.empty();
 }
 
 const std::map<JobId, std::set<std::uint32_t>> &ResultReporter::items() const
 {
-    return this->kept;
+    return this->unconfirmed;
 }
 
 void ResultReporter::flush()
 {
     std::map<SessionNumber, std::vector<ItemRecord>> byOwner;
-    for (ItemRecord &result : std::exchange(this->ready, {})) {
+    for (ItemRecord &result : std::exchange(this->pending, {})) {
         const Member *const owner = this->owners.of(result.jobId);
         byOwner[owner != nullptr ? owner->session : SessionNumber(0)].push_back(std::move(result));
     }
@@ -64,7 +64,7 @@
 {
     const Member *const owner = this->owners.of(results.front().jobId);
     if (owner == nullptr) {
-        this->again(results);
+        this->retryLater(results);
         return;
     }
     this->peers.call<CommitItemsRequest>(owner->owner,
@@ -72,42 +72,42 @@
                                          this->settings->peers.callTimeout,
                                          [this, results, alive = this->alive](const CallResult<CommitItemsResponse> &result) {
                                              if (*alive) {
-                                                 this->answered(results, result);
+                                                 this->handleResponse(results, result);
                                              }
                                          });
 }
 
-void ResultReporter::answered(const std::vector<ItemRecord> &results, const CallResult<CommitItemsResponse> &result)
+void ResultReporter::handleResponse(const std::vector<ItemRecord> &results, const CallResult<CommitItemsResponse> &result)
 {
     if (!result.response) {
-        this->again(results);
+        this->retryLater(results);
         return;
     }
     const std::vector<JobId> &notOwned = result.response->notOwned;
-    std::vector<ItemRecord> rest;
+    std::vector<ItemRecord> remaining;
     for (const ItemRecord &each : results) {
         if (std::ranges::find(notOwned, each.jobId) != notOwned.end()) {
-            rest.push_back(each);
+            remaining.push_back(each);
             continue;
         }
-        std::set<std::uint32_t> &items = this->kept[each.jobId];
+        std::set<std::uint32_t> &items = this->unconfirmed[each.jobId];
         items.erase(each.index);
         if (items.empty()) {
-            this->kept.erase(each.jobId);
+            this->unconfirmed.erase(each.jobId);
         }
     }
-    if (!rest.empty()) {
-        this->again(std::move(rest));
+    if (!remaining.empty()) {
+        this->retryLater(std::move(remaining));
     }
 }
 
-void ResultReporter::again(std::vector<ItemRecord> results)
+void ResultReporter::retryLater(std::vector<ItemRecord> results)
 {
     this->loop.schedule(retryDelay, [this, results = std::move(results), alive = this->alive] {
         if (!*alive) {
             return;
         }
-        std::ranges::copy(results, std::back_inserter(this->ready));
+        std::ranges::copy(results, std::back_inserter(this->pending));
         this->flush();
     });
 }
--- a/Services/Lane/ResultReporter.h
+++ b/Services/Lane/ResultReporter.h
@@ -13,8 +13,8 @@
 {
 
 /**
- * Hands the results of items to their jobs' owners, several at a time, and keeps each until its owner says that it is
- * journalled.
+ * Sends the results of items to the owners of their jobs in batches, and keeps each result until its owner confirms that
+ * it is journalled.
  */
 class ResultReporter
 {
@@ -30,24 +30,24 @@
     /** @return whether every result is journalled. */
     bool isEmpty() const;
 
-    /** @return items whose results are kept here, by job. */
+    /** @return the items whose results are not confirmed yet, by job. */
     const std::map<JobId, std::set<std::uint32_t>> &items() const;
 
 private:
     void flush();
     void send(const std::vector<ItemRecord> &results);
-    void again(std::vector<ItemRecord> results);
-    void answered(const std::vector<ItemRecord> &results, const CallResult<CommitItemsResponse> &result);
+    void retryLater(std::vector<ItemRecord> results);
+    void handleResponse(const std::vector<ItemRecord> &results, const CallResult<CommitItemsResponse> &result);
 
     EventLoop &loop;
     const SettingsHandle &settings;
-    /** Of the lanes; it changes when this node has to begin again as another session. */
+    /** Refers to the session number in LaneService, which changes when this node continues as another session. */
     const SessionNumber &self;
     PeerClient &peers;
     const JobOwners &owners;
     /** Results to be sent at the next flush. */
-    std::vector<ItemRecord> ready;
-    std::map<JobId, std::set<std::uint32_t>> kept;
+    std::vector<ItemRecord> pending;
+    std::map<JobId, std::set<std::uint32_t>> unconfirmed;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/Tests/ServiceLane/TestItemRun.cpp
+++ b/Tests/ServiceLane/TestItemRun.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/** How a run ended at an endpoint that answers with these events. */
+/** How a run ended. */
 struct Outcome
 {
     RunEnd end = RunEnd::Lost;
@@ -54,10 +54,10 @@
 
 } // namespace
 
-// An engine opens a chat's stream with an event that names the role and has null for its content, as the API allows, or
-// sends something that is no event. Taken for a string, the null threw out of the event loop and ended the node, and with
-// it every item and request there; the item then did the same to the next node.
-TEST_CASE("an event without text counts for no token and does no harm")
+// The API allows an engine to start a chat stream with an event that has a role and null content, and an engine may send
+// malformed events. Reading the null as a string throws out of the event loop and ends the node with all its items and
+// requests; the item then does the same to the next node.
+TEST_CASE("an event without text is ignored and counts as no token")
 {
     const Outcome outcome = runAgainst({R"({"choices":[{"delta":{"role":"assistant","content":null}}]})",
                                         R"({"choices":[{"text":null}]})",
