--- a/Services/Control/ConfigurationKeeper.cpp
+++ b/Services/Control/ConfigurationKeeper.cpp
@@ -25,52 +25,52 @@
 ConfigurationKeeper::~ConfigurationKeeper()
 {
     *this->alive = false;
-    this->scheduler.cancel(this->lookTimer);
+    this->scheduler.cancel(this->checkTimer);
 }
 
 void ConfigurationKeeper::start(std::function<void(SettingsPointer)> learnt)
 {
     this->learnt = std::move(learnt);
-    this->look();
+    this->checkPlatform();
 }
 
-void ConfigurationKeeper::look()
+void ConfigurationKeeper::checkPlatform()
 {
     this->store.readNewest(1, [this, alive = this->alive](const ConfigurationRows &read) {
         if (*alive) {
-            this->onLooked(read);
+            this->onChecked(read);
         }
     });
 }
 
-void ConfigurationKeeper::onLooked(const ConfigurationRows &read)
+void ConfigurationKeeper::onChecked(const ConfigurationRows &read)
 {
     this->platformAnswers = read.outcome == ReadOutcome::Found;
-    this->scheduleLook();
+    this->scheduleCheck();
     if (!this->platformAnswers) {
         return;
     }
     if (read.rows.empty()) {
-        this->learnNone();
+        this->onNoVersion();
         return;
     }
     const ConfigurationRow &row = read.rows.front();
-    this->platformSays(row.number);
+    this->recordPlatformNumber(row.number);
     if (row.number > this->held.number && !this->fetching) {
         this->fetching = true;
         this->fetchParts(std::make_shared<Fetch>(Fetch{row, {}, std::nullopt}));
     }
 }
 
-void ConfigurationKeeper::scheduleLook()
+void ConfigurationKeeper::scheduleCheck()
 {
-    const auto shared = this->options.lookPerMember * static_cast<int>(this->peers.size() + 1);
-    const auto interval = this->known ? std::max(this->options.leastLook, shared) : this->options.retry;
-    // A random share apart, so that nodes that started together do not look together.
+    const auto shared = this->options.checkIntervalPerMember * static_cast<int>(this->peers.size() + 1);
+    const auto interval = this->known ? std::max(this->options.minCheckInterval, shared) : this->options.retry;
+    // Random jitter, so that nodes that started together do not check the platform together.
     std::uniform_int_distribution<std::int64_t> jitter(0, interval.count() / 2);
     const auto delay = interval * 3 / 4 + std::chrono::milliseconds(jitter(this->random));
-    this->lookTimer = this->scheduler.schedule(delay, [this] {
-        this->look();
+    this->checkTimer = this->scheduler.schedule(delay, [this] {
+        this->checkPlatform();
     });
 }
 
@@ -94,26 +94,26 @@
     }
 }
 
-const ConfigurationKeeper::Peer *ConfigurationKeeper::peerThatHas(std::uint64_t number)
+const ConfigurationKeeper::Peer *ConfigurationKeeper::selectPeer(std::uint64_t number)
 {
-    std::vector<const Peer *> able;
+    std::vector<const Peer *> candidates;
     for (const Peer &peer : this->peers) {
         if (peer.version >= number) {
-            able.push_back(&peer);
+            candidates.push_back(&peer);
         }
     }
-    if (able.empty()) {
+    if (candidates.empty()) {
         return nullptr;
     }
-    std::uniform_int_distribution<std::size_t> choice(0, able.size() - 1);
-    return able[choice(this->random)];
+    std::uniform_int_distribution<std::size_t> choice(0, candidates.size() - 1);
+    return candidates[choice(this->random)];
 }
 
 void ConfigurationKeeper::fetch()
 {
     this->fetching = true;
-    const Peer *const peer = this->peerThatHas(this->newest);
-    if (peer != nullptr && !this->askPlatformNext) {
+    const Peer *const peer = this->selectPeer(this->newest);
+    if (peer != nullptr && !this->isPlatformNext) {
         this->fetchRowFromPeer(peer->address);
         return;
     }
@@ -122,7 +122,7 @@
 
 void ConfigurationKeeper::fetchRowFromPeer(const Address &peer)
 {
-    this->hooks.askPeer(peer, [this, peer, alive = this->alive](std::optional<ConfigurationResponse> response) {
+    this->hooks.queryPeer(peer, [this, peer, alive = this->alive](std::optional<ConfigurationResponse> response) {
         if (!*alive) {
             return;
         }
@@ -149,11 +149,11 @@
         if (!this->platformAnswers || read.rows.empty()) {
             this->fetchFailed();
             if (this->platformAnswers) {
-                this->learnNone();
+                this->onNoVersion();
             }
             return;
         }
-        this->platformSays(read.rows.front().number);
+        this->recordPlatformNumber(read.rows.front().number);
         this->fetchParts(std::make_shared<Fetch>(Fetch{read.rows.front(), {}, std::nullopt}));
     });
 }
@@ -161,7 +161,7 @@
 void ConfigurationKeeper::fetchParts(const std::shared_ptr<Fetch> &fetch)
 {
     if (fetch->row.number <= this->held.number) {
-        // The source is behind the one that was heard of. What is held is newer; it stays.
+        // The source is behind the newest known number. The version held is at least as new and is kept.
         this->fetchFailed();
         return;
     }
@@ -183,14 +183,14 @@
             this->store.readPart(key, onPart);
             return;
         }
-        this->hooks.askPeerForPart(*fetch->from, key, [onPart](std::optional<ConfigurationPartResponse> response) {
+        this->hooks.queryPeerForPart(*fetch->from, key, [onPart](std::optional<ConfigurationPartResponse> response) {
             const bool isFound = response && response->isFound;
             onPart(isFound ? std::optional(std::move(response->content)) : std::nullopt);
         });
         return;
     }
     this->fetching = false;
-    this->askPlatformNext = false;
+    this->isPlatformNext = false;
     this->hold(fetch->row, std::move(fetch->parts));
     this->receive(this->newest);
 }
@@ -207,7 +207,7 @@
 
 void ConfigurationKeeper::fetchFailed()
 {
-    this->askPlatformNext = !this->askPlatformNext;
+    this->isPlatformNext = !this->isPlatformNext;
     if (this->newest > this->number) {
         this->reason = "version " + std::to_string(this->newest) + " could not be fetched yet";
     }
@@ -253,38 +253,39 @@
     Findings findings;
     std::optional<Settings> settings = loadVersion(this->heldContent, this->options.site, this->options.ownFiles, findings);
     if (!settings) {
-        // Checked before it was accepted, so a program of another version accepted it, or this VM's own file is wrong.
+        // The version was checked before it was accepted, so either a node with another program version accepted it, or this
+        // VM's own file is invalid.
         this->reason = "version " + std::to_string(this->held.number) + " does not load here: " + findings.toString();
         log(LogLevel::Error, "configuration does not load", {{"findings", findings.toString()}});
         return;
     }
     this->loaded = std::make_shared<const Settings>(*std::move(settings));
     this->loadedNumber = this->held.number;
-    this->tellLearnt();
+    this->finishLearning();
     this->putInForce();
 }
 
-void ConfigurationKeeper::learnNone()
+void ConfigurationKeeper::onNoVersion()
 {
     if (this->newest == 0) {
         this->known = true;
-        this->platformSays(0);
+        this->recordPlatformNumber(0);
     }
 }
 
-void ConfigurationKeeper::platformSays(std::uint64_t number)
+void ConfigurationKeeper::recordPlatformNumber(std::uint64_t number)
 {
     this->newest = std::max(this->newest, number);
     if (!this->platformNumber) {
         this->platformNumber = number;
-        this->tellLearnt();
+        this->finishLearning();
     }
 }
 
-void ConfigurationKeeper::tellLearnt()
+void ConfigurationKeeper::finishLearning()
 {
-    // By a peer's word alone this VM could go below what it had in force: the peer may have missed the newest version
-    // when the platform went down, and nothing here remembers it.
+    // With a peer's answer alone, this VM could return to a version older than the one it had in force before a restart:
+    // the peer may have missed the newest version when the platform went down, and this node stores no version itself.
     const bool isUpToDate = this->platformNumber && this->loadedNumber >= *this->platformNumber;
     const bool isNone = this->loadedNumber == 0 && this->newest > 0;
     if (!this->learnt || !isUpToDate || isNone) {
--- a/Services/Control/ConfigurationKeeper.h
+++ b/Services/Control/ConfigurationKeeper.h
@@ -22,11 +22,11 @@
 /**
  * Follows the chain of configuration versions and puts each into force on this node.
  *
- * A number has one content for ever, because its row was inserted if absent; so the newest number seen is all that has
- * to be agreed, and a node only ever goes up. It hears of numbers by gossip and, all nodes together at a bounded rate,
- * by looking at the platform: an insert whose writer died before telling anyone is found that way. Rows and parts come
- * from the peer that told of them, so that a change costs the platform a few reads and not one per node, and so that it
- * spreads while the platform is down; the platform is asked when the peer does not answer.
+ * The content of a number never changes, because its row is inserted only if absent. So nodes need to agree only on the
+ * newest number, and the number in force at a node never decreases. A node receives numbers by gossip, and by checking the
+ * platform, which all nodes together do at a bounded rate; this finds an insert whose writer died before publishing it.
+ * Rows and parts are fetched from a peer that has the version. So a change costs the platform a few reads instead of one
+ * per node, and spreads while the platform is down. The platform is queried when the peer does not answer.
  */
 class ConfigurationKeeper
 {
@@ -36,35 +36,35 @@
         std::string site;
         /** The VM's own files, flags last. */
         std::vector<SettingsSource> ownFiles;
-        /** What applies while no version was ever accepted. */
+        /** The settings in force as long as no version was ever accepted. */
         SettingsPointer ownSettings;
-        /** All nodes together look at the platform this often: each waits this long times the number of members. */
-        std::chrono::milliseconds lookPerMember{100};
-        /** Each node looks at most this often. */
-        std::chrono::milliseconds leastLook{500};
-        /** Between two tries of what failed. */
+        /** Interval at which all nodes together check the platform: each node waits this long times the number of members. */
+        std::chrono::milliseconds checkIntervalPerMember{100};
+        /** Minimum interval between the checks of one node. */
+        std::chrono::milliseconds minCheckInterval{500};
+        /** Delay before a failed operation is retried. */
         std::chrono::milliseconds retry{100};
     };
 
-    /** Where a version can be had, beside the platform. */
+    /** A node from which versions can be fetched instead of from the platform. */
     struct Peer
     {
         Address address;
-        /** The newest version that it was heard to have. */
+        /** The newest version that it reported. */
         std::uint64_t version = 0;
     };
 
     template <typename Response>
     using Answered = std::function<void(std::optional<Response>)>;
 
-    /** How it reaches others. */
+    /** Callbacks to peers and to the tasks of this node. */
     struct Hooks
     {
-        std::function<void(const Address &, Answered<ConfigurationResponse>)> askPeer;
-        std::function<void(const Address &, const std::string &key, Answered<ConfigurationPartResponse>)> askPeerForPart;
-        /** Have every task swap its settings; done is told when all of them have. */
+        std::function<void(const Address &, Answered<ConfigurationResponse>)> queryPeer;
+        std::function<void(const Address &, const std::string &key, Answered<ConfigurationPartResponse>)> queryPeerForPart;
+        /** Makes every task swap its settings; done is called when all of them have. */
         std::function<void(SettingsPointer, std::uint64_t number, std::function<void()> done)> putInForce;
-        /** Told of each number that all tasks of this node work by. */
+        /** Called with each number that all tasks of this node have put into force. */
         std::function<void(std::uint64_t)> onInForce;
     };
 
@@ -75,56 +75,57 @@
     ConfigurationKeeper &operator=(const ConfigurationKeeper &) = delete;
 
     /**
-     * Ask the platform, and the peers as they become known.
-     * @param learnt told once, as soon as the platform has told the newest number and that version, or a newer one, is
-     *     loaded. Until then the node must not serve: what its own files say, and what a peer has that is behind, may be
+     * Queries the platform, and the peers as they become known.
+     * @param learnt called once, as soon as the platform has reported the newest number and that version, or a newer one,
+     *     is loaded. Until then the node must not serve: its own files, or the version of a peer that is behind, may be
      *     older than a version that this VM had in force before a restart. A node needs the platform to start anyway,
      *     for its session number.
      */
     void start(std::function<void(SettingsPointer)> learnt);
 
-    /** The tasks are there: put newer versions into force from now on. */
+    /** Puts newer versions into force from now on; called once the tasks exist. */
     void follow();
 
-    /** Other nodes as they are known now, without this one. */
+    /** Sets the other known nodes, without this one. */
     void setPeers(std::vector<Peer> peers);
 
-    /** A version was inserted through this node, or is known to be accepted. */
+    /** Adopts a version that was inserted through this node, or is known to be accepted. */
     void adopt(const ConfigurationRow &row, const ConfigurationContent &content);
 
     ConfigurationResponse respond(const ConfigurationRequest &request) const;
     ConfigurationPartResponse respond(const ConfigurationPartRequest &request) const;
 
-    /** @return the number that all tasks work by. */
+    /** @return the number in force in all tasks. */
     std::uint64_t inForce() const;
-    /** @return the newest number heard of. */
+    /** @return the newest number known. */
     std::uint64_t seen() const;
-    /** @return why the newest one is not in force; empty if nothing is in the way. */
+    /** @return why the newest version is not in force; empty if there is no obstacle. */
     const std::string &obstacle() const;
-    /** @return the row in force, or that of the newest version held; number 0 without any. */
+    /** @return the row in force, or that of the newest version held; its number is 0 if there is none. */
     const ConfigurationRow &row() const;
     /** @return its content. */
     const ConfigurationContent &content() const;
-    /** @return whether a part belongs to the version held: it is on the platform then, written before its row. */
+    /** @return whether a part belongs to the version held. If so it is on the platform, because parts are written before the row.
+     */
     bool holdsPart(const std::string &key) const;
     /** @return the settings that were loaded last. */
     const SettingsPointer &settings() const;
-    /** @return whether the platform answered when it was last asked. */
+    /** @return whether the platform answered the last query. */
     bool isPlatformAnswering() const;
 
 private:
-    /** A version on its way here. */
+    /** A version that is being fetched. */
     struct Fetch
     {
         ConfigurationRow row;
         ConfigurationPartMap parts;
-        /** The peer it comes from; nothing: the platform. */
+        /** The peer that it is fetched from; empty for the platform. */
         std::optional<Address> from;
     };
 
-    void look();
-    void onLooked(const ConfigurationRows &read);
-    void scheduleLook();
+    void checkPlatform();
+    void onChecked(const ConfigurationRows &read);
+    void scheduleCheck();
     void receive(std::uint64_t number);
     void fetch();
     void fetchRowFromPeer(const Address &peer);
@@ -134,11 +135,11 @@
     void fetchFailed();
     void hold(const ConfigurationRow &row, ConfigurationPartMap parts);
     void load();
-    void learnNone();
-    void platformSays(std::uint64_t number);
-    void tellLearnt();
+    void onNoVersion();
+    void recordPlatformNumber(std::uint64_t number);
+    void finishLearning();
     void putInForce();
-    const Peer *peerThatHas(std::uint64_t number);
+    const Peer *selectPeer(std::uint64_t number);
 
     ConfigurationStore &store;
     Scheduler &scheduler;
@@ -149,9 +150,9 @@
     std::function<void(SettingsPointer)> learnt;
     std::vector<Peer> peers;
 
-    /** What the platform said first to be the newest number. */
+    /** The newest number in the platform's first answer. */
     std::optional<std::uint64_t> platformNumber;
-    /** Whether a version is held, or the platform has said that there is none. */
+    /** Whether a version is held, or the platform has reported that there is none. */
     bool known = false;
     ConfigurationRow held;
     ConfigurationPartMap heldParts;
@@ -165,9 +166,9 @@
     bool fetching = false;
     bool following = false;
     bool putting = false;
-    /** Peer and platform take turns as long as neither delivers. */
-    bool askPlatformNext = false;
-    TimerId lookTimer = 0;
+    /** Whether the platform is queried next. Peers and platform alternate as long as fetching fails. */
+    bool isPlatformNext = false;
+    TimerId checkTimer = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/Services/Control/ConfigurationService.cpp
+++ b/Services/Control/ConfigurationService.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** A peer that was paused or lost must not hold a version up: another, or the platform, is asked then. */
+/** Short, so that a paused or lost peer does not delay a version: another peer or the platform is queried next. */
 constexpr std::chrono::milliseconds peerTimeout{500};
 
 template <typename Request>
@@ -66,10 +66,10 @@
 ConfigurationKeeper::Hooks ConfigurationService::keeperHooks()
 {
     ConfigurationKeeper::Hooks hooks;
-    hooks.askPeer = [this](const Address &peer, ConfigurationKeeper::Answered<ConfigurationResponse> answered) {
+    hooks.queryPeer = [this](const Address &peer, ConfigurationKeeper::Answered<ConfigurationResponse> answered) {
         callPeer<ConfigurationRequest>(this->peers, peer, {}, std::move(answered));
     };
-    hooks.askPeerForPart
+    hooks.queryPeerForPart
         = [this](const Address &peer, const std::string &key, ConfigurationKeeper::Answered<ConfigurationPartResponse> answered) {
               callPeer<ConfigurationPartRequest>(this->peers, peer, {key}, std::move(answered));
           };
--- a/Services/Control/ConfigurationService.h
+++ b/Services/Control/ConfigurationService.h
@@ -15,11 +15,11 @@
 namespace Dogwoodkeel
 {
 
-/** What this node has to do with configuration versions, put together on the control task. */
+/** Reads, follows and writes configuration versions for this node, on the control task. */
 class ConfigurationService
 {
 public:
-    /** Has every task swap its settings; calls back when all have. */
+    /** Makes every task swap its settings; calls back when all have. */
     using PutInForce = std::function<void(SettingsPointer, std::function<void()>)>;
 
     ConfigurationService(EventLoop &loop,
@@ -30,19 +30,19 @@
                          std::vector<SettingsSource> ownFiles,
                          std::function<void(std::uint64_t)> onInForce);
 
-    /** Ask platform and peers. @param learnt told once, with the settings to start by */
+    /** Queries platform and peers. @param learnt called once, with the settings to start with */
     void learn(std::function<void(SettingsPointer)> learnt);
 
-    /** The tasks are there: put newer versions into force from now on. */
+    /** Puts newer versions into force from now on; called once the tasks exist. */
     void follow(PutInForce putInForce);
 
-    /** Other nodes, as gossip tells of them. @param self left out */
+    /** Sets the other nodes, as known from gossip. @param self this node's session, which is left out */
     void setMembers(const std::vector<Member> &members, SessionNumber self);
 
-    /** Make a proposal the next version. */
+    /** Applies a proposal as the next version. */
     void apply(ConfigurationProposal proposal, ConfigurationWriter::Applied applied);
 
-    /** @return what this node has in force. */
+    /** @return the configuration state of this node. */
     ConfigurationStateResponse state() const;
 
     /** @return this node's part of the status. */
--- a/Services/Control/ControlTask.cpp
+++ b/Services/Control/ControlTask.cpp
@@ -14,14 +14,14 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds shortestMeetInterval{5000};
-constexpr std::chrono::milliseconds meetIntervalPerNode{1500};
-constexpr std::chrono::milliseconds meetRetry{200};
-/** Members told of a new configuration at once, each of which tells as many: gossip alone takes a probe a step. */
-constexpr std::size_t newsFanOut = 4;
+constexpr std::chrono::milliseconds minContactInterval{5000};
+constexpr std::chrono::milliseconds contactIntervalPerNode{1500};
+constexpr std::chrono::milliseconds contactRetry{200};
+/** Number of members contacted at once about a new configuration; each contacts as many. Gossip alone takes a probe per step. */
+constexpr std::size_t updateFanOut = 4;
 constexpr std::chrono::milliseconds vmInterval{1000};
-/** How long the row of a session that nobody hears of is kept: longer than regions lose each other. */
-constexpr std::chrono::minutes rowKept{15};
+/** How long the row of an unknown session is kept. Must be longer than regions are cut off from each other. */
+constexpr std::chrono::minutes rowRetention{15};
 constexpr std::chrono::milliseconds vmIntervalPerNode{500};
 
 Membership::Options membershipOptions(const Settings &settings)
@@ -61,7 +61,7 @@
                settings,
                ownFiles,
                [this](std::uint64_t version) {
-                   this->tellConfiguration(version);
+                   this->publishConfiguration(version);
                })
     , api(this->versions, this->board, this->peers, [this] {
         return this->membership ? this->membership->view()->members() : std::vector<Member>();
@@ -123,7 +123,7 @@
                     this->orders->setView(*view);
                 }
                 this->onChange(view);
-                this->checkMet(false);
+                this->checkMembersKnown(false);
             },
         .onLeavingVms =
             [this](const std::vector<VmName> &vms) {
@@ -139,8 +139,8 @@
                              std::random_device()(),
                              std::move(hooks));
     this->membership->start(this->settings->peers.seeds);
-    if (!std::exchange(this->meeting, true)) {
-        this->meetOthers();
+    if (!std::exchange(this->isContacting, true)) {
+        this->contactOthers();
     }
 }
 
@@ -157,7 +157,7 @@
     }
     Member self = this->joined;
     self.session = this->self;
-    // The former session's members are asked first: they are likely to be there still.
+    // The members known to the former session are contacted first, as they are likely to be alive.
     std::vector<Address> others;
     for (const Member &member : this->membership->view()->members()) {
         others.push_back(member.gossip);
@@ -167,54 +167,54 @@
     this->membership->contact(others);
 }
 
-void ControlTask::meetOthers()
+void ControlTask::contactOthers()
 {
-    // Nodes that lost sight of each other for longer than they remember the dead would never meet again by gossip alone;
-    // the platform's rows and the seeds name them.
+    // Nodes that were cut off from each other for longer than dead members are kept would never find each other again by
+    // gossip alone. The platform's rows and the seeds contain their addresses.
     this->membership->contact(this->settings->peers.seeds);
     this->sessions.list([this](const std::optional<std::vector<SessionRegistry::Listed>> &listed) {
-        std::vector<Address> strangers;
+        std::vector<Address> unknownMembers;
         for (const SessionRegistry::Listed &session : listed.value_or(std::vector<SessionRegistry::Listed>())) {
             if (session.number != this->self && this->membership->view()->find(session.number) == nullptr) {
-                strangers.push_back(session.row.gossip);
+                unknownMembers.push_back(session.row.gossip);
             }
         }
-        this->membership->contact(strangers);
+        this->membership->contact(unknownMembers);
         if (listed) {
-            this->checkMet(strangers.empty());
-            // Rows alone may be those of nodes that died: nobody behind them answers.
+            this->checkMembersKnown(unknownMembers.empty());
+            // The rows may all belong to dead nodes, which never answer.
             this->loop.schedule(this->settings->membership.suspicion, [this] {
-                this->checkMet(true);
+                this->checkMembersKnown(true);
             });
-            this->cleanRows(*listed);
+            this->removeStaleRows(*listed);
         }
-        this->loop.schedule(listed ? this->meetInterval : meetRetry, [this] {
-            this->meetOthers();
+        this->loop.schedule(listed ? this->contactInterval : contactRetry, [this] {
+            this->contactOthers();
         });
     });
 }
 
-void ControlTask::awaitMembers(std::function<void()> met)
+void ControlTask::awaitMembers(std::function<void()> membersKnown)
 {
-    this->met = std::move(met);
-    this->checkMet(false);
+    this->membersKnown = std::move(membersKnown);
+    this->checkMembersKnown(false);
 }
 
-void ControlTask::checkMet(bool isAlone)
+void ControlTask::checkMembersKnown(bool isAlone)
 {
-    if (!this->met || !this->membership) {
+    if (!this->membersKnown || !this->membership) {
         return;
     }
     if (this->membership->view()->members().size() > 1 || isAlone) {
-        std::exchange(this->met, nullptr)();
+        std::exchange(this->membersKnown, nullptr)();
     }
 }
 
-void ControlTask::cleanRows(const std::vector<SessionRegistry::Listed> &listed)
+void ControlTask::removeStaleRows(const std::vector<SessionRegistry::Listed> &listed)
 {
-    // A node that dies leaves its row behind. Were nobody to remove it, the rows would grow by more than a hundred a day,
-    // and every start would write to all those addresses. Removed by mistake, a row does no harm: gossip goes on, and its
-    // node writes it again.
+    // A node that dies leaves its row behind. Without removal, more than a hundred rows would be added per day, and every
+    // starting node would write to all these addresses. Removing a row by mistake does no harm: gossip continues, and the
+    // node writes its row again.
     const MemberView &view = *this->membership->view();
     const SteadyTime now = this->clock.now();
     bool isOwnListed = false;
@@ -228,8 +228,8 @@
         const SteadyTime since = before != this->unknownRows.end() ? before->second : now;
         unknown[row.number] = since;
         const Member *const cleaner = view.ownerOf(row.number.value());
-        const bool isOurs = cleaner != nullptr && cleaner->session == this->self;
-        if (isOurs && now - since >= rowKept && !view.isMinority()) {
+        const bool isLocal = cleaner != nullptr && cleaner->session == this->self;
+        if (isLocal && now - since >= rowRetention && !view.isMinority()) {
             log(LogLevel::Info, "session row removed", {{"session", static_cast<std::int64_t>(row.number.value())}});
             this->sessions.close(row.number);
         }
@@ -240,24 +240,24 @@
     }
 }
 
-void ControlTask::meetBeforeJoining()
+void ControlTask::contactSeeds()
 {
-    // A starting node learns from the seeds whom to ask for the configuration, in case the platform does not answer.
+    // A starting node gets from the seeds the peers that it can query for the configuration if the platform does not answer.
     if (this->membership || this->closed) {
         return;
     }
     for (const Address &seed : this->settings->peers.seeds) {
         this->datagrams.send(seed, MembersPull{this->self, std::vector<std::uint32_t>(MemberTable::parts, 0)});
     }
-    this->loop.schedule(meetRetry, [this] {
-        this->meetBeforeJoining();
+    this->loop.schedule(contactRetry, [this] {
+        this->contactSeeds();
     });
 }
 
 void ControlTask::learnConfiguration(std::function<void(SettingsPointer)> learnt)
 {
     this->versions.learn(std::move(learnt));
-    this->meetBeforeJoining();
+    this->contactSeeds();
 }
 
 void ControlTask::followConfiguration(ConfigurationService::PutInForce putInForce)
@@ -307,7 +307,7 @@
     return this->closed;
 }
 
-void ControlTask::tellConfiguration(std::uint64_t version)
+void ControlTask::publishConfiguration(std::uint64_t version)
 {
     if (!this->membership) {
         return;
@@ -322,7 +322,7 @@
         }
     }
     std::ranges::shuffle(others, this->random);
-    others.resize(std::min(others.size(), newsFanOut));
+    others.resize(std::min(others.size(), updateFanOut));
     this->membership->contact(others);
 }
 
@@ -330,7 +330,7 @@
 {
     this->vmWatch.emplace(
         this->platform->vms(), this->loop, [this, changed = std::move(changed)](const ListedVmsPointer &listed) {
-            this->tellLeaving(*listed);
+            this->reportLeavingVms(*listed);
             if (!this->closed) {
                 changed(listed);
             }
@@ -338,7 +338,7 @@
     this->vmWatch->start(vmInterval);
 }
 
-void ControlTask::tellLeaving(const std::vector<ListedVm> &listed)
+void ControlTask::reportLeavingVms(const std::vector<ListedVm> &listed)
 {
     std::vector<VmName> leaving;
     for (const ListedVm &vm : listed) {
@@ -353,10 +353,10 @@
 
 void ControlTask::followFleetSize(std::size_t nodes)
 {
-    // All nodes together read the platform's lists at a rate that does not grow with their number; what one of them finds
-    // on the list of VMs it tells the others.
+    // All nodes together read the platform's lists at a rate that does not grow with their number. A node that finds a
+    // leaving VM in the list reports it to the others.
     const auto count = static_cast<std::int64_t>(nodes);
-    this->meetInterval = std::max(shortestMeetInterval, meetIntervalPerNode * count);
+    this->contactInterval = std::max(minContactInterval, contactIntervalPerNode * count);
     if (this->vmWatch) {
         this->vmWatch->setInterval(std::max(vmInterval, vmIntervalPerNode * count));
     }
@@ -385,8 +385,8 @@
 
 void ControlTask::tellBacklog(std::uint32_t backlog, std::uint64_t models)
 {
-    // Each change is news to every node. What matters to the lanes is for which models there is work; how much, and how
-    // urgent it is, they learn when they ask for items.
+    // Each change is sent to every node. Lanes only need the models that have a backlog; they get its size and urgency
+    // when they pull items.
     if (!this->membership || models == this->reportedModels) {
         return;
     }
--- a/Services/Control/ControlTask.h
+++ b/Services/Control/ControlTask.h
@@ -25,7 +25,7 @@
 namespace Dogwoodkeel
 {
 
-/** What the control task has: this node's session, its membership and the socket for gossip. */
+/** Owns the parts of the control task: this node's session, its membership, its configuration and the gossip socket. */
 class ControlTask
 {
 public:
@@ -34,7 +34,7 @@
     /**
      * @param settings of the VM's own files
      * @param ownFiles the texts of those files
-     * @throws std::runtime_error if it cannot take datagrams
+     * @throws std::runtime_error if the datagram socket cannot be opened
      */
     ControlTask(EventLoop &loop,
                 const Clock &clock,
@@ -43,83 +43,84 @@
                 const PeerSecurity &security,
                 const PlatformFactory &makePlatform);
 
-    /** Take a session number; tries until the platform answers. */
+    /** Acquires a session number; retries until the platform answers. */
     void openSession(std::function<void(SessionNumber)> opened);
 
     /**
-     * Become a member.
+     * Joins the membership.
      * @param self this node, without its gossip address
-     * @param onChange told of each new view, on this task
+     * @param onChange called with each new view, on this task
      */
     void join(Member self, std::function<void(MemberViewPointer)> onChange);
 
     /**
-     * Find out the configuration in force, from the platform or a peer; goes on until one answers.
-     * @param learnt told once, with the settings to start by
+     * Reads the configuration in force; retries until it is loaded. The platform must have answered once, even if a peer
+     * delivers the content.
+     * @param learnt called once, with the settings to start with
      */
     void learnConfiguration(std::function<void(SettingsPointer)> learnt);
 
-    /** Hand newer configurations on. @param putInForce has every task swap its settings */
+    /** Applies newer configurations from now on. @param putInForce makes every task swap its settings */
     void followConfiguration(ConfigurationService::PutInForce putInForce);
 
-    /** Give orders to the engines from now on, while this node holds the lease of it. */
+    /** Gives orders to the engines from now on, while this node holds the lease for orders. */
     void startOrders();
 
     ConfigurationService &configuration();
 
-    /** Where the parts of the node's status are collected. */
+    /** @return the board that collects the parts of the node's status. */
     StatusBoard &statusBoard();
 
     OperatorApi &operators();
 
-    /** Send nothing to the node's other tasks from now on: they are about to be destroyed. */
+    /** Stops sending to the node's other tasks, which are about to be destroyed. */
     void close();
 
     /** @return whether close() was called. */
     bool isClosed() const;
 
     /**
-     * Leave as this session and take another: this one's journal was sealed, so it can own nothing any more.
-     * @param opened told when the platform has given a number out
+     * Leaves as this session and acquires another. The journal of this session was sealed, so it can own nothing further.
+     * @param opened called with the number that the platform assigned
      */
     void renewSession(std::function<void(SessionNumber)> opened);
 
-    /** Become a member again, as the session that was taken last. */
+    /** Joins the membership again, as the session that was acquired last. */
     void rejoin();
 
-    /** Read the platform's VM list from now on. @param changed told of each change, on this task */
+    /** Reads the platform's VM list periodically. @param changed called on each change, on this task */
     void watchVms(VmWatch::Changed changed);
 
-    /** Tell the others of a change of this node. */
+    /** Changes this node's member record and publishes it to the other nodes. */
     void update(const std::function<void(Member &)> &change);
 
-    /** @param met told once, when this node knows the members: one has answered, or there are none */
-    void awaitMembers(std::function<void()> met);
+    /** Waits until this node knows the members: one has answered, or there are none. @param membersKnown called once */
+    void awaitMembers(std::function<void()> membersKnown);
 
-    /** @return how long news takes to reach every node, most likely. */
+    /** @return the time in which an update most likely reaches every node. */
     std::chrono::milliseconds spreadTime() const;
 
-    /** Tell the others how busy the entry is, if that has changed. @param pressure as in Member */
+    /** Publishes the load of the entry to the other nodes, if it has changed. @param pressure as in Member */
     void tellPressure(std::uint32_t pressure);
 
-    /** Tell the others how many batch items wait here, if that has changed enough to matter. */
+    /** Publishes the backlog of batch items to the other nodes, if the set of models with a backlog has changed. */
     void tellBacklog(std::uint32_t backlog, std::uint64_t models);
 
-    /** Tell the others that this node is gone, and remove its session's row. */
+    /** Publishes that this node leaves, and removes the row of its session. */
     void leave();
 
-    /** @return where this node takes gossip. */
+    /** @return the address at which this node receives gossip. */
     const Address &gossipAddress() const;
 
 private:
     void receive(const Datagram &datagram);
-    void meetOthers();
-    void tellLeaving(const std::vector<ListedVm> &listed);
+    void contactOthers();
+    void reportLeavingVms(const std::vector<ListedVm> &listed);
     void followFleetSize(std::size_t nodes);
-    void checkMet(bool isAlone);
-    void cleanRows(const std::vector<SessionRegistry::Listed> &listed);
-    void meetBeforeJoining();
-    void tellConfiguration(std::uint64_t version);
+    void checkMembersKnown(bool isAlone);
+    void removeStaleRows(const std::vector<SessionRegistry::Listed> &listed);
+    void contactSeeds();
+    void publishConfiguration(std::uint64_t version);
 
     EventLoop &loop;
     const Clock &clock;
@@ -137,14 +138,14 @@
     OperatorApi api;
     std::optional<OrderService> orders;
     bool closed = false;
-    /** As it joined, to join again. */
+    /** This node's member record at the last join, kept for rejoin(). */
     Member joined;
     std::function<void(MemberViewPointer)> onChange;
-    bool meeting = false;
-    std::function<void()> met;
+    bool isContacting = false;
+    std::function<void()> membersKnown;
     std::map<SessionNumber, SteadyTime> unknownRows;
     std::uint32_t reportedPressure = 0;
-    std::chrono::milliseconds meetInterval{5000};
+    std::chrono::milliseconds contactInterval{5000};
     std::uint64_t reportedModels = 0;
 };
 
--- a/Services/Control/OperatorApi.cpp
+++ b/Services/Control/OperatorApi.cpp
@@ -205,7 +205,7 @@
             respond(answer(statusOk, ConfigurationJson::describe(result.row)));
             return;
         case ApplyOutcome::Raced:
-            this->tellRaced(result.row, respond);
+            this->respondRaced(result.row, respond);
             return;
         case ApplyOutcome::Invalid:
             respond(answer(statusInvalid, {{"findings", ConfigurationJson::format(result.findings)}, {"run", "not_run"}}));
@@ -224,7 +224,7 @@
     });
 }
 
-void OperatorApi::tellRaced(const ConfigurationRow &winner, const OperatorRespond &respond)
+void OperatorApi::respondRaced(const ConfigurationRow &winner, const OperatorRespond &respond)
 {
     this->configuration.store().readContent(winner, [winner, respond](const std::optional<ConfigurationContent> &content) {
         Json json{{"error", {{"reason", "raced"}, {"message", "another version took the number"}}}, {"run", "not_run"}};
--- a/Services/Control/OperatorApi.h
+++ b/Services/Control/OperatorApi.h
@@ -12,11 +12,11 @@
 namespace Dogwoodkeel
 {
 
-/** The HTTP calls of operators on the configuration and the status, answered on the control task. */
+/** Answers the HTTP calls of operators about the configuration and the status, on the control task. */
 class OperatorApi
 {
 public:
-    /** @param members the nodes known now, this one among them */
+    /** @param members returns the known nodes, including this one */
     OperatorApi(ConfigurationService &configuration,
                 const StatusBoard &board,
                 PeerClient &peers,
@@ -36,7 +36,7 @@
     /** POST /v1/config/revert */
     void revert(const OperatorRequest &request, const OperatorRespond &respond);
     void propose(ConfigurationProposal proposal, const OperatorRespond &respond);
-    void tellRaced(const ConfigurationRow &winner, const OperatorRespond &respond);
+    void respondRaced(const ConfigurationRow &winner, const OperatorRespond &respond);
     /** GET /v1/config/nodes */
     void nodes(const OperatorRespond &respond);
     /** GET /v1/status */
--- a/Services/Control/OperatorRequest.h
+++ b/Services/Control/OperatorRequest.h
@@ -8,7 +8,7 @@
 namespace Dogwoodkeel
 {
 
-/** A request of an operator, whose key was found good. */
+/** A request of an operator whose key was accepted. */
 struct OperatorRequest
 {
     HttpRequest request;
@@ -18,7 +18,7 @@
 
 using OperatorRespond = std::function<void(HttpResponse)>;
 
-/** Takes operators' requests to the task that answers them; the answer comes back on the caller's task. */
+/** Forwards operators' requests to the task that answers them. The response is delivered on the caller's task. */
 using OperatorGateway = std::function<void(OperatorRequest, OperatorRespond)>;
 
 } // namespace Dogwoodkeel
--- a/Services/Control/OrderService.cpp
+++ b/Services/Control/OrderService.cpp
@@ -28,7 +28,7 @@
     if (response.status == statusConflict) {
         return OrderOutcome::StaleFence;
     }
-    return response.status == statusOk ? OrderOutcome::Taken : OrderOutcome::Failed;
+    return response.status == statusOk ? OrderOutcome::Accepted : OrderOutcome::Failed;
 }
 
 } // namespace
--- a/Services/Control/OrderService.h
+++ b/Services/Control/OrderService.h
@@ -13,11 +13,11 @@
 namespace Dogwoodkeel
 {
 
-/** Orders to engines, put together on the control task: the lease, the reconciler and the HTTP calls of the engines. */
+/** Gives orders to engines, on the control task. Combines the lease, the reconciler and the HTTP calls of the engines. */
 class OrderService
 {
 public:
-    /** @param configuration tells what is in force */
+    /** @param configuration returns the configuration in force */
     OrderService(EventLoop &loop,
                  const Clock &clock,
                  Platform &platform,
@@ -27,13 +27,13 @@
 
     void start();
 
-    /** Another view of the members: tells which nodes look at the lease often. */
+    /** Applies a new view of the members, from which this node's rank in checking the lease is computed. */
     void setView(const MemberView &view);
 
-    /** This node goes on as another session. */
+    /** Sets the session number under which this node continues. */
     void setSession(SessionNumber session);
 
-    /** Give the lease up, as planned. */
+    /** Releases the lease in a planned way, without letting it expire. */
     void release();
 
     StatusPart status() const;
--- a/Services/Control/PeerSurvey.h
+++ b/Services/Control/PeerSurvey.h
@@ -15,7 +15,7 @@
 {
 
 /**
- * Asks every member the same question, a bounded number at once, and tells when each has answered or has not in time.
+ * Sends the same request to every member, a bounded number at once, and reports when each has answered or timed out.
  */
 template <typename Request>
 class PeerSurvey : public std::enable_shared_from_this<PeerSurvey<Request>>
@@ -23,17 +23,17 @@
 public:
     using Response = typename Request::Response;
 
-    /** What one member said. */
+    /** The reply of one member. */
     struct Reply
     {
         Member member;
-        /** Nothing: it did not answer. */
+        /** Empty if the member did not answer. */
         std::optional<Response> response;
     };
 
     using Done = std::function<void(std::vector<Reply>)>;
 
-    /** Ask. @param done told once, with the replies in the order of the members */
+    /** Starts a survey. @param done called once, with the replies in the order of the members */
     static void start(PeerClient &peers, const std::vector<Member> &members, const Request &request, Done done)
     {
         const auto survey = std::make_shared<PeerSurvey>(peers, members, request, std::move(done));
@@ -41,8 +41,8 @@
             survey->done({});
             return;
         }
-        for (std::size_t i = 0; i < std::min(atOnce, members.size()); ++i) {
-            survey->askNext();
+        for (std::size_t i = 0; i < std::min(maxConcurrentQueries, members.size()); ++i) {
+            survey->queryNext();
         }
     }
 
@@ -55,15 +55,15 @@
     }
 
 private:
-    static constexpr std::size_t atOnce = 32;
+    static constexpr std::size_t maxConcurrentQueries = 32;
     static constexpr std::chrono::milliseconds timeout{1000};
 
-    void askNext()
+    void queryNext()
     {
-        if (this->asked == this->replies.size()) {
+        if (this->queried == this->replies.size()) {
             return;
         }
-        const std::size_t index = this->asked++;
+        const std::size_t index = this->queried++;
         this->peers.template call<Request>(this->replies[index].member.owner,
                                            this->request,
                                            timeout,
@@ -73,7 +73,7 @@
                                                    self->done(std::move(self->replies));
                                                    return;
                                                }
-                                               self->askNext();
+                                               self->queryNext();
                                            });
     }
 
@@ -81,7 +81,7 @@
     Request request;
     Done done;
     std::vector<Reply> replies;
-    std::size_t asked = 0;
+    std::size_t queried = 0;
     std::size_t answered = 0;
 };
 
--- a/Services/Control/Reconciler.cpp
+++ b/Services/Control/Reconciler.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 
-/** Engines asked side by side. */
-constexpr std::size_t atOnce = 64;
-/** Waits listed in the status. */
+/** Maximum number of engines queried at once. */
+constexpr std::size_t maxConcurrentQueries = 64;
+/** Maximum number of waits listed in the status. */
 constexpr std::size_t reportedWaits = 20;
 
 } // namespace
@@ -36,7 +36,7 @@
     this->tick();
 }
 
-void Reconciler::nextTick()
+void Reconciler::scheduleTick()
 {
     const auto interval = this->hooks.configuration().settings->orders.interval;
     this->timer = this->scheduler.schedule(interval, [this] {
@@ -48,16 +48,16 @@
 {
     const auto round = std::make_shared<Round>();
     if (!this->begin(*round)) {
-        this->nextTick();
+        this->scheduleTick();
         return;
     }
     if (round->endpoints.empty()) {
         this->decide(round);
         return;
     }
-    const std::size_t count = std::min(atOnce, round->endpoints.size());
+    const std::size_t count = std::min(maxConcurrentQueries, round->endpoints.size());
     for (std::size_t i = 0; i < count; ++i) {
-        this->askNext(round);
+        this->queryNext(round);
     }
 }
 
@@ -71,11 +71,11 @@
         return false;
     }
     if (!this->lease.covers(round.configuration.version)) {
-        // Older in the row: its renewal is on its way, and orders wait for that only.
-        const std::uint64_t given = this->lease.row().configVersion;
+        // If the version in the row is older, its renewal is in progress, and orders wait only for that.
+        const std::uint64_t orderedVersion = this->lease.row().configVersion;
         this->waits.clear();
-        if (given > round.configuration.version) {
-            this->waits.push_back("orders were given by configuration " + std::to_string(given) + ", this node has "
+        if (orderedVersion > round.configuration.version) {
+            this->waits.push_back("orders were given by configuration " + std::to_string(orderedVersion) + ", this node has "
                                   + std::to_string(round.configuration.version));
         }
         return false;
@@ -89,12 +89,12 @@
     return true;
 }
 
-void Reconciler::askNext(const RoundPointer &round)
+void Reconciler::queryNext(const RoundPointer &round)
 {
-    if (round->asked == round->endpoints.size()) {
+    if (round->queried == round->endpoints.size()) {
         return;
     }
-    const EndpointSettings &endpoint = round->endpoints[round->asked++];
+    const EndpointSettings &endpoint = round->endpoints[round->queried++];
     const auto received
         = [this, round, name = EndpointName(endpoint.name), alive = this->alive](std::optional<EngineStateReport> report) {
               if (!*alive) {
@@ -107,7 +107,7 @@
                   this->decide(round);
                   return;
               }
-              this->askNext(round);
+              this->queryNext(round);
           };
     this->hooks.fetchReport(endpoint.address, received);
 }
@@ -115,10 +115,10 @@
 void Reconciler::decide(const RoundPointer &round)
 {
     const Settings &settings = *round->configuration.settings;
-    const auto &remembered = this->lease.row().stopped;
-    this->stopped.insert(remembered.begin(), remembered.end());
+    const auto &recorded = this->lease.row().stopped;
+    this->stopped.insert(recorded.begin(), recorded.end());
     OrderPlan plan = this->planner.plan(settings, round->reports, this->stopped);
-    this->rememberStops(*round, plan.stops);
+    this->recordStops(*round, plan.stops);
     this->managed = round->endpoints.size();
     this->asIntended = 0;
     for (const auto &[name, state] : OrderPlanner::intendedStates(settings, round->reports, this->stopped)) {
@@ -130,10 +130,10 @@
     this->sendNext(round);
 }
 
-void Reconciler::rememberStops(const Round &round, const std::vector<std::string> &stops)
+void Reconciler::recordStops(const Round &round, const std::vector<std::string> &stops)
 {
     for (const std::string &rollout : stops) {
-        log(LogLevel::Error, "rollout stopped for its errors", {{"rollout", rollout}});
+        log(LogLevel::Error, "rollout stopped because errors rose", {{"rollout", rollout}});
         this->stopped.insert(rollout);
     }
     std::vector<std::string> running;
@@ -142,16 +142,16 @@
             running.push_back(rolloutName(model));
         }
     }
-    // One that an operator took out of the configuration may be tried again later.
+    // A rollout that an operator removed from the configuration may be tried again later.
     this->stopped = std::set<std::string>(running.begin(), running.end());
     this->lease.setStopped(std::move(running));
 }
 
 void Reconciler::sendNext(const RoundPointer &round)
 {
-    // Asked before each order, not once a round: the node may have been paused between two of them.
+    // Checked before each order instead of once per round: the node may have been paused between two orders.
     if (round->orders.empty() || !this->lease.mayOrder()) {
-        this->nextTick();
+        this->scheduleTick();
         return;
     }
     const PlannedOrder planned = std::move(round->orders.back());
--- a/Services/Control/Reconciler.h
+++ b/Services/Control/Reconciler.h
@@ -19,19 +19,19 @@
 namespace Dogwoodkeel
 {
 
-/** What became of an order that was sent. */
+/** The outcome of an order that was sent. */
 enum class OrderOutcome {
-    Taken,
-    /** The engine has seen a higher fencing number: another node gives the orders now. */
+    Accepted,
+    /** The engine has seen a higher fencing number, so another node gives the orders. */
     StaleFence,
-    /** No answer, or a refusal for another reason. It may have taken effect; the next report tells. */
+    /** No answer, or a refusal for another reason. It may have taken effect; the next report shows it. */
     Failed,
 };
 
 /**
- * Brings the engines of this node's site to the intended state, as long as the node holds the lease of orders: hears
- * every engine, has the planner decide, sends what it decided, and hears them again. An order is never taken as carried
- * out because its answer said so, nor as lost because there was none: only the next report counts.
+ * Brings the engines of this node's site to the intended state, as long as the node holds the lease for orders. Each
+ * round fetches the report of every engine, makes a plan and sends its orders. Neither an answer nor a missing answer
+ * decides whether an order was carried out: only the next report does.
  */
 class Reconciler
 {
@@ -43,7 +43,7 @@
         std::uint64_t version = 0;
     };
 
-    /** How it reaches the engines. */
+    /** Callbacks for the configuration and the engines. */
     struct Hooks
     {
         std::function<Configuration()> configuration;
@@ -62,12 +62,12 @@
     StatusPart status() const;
 
 private:
-    /** One comparison on its way. */
+    /** One comparison of reported and intended states that is in progress. */
     struct Round
     {
         Configuration configuration;
         std::vector<EndpointSettings> endpoints;
-        std::size_t asked = 0;
+        std::size_t queried = 0;
         std::size_t answered = 0;
         EngineStateReports reports;
         std::vector<PlannedOrder> orders;
@@ -75,11 +75,11 @@
     using RoundPointer = std::shared_ptr<Round>;
 
     void tick();
-    void nextTick();
+    void scheduleTick();
     bool begin(Round &round);
-    void askNext(const RoundPointer &round);
+    void queryNext(const RoundPointer &round);
     void decide(const RoundPointer &round);
-    void rememberStops(const Round &round, const std::vector<std::string> &stops);
+    void recordStops(const Round &round, const std::vector<std::string> &stops);
     void sendNext(const RoundPointer &round);
 
     Scheduler &scheduler;
--- a/Services/Control/StatusBoard.cpp
+++ b/Services/Control/StatusBoard.cpp
@@ -19,7 +19,7 @@
     std::function<void(std::string)> done;
 };
 
-void take(Collection &collection, const std::string &name, const StatusPart &part)
+void addPart(Collection &collection, const std::string &name, const StatusPart &part)
 {
     collection.report[name] = Json::parse(part.json, nullptr, false);
     for (const Degradation &degradation : part.degradations) {
@@ -49,7 +49,7 @@
     }
     for (const Source &source : this->sources) {
         source.collect([collection, name = source.name](const StatusPart &part) {
-            take(*collection, name, part);
+            addPart(*collection, name, part);
         });
     }
 }
--- a/Services/Control/StatusBoard.h
+++ b/Services/Control/StatusBoard.h
@@ -8,25 +8,25 @@
 namespace Dogwoodkeel
 {
 
-/** Something that does not work as it should, and what an operator can do. */
+/** A fault that degrades the service, and what an operator can do about it. */
 struct Degradation
 {
     std::string what;
-    /** Empty: it heals by itself. */
+    /** Empty if it recovers without action. */
     std::string remedy;
 };
 
 /** One part of a node's status. */
 struct StatusPart
 {
-    /** A JSON object: the part's figures. */
+    /** The figures of the part, as a JSON object. */
     std::string json = "{}";
     std::vector<Degradation> degradations;
 };
 
 /**
- * Collects the parts of this node's status, each from the task that knows it. To add a part, hand in its name and a
- * function that calls back with it, on the control task:
+ * Collects the parts of this node's status, each from the task that owns the data. To add a part, pass its name and a
+ * function that calls back with it on the control task:
  *
  *     board.add("shards", [](auto done) { owner.post(... done(part) back on the control task ...); });
  */
@@ -38,7 +38,7 @@
 
     void add(std::string name, Collect collect);
 
-    /** @param done gets the report as a JSON object: each part under its name, and "degraded" */
+    /** @param done receives the report as a JSON object: each part under its name, and "degraded" */
     void report(std::function<void(std::string)> done) const;
 
 private:
--- a/Tests/ServiceControl/TestConfigurationKeeper.cpp
+++ b/Tests/ServiceControl/TestConfigurationKeeper.cpp
@@ -21,7 +21,7 @@
 
 constexpr const char *ownFile = "[node]\nvm = \"a\"\nfailure_domain = \"one\"\n[entry]\nentry_count = 64\n";
 
-/** One node's keeper, with the fleet that it reaches its peers through. */
+/** One node's keeper, and the fleet through which it reaches its peers. */
 struct Fleet
 {
     struct Node
@@ -74,10 +74,10 @@
         Findings findings;
         options.ownSettings = std::make_shared<const Settings>(*loadSettings(options.ownFiles, findings));
         ConfigurationKeeper::Hooks hooks;
-        hooks.askPeer = [this, &node](const Address &peer, const auto &answered) {
+        hooks.queryPeer = [this, &node](const Address &peer, const auto &answered) {
             this->ask<ConfigurationRequest>(node.address, peer, {}, answered);
         };
-        hooks.askPeerForPart = [this, &node](const Address &peer, const std::string &key, const auto &answered) {
+        hooks.queryPeerForPart = [this, &node](const Address &peer, const std::string &key, const auto &answered) {
             this->ask<ConfigurationPartRequest>(node.address, peer, {key}, answered);
         };
         hooks.putInForce = [&node](const SettingsPointer &settings, std::uint64_t, const std::function<void()> &done) {
@@ -108,7 +108,7 @@
         });
     }
 
-    /** Gossip, as far as it matters here: everyone reachable hears everyone's number. */
+    /** Simplified gossip: every reachable node receives the numbers of all others. */
     void gossip()
     {
         for (const auto &[address, node] : this->nodes) {
@@ -130,7 +130,7 @@
         }
     }
 
-    /** An operator's change, through one node. */
+    /** Applies an operator's change through one node. */
     ApplyOutcome apply(Node &node, std::uint64_t edited, const std::string &base)
     {
         ConfigurationWriter writer(node.store, this->clock, this->clock, {});
@@ -181,9 +181,9 @@
 
 TEST_CASE("a version is in force at every node, with the platform down after the insert")
 {
-    // The operator is told "accepted" and the platform goes down at once. Only the node that inserted the version has
-    // its content; the others must get it from there, or the fleet would work by two configurations until the platform
-    // is back.
+    // The operator receives "accepted" and the platform goes down at once. Only the node that inserted the version has its
+    // content. The others must fetch it from that node, or two configurations are in force in the fleet until the platform
+    // recovers.
     Fleet fleet;
     Fleet::Node &first = fleet.start(1);
     Fleet::Node &second = fleet.start(2);
@@ -197,10 +197,10 @@
     CHECK(third.keeper->inForce() == 1);
 }
 
-TEST_CASE("a version whose writer died before telling anyone is found on the platform")
+TEST_CASE("a version whose writer died before publishing it is found on the platform")
 {
     // The operator gets no answer: the node inserted the row and was killed. The version is accepted, because the
-    // platform has it, so it must come into force although no gossip tells of it.
+    // platform has it, so it must come into force although gossip does not mention it.
     Fleet fleet;
     fleet.start(1);
     Fleet::Node &second = fleet.start(2);
@@ -212,11 +212,11 @@
     CHECK(second.settings->entry.entryCount == 5);
 }
 
-TEST_CASE("a starting node is not ready before the platform has told the newest version")
+TEST_CASE("a starting node is not ready before the platform has reported the newest version")
 {
     // A node had version 2 in force; the other missed it and has version 1. The platform goes down and the first is
-    // restarted: it remembers nothing, its own file is older still, and the only peer would take it back to version 1.
-    // Its callers would see a withdrawn configuration again.
+    // restarted: it has no stored version, its own file is older still, and the only peer would return it to version 1. Its
+    // callers would see a withdrawn configuration again.
     Fleet fleet;
     Fleet::Node &survivor = fleet.start(1);
     Fleet::Node &other = fleet.start(2);
@@ -243,9 +243,9 @@
     CHECK(restarted.inForce == std::vector<std::uint64_t>{2});
 }
 
-TEST_CASE("a node that comes back from behind a partition catches up and takes nobody down with it")
+TEST_CASE("a node that returns from a partition catches up and does not spread its older version")
 {
-    // A node is cut off from platform and peers for two versions. When it is back, its older number must not spread,
+    // A node is cut off from platform and peers for two versions. After it is reconnected, its older number must not spread,
     // and it must skip to the newest.
     Fleet fleet;
     Fleet::Node &first = fleet.start(1);
@@ -270,7 +270,7 @@
     CHECK(fleet.neverWentBack());
 }
 
-TEST_CASE("a peer that is behind cannot take a node back")
+TEST_CASE("a peer that is behind cannot return a node to an older version")
 {
     Fleet fleet;
     Fleet::Node &first = fleet.start(1);
@@ -293,7 +293,7 @@
 TEST_CASE("a version that does not load here is named as the obstacle, and the one before stays in force")
 {
     // Another node runs a newer program and accepted a setting that this one does not know. Failing over to its own
-    // files would go below a version seen; it keeps what it has and says why.
+    // files would go below a version seen; it keeps the version in force and reports the reason.
     Fleet fleet;
     Fleet::Node &node = fleet.start(1);
     fleet.run(1s);
@@ -308,7 +308,7 @@
     CHECK(node.settings->entry.entryCount == 5);
 }
 
-TEST_CASE("looking at the platform costs the same however many nodes there are")
+TEST_CASE("the rate of platform checks does not depend on the number of nodes")
 {
     Fleet fleet;
     for (std::uint16_t port = 1; port <= 40; ++port) {
@@ -319,6 +319,6 @@
     for (const auto &[address, node] : fleet.nodes) {
         reads += node->platform.rowReads();
     }
-    // 40 nodes at a look each 4 s would be 200; the first seconds, before the peers are known, come on top.
+    // 40 nodes that check every 4 s make 200 reads; those of the first seconds, before the peers are known, are added.
     CHECK(reads < 320);
 }
--- a/Tests/ServiceControl/TestReconciler.cpp
+++ b/Tests/ServiceControl/TestReconciler.cpp
@@ -22,7 +22,7 @@
 /** The engines of a site and the nodes that may give them orders. */
 struct Site
 {
-    /** One node: its lease, its reconciler and what may go wrong on its way to the engines. */
+    /** One node: its lease, its reconciler and the faults injected between it and the engines. */
     struct Node
     {
         Node(Site &site, SessionNumber session)
@@ -38,7 +38,7 @@
         SettingsPointer settings;
         std::uint64_t version = 1;
         bool losesAnswers = false;
-        /** Orders that left the node's check but not the node: it is paused there. */
+        /** Orders that passed the node's lease check but are not sent yet, because the node is paused there. */
         bool isPausedAtSend = false;
         std::vector<std::function<void()>> pausedSends;
         OrderLease lease;
@@ -89,7 +89,7 @@
             const auto arrive = [this, &node, address, order, done] {
                 const bool isTaken = this->engines.at(address)->take(order);
                 this->clock.schedule(1ms, [&node, isTaken, done] {
-                    done(node.losesAnswers ? OrderOutcome::Failed : isTaken ? OrderOutcome::Taken : OrderOutcome::StaleFence);
+                    done(node.losesAnswers ? OrderOutcome::Failed : isTaken ? OrderOutcome::Accepted : OrderOutcome::StaleFence);
                 });
             };
             if (node.isPausedAtSend) {
@@ -101,7 +101,7 @@
         return hooks;
     }
 
-    /** An operator's change is in force at a node. */
+    /** Puts an operator's change into force at a node. */
     void configure(Node &node, std::uint64_t version) const
     {
         node.settings = std::make_shared<const Settings>(this->settings);
@@ -146,7 +146,7 @@
 
 TEST_CASE("an engine that restarts empty is loaded again")
 {
-    // The engine's process ends and comes back with nothing loaded, without anyone telling. Its next report shows it.
+    // The engine's process ends and restarts with nothing loaded, without a notification. Its next report shows it.
     Site site(3);
     Site::Node node(site, SessionNumber(1));
     site.run(20s);
@@ -158,8 +158,8 @@
 
 TEST_CASE("an order whose answer was lost is not sent again once it has taken effect")
 {
-    // The engine takes the order and the answer is lost. Sending a load again would begin it anew on an engine that
-    // takes each order as new; the report shows that it is loading.
+    // The engine accepts the order and the answer is lost. A second order would restart the load on an engine that treats
+    // each order as new; the report shows that it is loading.
     Site site(1, {true, 30s});
     Site::Node node(site, SessionNumber(1));
     node.losesAnswers = true;
@@ -172,8 +172,8 @@
 
 TEST_CASE("a holder that was paused past its lease between check and send is refused by engines that check")
 {
-    // Node 1 checks its lease, is paused, and its order leaves when node 2 has long given others by a newer
-    // configuration. An engine that checks the fencing number refuses it; the old version must not come back.
+    // Node 1 checks its lease, is paused, and its order is sent long after node 2 gave others by a newer
+    // configuration. An engine that checks the fencing number refuses it; the old version must not return.
     Site site(3);
     Site::Node first(site, SessionNumber(1));
     first.isPausedAtSend = true;
@@ -194,10 +194,10 @@
     CHECK(!first.lease.mayOrder());
 }
 
-TEST_CASE("an engine that ignores fencing numbers is put right after a paused holder's late order")
+TEST_CASE("an engine that ignores fencing numbers is corrected after a paused holder's late order")
 {
-    // The same, with an engine that takes whatever comes. The margins cannot help against a pause of any length; the
-    // new holder's next comparison finds the engine off its intended state and orders it back.
+    // As above, with an engine that accepts every order. The margins cannot cover a pause of any length. The new holder's
+    // next comparison finds the engine out of its intended state and sends a correcting order.
     Site site(3, {false, 0ms});
     Site::Node first(site, SessionNumber(1));
     first.isPausedAtSend = true;
@@ -216,10 +216,10 @@
     CHECK(site.countOf("v2") == 3);
 }
 
-TEST_CASE("two holders never give orders at one time")
+TEST_CASE("two holders never give orders at the same time")
 {
-    // The first holder loses sight of the platform and cannot renew. It stops a margin before its lease ends, the second
-    // begins a margin after it took over: in between nobody gives orders.
+    // The first holder loses the platform and cannot renew its lease. It stops one margin before its lease ends, and the
+    // second starts one margin after it acquired the lease: in between no node gives orders.
     Site site(1);
     Site::Node first(site, SessionNumber(1));
     Site::Node second(site, SessionNumber(2));
@@ -246,10 +246,10 @@
     CHECK(other.lease.fence() == before + 1);
 }
 
-TEST_CASE("a new holder that has not heard of the newest configuration gives no orders by an older one")
+TEST_CASE("a new holder that has not received the newest configuration gives no orders by an older one")
 {
     // Two operators changed the model one after the other, and the first holder ordered by the second change. A new
-    // holder that still has the first must not take the engines back.
+    // holder that still has the first must not return the engines to it.
     Site site(3);
     site.settings.models[0].version = "v3";
     Site::Node first(site, SessionNumber(1));
@@ -272,7 +272,7 @@
     CHECK(site.countOf("v4") == 3);
 }
 
-TEST_CASE("a version is brought in without taking the last serving replica, one load at once in a failure domain")
+TEST_CASE("a version is rolled out without interrupting the last serving replica, one load at once in a failure domain")
 {
     Site site(9, {true, 3s});
     site.settings.orders.loadsPerDomain = 2;
@@ -309,8 +309,8 @@
 
 TEST_CASE("loads are started no faster than the weight store delivers")
 {
-    // The weight store is slow: 10 s for one engine's weights. Loads side by side would share its rate, each would take
-    // as long as all, and the site would be short of all these engines for the whole time.
+    // The weight store is slow: 10 s for one engine's weights. Concurrent loads would share its rate. Each would take as
+    // long as all together, and the site would lack all these engines for the whole time.
     Site site(6, {true, 10s});
     site.settings.models[0].weightBytes = 1000;
     site.settings.orders.weightBytesPerSecond = 100;
@@ -321,10 +321,10 @@
     CHECK(site.countOf("v1") == 6);
 }
 
-TEST_CASE("a rollout that makes errors rise stops, says so, and stays stopped under the next holder")
+TEST_CASE("a rollout that makes errors rise stops, is reported, and stays stopped under the next holder")
 {
-    // A third of the engines serve v2 and fail every fifth request. Going on would spread it; the stop is in the lease's
-    // row, because the next holder hears the same engines but may hear them after a restart, with their counts gone.
+    // A third of the engines serve v2 and fail every fifth request. Continuing would spread the fault. The stop is stored in the
+    // lease's row, because the next holder may get reports from engines that restarted and lost their counts.
     Site site(9);
     Site::Node node(site, SessionNumber(1));
     site.run(30s);
@@ -360,7 +360,7 @@
     CHECK(site.countOf("v1") == 9);
 }
 
-TEST_CASE("the lease is taken once when the answer to its taking is lost")
+TEST_CASE("the lease is acquired once when the answer to its acquisition is lost")
 {
     Site site(1);
     Site::Node node(site, SessionNumber(1));
