--- a/Services/Control/OperatorApi.cpp
+++ b/Services/Control/OperatorApi.cpp
@@ -24,8 +24,8 @@
 constexpr int statusConflict = 409;
 constexpr int statusInvalid = 422;
 constexpr int statusUnavailable = 503;
-constexpr std::size_t logDefault = 20;
-constexpr std::size_t logMost = 1000;
+constexpr std::size_t defaultLogLimit = 20;
+constexpr std::size_t maxLogLimit = 1000;
 
 HttpResponse answer(int status, const Json &json)
 {
@@ -57,7 +57,7 @@
             {"obstacle", state.obstacle}};
 }
 
-Json describeSilent(const Member &member)
+Json describeUnresponsive(const Member &member)
 {
     return {{"vm", member.vm.value()},
             {"failure_domain", member.failureDomain.value()},
@@ -133,7 +133,7 @@
 
 void OperatorApi::log(const HttpRequest &request, const OperatorRespond &respond)
 {
-    const std::size_t limit = std::min<std::size_t>(numberIn(request, "limit").value_or(logDefault), logMost);
+    const std::size_t limit = std::min<std::size_t>(numberIn(request, "limit").value_or(defaultLogLimit), maxLogLimit);
     this->configuration.store().readNewest(limit, [respond](const ConfigurationRows &read) {
         if (read.outcome != ReadOutcome::Found) {
             respond(refusal(statusUnavailable, "platform_down", "the platform does not answer now"));
@@ -238,7 +238,7 @@
     PeerSurvey<ConfigurationStateRequest>::start(this->peers, this->members(), {}, [respond](const auto &replies) {
         Json nodes = Json::array();
         for (const auto &reply : replies) {
-            nodes.push_back(reply.response ? describe(*reply.response) : describeSilent(reply.member));
+            nodes.push_back(reply.response ? describe(*reply.response) : describeUnresponsive(reply.member));
         }
         respond(answer(statusOk, {{"nodes", nodes}}));
     });
--- a/Tests/ServiceControl/TestConfigurationKeeper.cpp
+++ b/Tests/ServiceControl/TestConfigurationKeeper.cpp
@@ -75,10 +75,10 @@
         options.ownSettings = std::make_shared<const Settings>(*loadSettings(options.ownFiles, findings));
         ConfigurationKeeper::Hooks hooks;
         hooks.queryPeer = [this, &node](const Address &peer, const auto &answered) {
-            this->ask<ConfigurationRequest>(node.address, peer, {}, answered);
+            this->query<ConfigurationRequest>(node.address, peer, {}, answered);
         };
         hooks.queryPeerForPart = [this, &node](const Address &peer, const std::string &key, const auto &answered) {
-            this->ask<ConfigurationPartRequest>(node.address, peer, {key}, answered);
+            this->query<ConfigurationPartRequest>(node.address, peer, {key}, answered);
         };
         hooks.putInForce = [&node](const SettingsPointer &settings, std::uint64_t, const std::function<void()> &done) {
             node.settings = settings;
@@ -92,10 +92,10 @@
     }
 
     template <typename Request>
-    void ask(const Address &from,
-             const Address &to,
-             const Request &request,
-             const ConfigurationKeeper::Answered<typename Request::Response> &answered)
+    void query(const Address &from,
+               const Address &to,
+               const Request &request,
+               const ConfigurationKeeper::Answered<typename Request::Response> &answered)
     {
         this->clock.schedule(1ms, [this, from, to, request, answered] {
             const auto peer = this->nodes.find(to);
@@ -157,7 +157,7 @@
         }
     }
 
-    bool neverWentBack() const
+    bool versionsNeverDecreased() const
     {
         return std::ranges::all_of(this->nodes, [](const auto &entry) {
             return std::ranges::is_sorted(entry.second->inForce);
@@ -267,7 +267,7 @@
     fleet.run(2s);
     CHECK(lost.keeper->inForce() == 3);
     CHECK(first.keeper->inForce() == 3);
-    CHECK(fleet.neverWentBack());
+    CHECK(fleet.versionsNeverDecreased());
 }
 
 TEST_CASE("a peer that is behind cannot return a node to an older version")
@@ -287,7 +287,7 @@
     fleet.run(1s);
     CHECK(second.keeper->inForce() == 2);
     CHECK(second.settings->entry.entryCount == 6);
-    CHECK(fleet.neverWentBack());
+    CHECK(fleet.versionsNeverDecreased());
 }
 
 TEST_CASE("a version that does not load here is named as the obstacle, and the one before stays in force")
