--- a/Programs/dogwoodkeel/Node.cpp
+++ b/Programs/dogwoodkeel/Node.cpp
@@ -393,14 +393,14 @@
     this->owner->post([this](OwnerTask &task) {
         const Backlog backlog = task.owner().backlog();
         this->control->post([backlog](ControlTask &control) {
-            control.tellBacklog(backlog.items, backlog.models);
+            control.publishBacklog(backlog.items, backlog.models);
         });
     });
     const SteadyTime posted = this->clock.now();
     this->entry->post([this, posted](EntryTask &) {
         const auto delay = this->clock.now() - posted;
         this->control->post([this, delay](ControlTask &control) {
-            control.tellPressure(this->pressure.observe(delay));
+            control.publishPressure(this->pressure.observe(delay));
         });
     });
     this->watch->loop().schedule(watchInterval, [this] {
--- a/Services/Control/ControlTask.cpp
+++ b/Services/Control/ControlTask.cpp
@@ -372,7 +372,7 @@
     return this->membership->spreadTime();
 }
 
-void ControlTask::tellPressure(std::uint32_t pressure)
+void ControlTask::publishPressure(std::uint32_t pressure)
 {
     if (!this->membership || pressure == this->reportedPressure) {
         return;
@@ -383,7 +383,7 @@
     });
 }
 
-void ControlTask::tellBacklog(std::uint32_t backlog, std::uint64_t models)
+void ControlTask::publishBacklog(std::uint32_t backlog, std::uint64_t models)
 {
     // Each change is sent to every node. Lanes only need the models that have a backlog; they get its size and urgency
     // when they pull items.
--- a/Services/Control/ControlTask.h
+++ b/Services/Control/ControlTask.h
@@ -101,10 +101,10 @@
     std::chrono::milliseconds spreadTime() const;
 
     /** Publishes the load of the entry to the other nodes, if it has changed. @param pressure as in Member */
-    void tellPressure(std::uint32_t pressure);
+    void publishPressure(std::uint32_t pressure);
 
     /** Publishes the backlog of batch items to the other nodes, if the set of models with a backlog has changed. */
-    void tellBacklog(std::uint32_t backlog, std::uint64_t models);
+    void publishBacklog(std::uint32_t backlog, std::uint64_t models);
 
     /** Publishes that this node leaves, and removes the row of its session. */
     void leave();
