--- a/Services/Control/ControlTask.cpp
+++ b/Services/Control/ControlTask.cpp
@@ -17,7 +17,7 @@
 constexpr std::chrono::milliseconds minContactInterval{5000};
 constexpr std::chrono::milliseconds contactIntervalPerNode{1500};
 constexpr std::chrono::milliseconds contactRetry{200};
-/** Number of members contacted at once about a new configuration; each contacts as many. Gossip alone takes a probe per step. */
+/** Members contacted at once about a new configuration; each contacts as many. Gossip alone takes a probe per step. */
 constexpr std::size_t updateFanOut = 4;
 constexpr std::chrono::milliseconds vmInterval{1000};
 /** How long the row of an unknown session is kept. Must be longer than regions are cut off from each other. */
--- a/Tests/ServiceControl/TestReconciler.cpp
+++ b/Tests/ServiceControl/TestReconciler.cpp
@@ -50,8 +50,8 @@
     Settings settings;
     std::map<Address, std::unique_ptr<EngineOrders>> engines;
     std::map<Address, bool> isServing;
-    std::size_t mostLoading = 0;
-    std::size_t leastServing = 1000;
+    std::size_t maxLoading = 0;
+    std::size_t minServing = 1000;
 
     explicit Site(std::size_t engineCount, EngineOrders::Options options = {true, 0ms})
     {
@@ -80,16 +80,18 @@
         hooks.configuration = [&node] {
             return Reconciler::Configuration{node.settings, node.version};
         };
-        hooks.fetchReport = [this](const Address &address, const auto &heard) {
-            this->clock.schedule(1ms, [this, address, heard] {
-                heard(this->engines.at(address)->report());
+        hooks.fetchReport = [this](const Address &address, const auto &onReport) {
+            this->clock.schedule(1ms, [this, address, onReport] {
+                onReport(this->engines.at(address)->report());
             });
         };
         hooks.sendOrder = [this, &node](const Address &address, const EngineOrder &order, const auto &done) {
             const auto arrive = [this, &node, address, order, done] {
-                const bool isTaken = this->engines.at(address)->take(order);
-                this->clock.schedule(1ms, [&node, isTaken, done] {
-                    done(node.losesAnswers ? OrderOutcome::Failed : isTaken ? OrderOutcome::Accepted : OrderOutcome::StaleFence);
+                const bool isAccepted = this->engines.at(address)->take(order);
+                this->clock.schedule(1ms, [&node, isAccepted, done] {
+                    done(node.losesAnswers ? OrderOutcome::Failed
+                             : isAccepted  ? OrderOutcome::Accepted
+                                           : OrderOutcome::StaleFence);
                 });
             };
             if (node.isPausedAtSend) {
@@ -120,8 +122,8 @@
                 loading += report.loading ? 1 : 0;
                 serving += report.state.version.empty() ? 0 : 1;
             }
-            this->mostLoading = std::max(this->mostLoading, loading);
-            this->leastServing = std::min(this->leastServing, serving);
+            this->maxLoading = std::max(this->maxLoading, loading);
+            this->minServing = std::min(this->minServing, serving);
         }
     }
 
@@ -272,21 +274,21 @@
     CHECK(site.countOf("v4") == 3);
 }
 
-TEST_CASE("a version is rolled out without interrupting the last serving replica, one load at once in a failure domain")
+TEST_CASE("a version is rolled out without interrupting the last serving replica, with a limit of loads per failure domain")
 {
     Site site(9, {true, 3s});
     site.settings.orders.loadsPerDomain = 2;
     Site::Node node(site, SessionNumber(1));
     site.run(60s);
     REQUIRE(site.countOf("v1") == 9);
-    site.leastServing = 1000;
-    site.mostLoading = 0;
+    site.minServing = 1000;
+    site.maxLoading = 0;
     site.settings.models[0].version = "v2";
     site.configure(node, 2);
     site.run(60s);
     CHECK(site.countOf("v2") == 9);
-    CHECK(site.mostLoading <= 6);
-    CHECK(site.leastServing >= 3);
+    CHECK(site.maxLoading <= 6);
+    CHECK(site.minServing >= 3);
 }
 
 TEST_CASE("the only replica of a model keeps what it serves, unless its operators allow the interruption")
@@ -317,14 +319,14 @@
     site.settings.orders.loadsPerDomain = 10;
     Site::Node node(site, SessionNumber(1));
     site.run(90s);
-    CHECK(site.mostLoading <= 2);
+    CHECK(site.maxLoading <= 2);
     CHECK(site.countOf("v1") == 6);
 }
 
 TEST_CASE("a rollout that makes errors rise stops, is reported, and stays stopped under the next holder")
 {
-    // A third of the engines serve v2 and fail every fifth request. Continuing would spread the fault. The stop is stored in the
-    // lease's row, because the next holder may get reports from engines that restarted and lost their counts.
+    // A third of the engines serve v2 and fail every fifth request. Continuing would spread the fault. The stop is
+    // stored in the lease's row, because the next holder may get reports from engines that restarted and lost their counts.
     Site site(9);
     Site::Node node(site, SessionNumber(1));
     site.run(30s);
