--- a/Services/Control/ControlTask.cpp
+++ b/Services/Control/ControlTask.cpp
@@ -17,7 +17,7 @@
 constexpr std::chrono::milliseconds minContactInterval{5000};
 constexpr std::chrono::milliseconds contactIntervalPerNode{1500};
 constexpr std::chrono::milliseconds contactRetry{200};
-/** Number of members contacted at once about a new configuration; each contacts as many. Gossip alone takes a probe per step. */
+/** Members contacted at once about a new configuration; each contacts as many. Gossip alone takes a probe per step. */
 constexpr std::size_t updateFanOut = 4;
 constexpr std::chrono::milliseconds vmInterval{1000};
 /** How long the row of an unknown session is kept. Must be longer than regions are cut off from each other. */
@@ -372,7 +372,7 @@
     return this->membership->spreadTime();
 }
 
-void ControlTask::tellPressure(std::uint32_t pressure)
+void ControlTask::publishPressure(std::uint32_t pressure)
 {
     if (!this->membership || pressure == this->reportedPressure) {
         return;
@@ -383,7 +383,7 @@
     });
 }
 
-void ControlTask::tellBacklog(std::uint32_t backlog, std::uint64_t models)
+void ControlTask::publishBacklog(std::uint32_t backlog, std::uint64_t models)
 {
     // Each change is sent to every node. Lanes only need the models that have a backlog; they get its size and urgency
     // when they pull items.
