--- a/Meta/build.sh
+++ b/Meta/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Install what is missing and build everything into build/.
+# Install missing packages and build everything into build/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Meta/setup.sh
--- a/Meta/fuzz.sh
+++ b/Meta/fuzz.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Build the fuzz targets with clang and run one: Meta/fuzz.sh [SECONDS] [NAME]. Not a part of CI. Needs clang's runtime.
+# Build the fuzz targets with clang and run one: Meta/fuzz.sh [SECONDS] [NAME]. Not part of CI. Needs clang's runtime library.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seconds=${1:-60}
--- a/Meta/measure.sh
+++ b/Meta/measure.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Take a measurement: Meta/measure.sh NAME [flags]. Prints lines "figure <name> <value> <unit>". Without a name, lists
-# the measurements there are.
+# Run a measurement: Meta/measure.sh NAME [flags]. Prints lines "figure <name> <value> <unit>". Without a name, lists
+# the available measurements.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Meta/build.sh >/dev/null
--- a/Meta/model-check.sh
+++ b/Meta/model-check.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Check the models in Specification/: each must hold, and must fail with each of its safeguards taken out. Exits non-zero
+# Check the models in Specification/: each must hold, and must fail when one of its safeguards is removed. Exits non-zero
 # if a property fails or a mutation passes. Usage: Meta/model-check.sh
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -8,7 +8,7 @@
 trap 'rm -rf "$root"' EXIT
 failures=0
 
-# verify MODEL FLAGS...: prints the summary; the exit status tells whether all properties held in all states.
+# verify MODEL FLAGS...: prints the summary; the exit status is 0 if all properties held in all states.
 verify() {
     local model=$PWD/Specification/$1.pml
     shift
@@ -18,7 +18,7 @@
         spin -a "$@" "$model" >spin.log || { cat spin.log >&2; exit 2; }
         gcc -O2 -w -DSAFETY -DCOLLAPSE -DMEMLIM=2000 -o pan pan.c
         ./pan -m200000 -E >pan.log 2>&1
-        # A search that ran out of memory or depth has proved nothing.
+        # A search that ran out of memory or depth is incomplete and proves nothing.
         ! grep -q 'Search not completed\|max search depth too small' pan.log || exit 1
         grep -q 'errors: 0' pan.log
     )
@@ -37,7 +37,7 @@
     fi
 }
 
-# mutation MODEL FLAGS...: it must be refuted by a property, not by a search that was cut short.
+# mutation MODEL FLAGS...: a property must be violated; an incomplete search does not count.
 mutation() {
     if ! verify "$@" && grep -q 'assertion violated' "$work/pan.log"; then
         echo "refuted, as it must be: $*: $(grep -m1 'violated' "$work/pan.log")"
--- a/Meta/run.sh
+++ b/Meta/run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Set up, build, and run the main job on this machine: the stand-ins for the platform, two engines and a plain
+# Set up, build, and run a demonstration on this machine: the fakes of the platform, two engines and a plain
 # service, three nodes in three failure domains, then a streamed completion, a price lookup, a non-idempotent call and
-# a batch job of 50 items. Everything is stopped as planned at the end.
+# a batch job of 50 items. At the end all nodes do a planned stop.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Meta/build.sh >/dev/null
--- a/Meta/setup.sh
+++ b/Meta/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Install the packages the build and the checks need (Debian). Does nothing when all are there.
+# Install the packages that the build and the checks need (Debian). Does nothing if all are installed.
 set -euo pipefail
 packages=(
     g++ cmake ninja-build ccache pkg-config git python3 clang-format clang-tidy
--- a/Meta/soak.sh
+++ b/Meta/soak.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Run the fault soak on one seed after the other: Meta/soak.sh --seed N --minutes M [--jobs J] [flags of dogwoodkeel-soak].
-# Real nodes on loopback, faults from outside them, promises checked as callers and replicas see them. Prints a line a seed,
-# and for a seed that failed its faults, what was broken and where its logs are. Exits with 1 if any seed failed.
+# Run the fault soak test for consecutive seeds: Meta/soak.sh --seed N --minutes M [--jobs J] [flags of dogwoodkeel-soak].
+# Real nodes on loopback, faults injected from outside, guarantees checked from the view of callers and replicas. Prints one line
+# per seed, and for a failed seed its faults, the violated guarantee and the location of its logs.
+# Exits with 1 if any seed failed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seed=1 minutes=5 jobs=2
@@ -14,7 +15,7 @@
     *) flags+=("$1"); shift ;;
     esac
 done
-# A seed that takes longer hangs: a finding too.
+# A seed that takes longer is considered hanging and counts as failed.
 longest=300
 end=$(($(date +%s) + minutes * 60))
 failed=$(mktemp)
--- a/Meta/test.sh
+++ b/Meta/test.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Set up, build, and pass the tests.
+# Set up, build, and run the tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Meta/build.sh
-# Tests that are red for a real fault which is listed and open: exactly these are passed over.
+# Tests that fail because of a real, listed and open fault: exactly these are skipped.
 if [ -s KNOWN-RED.txt ]; then
     echo "passed over, known to be red:"
     cat KNOWN-RED.txt
--- a/Programs/dogwoodkeel/BatchCommand.cpp
+++ b/Programs/dogwoodkeel/BatchCommand.cpp
@@ -19,9 +19,11 @@
 
 DECLARE_bool(json);
 
-DEFINE_string(nodes, "", "addresses of nodes to ask first, separated by commas; without it the one of --node");
-DEFINE_string(idempotency_key, "", "names a submission, so that sent again it is the same job; made up if not given");
-DEFINE_uint32(due_in, 0, "seconds until the results are wanted; 0: as the settings say");
+DEFINE_string(nodes, "", "addresses of nodes to try first, separated by commas; defaults to the one of --node");
+DEFINE_string(idempotency_key,
+              "",
+              "identifies a submission, so that a repeated submission returns the same job; random if not given");
+DEFINE_uint32(due_in, 0, "seconds until the results are due; 0: as configured in the settings");
 DEFINE_bool(watch, false, "wait until the job has ended");
 
 namespace Dogwoodkeel
@@ -34,8 +36,8 @@
       "       dogwoodkeel batch results ID\n"
       "       dogwoodkeel batch cancel ID [--json]\n"
       "with [--nodes=ADDRESS,...] [--key_file=FILE]; the key may also be in DOGWOODKEEL_KEY\n"
-      "FILE holds an item a line: a JSON object with a model and a prompt or messages, or one with a custom_id and such an\n"
-      "object as its body. Results come as JSON lines in item order. On a terminal --watch shows the progress.\n"
+      "FILE holds one item per line: a JSON object with a model and a prompt or messages, or one with a custom_id and such an\n"
+      "object as body. Results come as JSON lines in item order. On a terminal --watch shows the progress.\n"
       "exit codes: 0 done, 1 no node answered or the job did not complete, 2 wrong command line, 3 refused\n";
 
 namespace
@@ -75,19 +77,19 @@
         if (const auto address = Address::parse(name)) {
             options.nodes.push_back(*address);
         } else {
-            std::fprintf(stderr, "%s is no address such as 127.0.0.1:8080\n", name.c_str());
+            std::fprintf(stderr, "%s is not an address such as 127.0.0.1:8080\n", name.c_str());
         }
     }
     options.key = callerKey();
     return CallerClient(std::move(options));
 }
 
-bool isGood(const HttpResponse &response)
+bool isSuccess(const HttpResponse &response)
 {
     return response.status == statusOk || response.status == statusAccepted;
 }
 
-/** Tell why something was not done. */
+/** Prints the error of a response. @return the exit code for it */
 ExitCode fail(const HttpResponse &response)
 {
     const Json body = Json::parse(response.body, nullptr, false);
@@ -107,12 +109,12 @@
     std::puts(FLAGS_json ? body.substr(0, body.find('\n')).c_str() : progressLine(job).c_str());
 }
 
-/** Print where a job stands; with --watch, until it has ended. */
-ExitCode tellStatus(CallerClient &client, const std::string &id)
+/** Prints the status of a job; with --watch, waits until the job has ended. */
+ExitCode printStatus(CallerClient &client, const std::string &id)
 {
     for (;;) {
         const HttpResponse response = client.call("GET", "/v1/batches/" + id);
-        if (!isGood(response)) {
+        if (!isSuccess(response)) {
             return fail(response);
         }
         const Json job = Json::parse(response.body, nullptr, false);
@@ -144,16 +146,16 @@
     const std::string query = FLAGS_due_in > 0 ? "due_in=" + std::to_string(FLAGS_due_in) : std::string();
     const HttpHeaders headers{{"Content-Type", "application/x-ndjson"}, {"Idempotency-Key", key}};
     const HttpResponse response = client.call("POST", "/v1/batches", query, items, headers);
-    if (!isGood(response)) {
+    if (!isSuccess(response)) {
         const ExitCode code = fail(response);
         if (response.status == 0 || response.status == statusUnavailable) {
-            std::fprintf(stderr, "it may have been accepted; to try again: --idempotency_key=%s\n", key.c_str());
+            std::fprintf(stderr, "the job may have been accepted; to retry safely: --idempotency_key=%s\n", key.c_str());
         }
         return code;
     }
     const Json job = Json::parse(response.body, nullptr, false);
     if (FLAGS_watch) {
-        return tellStatus(client, job.value("id", ""));
+        return printStatus(client, job.value("id", ""));
     }
     print(job, response.body);
     return ExitCode::Success;
@@ -162,7 +164,7 @@
 ExitCode list(CallerClient &client)
 {
     const HttpResponse response = client.call("GET", "/v1/batches");
-    if (!isGood(response)) {
+    if (!isSuccess(response)) {
         return fail(response);
     }
     const Json body = Json::parse(response.body, nullptr, false);
@@ -174,7 +176,7 @@
         std::puts(progressLine(job).c_str());
     }
     if (!body.value("is_complete", true)) {
-        std::fputs("some nodes gave no answer: there may be more jobs\n", stderr);
+        std::fputs("some nodes did not answer: the list may be incomplete\n", stderr);
     }
     return ExitCode::Success;
 }
@@ -184,7 +186,7 @@
     std::string from = "0";
     for (;;) {
         const HttpResponse page = client.call("GET", "/v1/batches/" + id + "/results", "from=" + from);
-        if (!isGood(page)) {
+        if (!isSuccess(page)) {
             return fail(page);
         }
         std::fwrite(page.body.data(), 1, page.body.size(), stdout);
@@ -199,7 +201,7 @@
 ExitCode cancel(CallerClient &client, const std::string &id)
 {
     const HttpResponse response = client.call("POST", "/v1/batches/" + id + "/cancel");
-    if (!isGood(response)) {
+    if (!isSuccess(response)) {
         return fail(response);
     }
     print(Json::parse(response.body, nullptr, false), response.body);
@@ -212,7 +214,7 @@
 {
     using Action = ExitCode (*)(CallerClient &, const std::string &);
     static const std::map<std::string, Action> actions{
-        {"submit", submit}, {"status", tellStatus}, {"results", results}, {"cancel", cancel}};
+        {"submit", submit}, {"status", printStatus}, {"results", results}, {"cancel", cancel}};
     CallerClient client = makeClient();
     if (arguments == std::vector<std::string>{"list"}) {
         return list(client);
@@ -229,7 +231,7 @@
     }
     CallerClient client = makeClient();
     const HttpResponse response = client.call("GET", "/v1/results/" + arguments.front());
-    if (!isGood(response)) {
+    if (!isSuccess(response)) {
         return fail(response);
     }
     std::fputs(response.body.c_str(), stdout);
@@ -244,7 +246,7 @@
     }
     CallerClient client = makeClient();
     const HttpResponse response = client.call("GET", "/v1/entries");
-    if (!isGood(response)) {
+    if (!isSuccess(response)) {
         return fail(response);
     }
     if (FLAGS_json) {
--- a/Programs/dogwoodkeel/BatchCommand.h
+++ b/Programs/dogwoodkeel/BatchCommand.h
@@ -5,16 +5,16 @@
 namespace Dogwoodkeel
 {
 
-/** Help of `dogwoodkeel batch`. */
+/** Usage text of `dogwoodkeel batch`. */
 extern const char *const batchHelp;
 
-/** `dogwoodkeel batch submit|status|list|results|cancel` */
+/** Runs `dogwoodkeel batch submit|status|list|results|cancel`. */
 ExitCode runBatch(const std::vector<std::string> &arguments);
 
-/** `dogwoodkeel results ID`: the stored answer of a request. */
+/** Runs `dogwoodkeel results ID`: prints the stored answer of a request. */
 ExitCode runResults(const std::vector<std::string> &arguments);
 
-/** `dogwoodkeel entries`: the addresses to use. */
+/** Runs `dogwoodkeel entries`: prints the addresses that callers should connect to. */
 ExitCode runEntries(const std::vector<std::string> &arguments);
 
 } // namespace Dogwoodkeel
--- a/Programs/dogwoodkeel/Command.h
+++ b/Programs/dogwoodkeel/Command.h
@@ -7,14 +7,14 @@
 namespace Dogwoodkeel
 {
 
-/** What the process ends with. */
+/** Exit code of the process. */
 enum class ExitCode {
     Success = 0,
-    /** What was asked for could not be done. */
+    /** The operation failed, or no node answered. */
     Failure = 1,
     /** The command line or the settings are wrong; nothing was started. */
     Usage = 2,
-    /** The system refused it, and said why. */
+    /** The system refused the request and gave a reason. */
     Refused = 3,
 };
 
@@ -22,15 +22,15 @@
 struct Command
 {
     std::string_view name;
-    /** One line, for the list of commands. */
+    /** One-line description for the list of commands. */
     std::string_view summary;
-    /** How to use it, with its flags and exit codes. */
+    /** Usage text with flags and exit codes. */
     std::string_view help;
-    /** @param arguments what stands behind the command's name, without flags */
+    /** @param arguments the arguments after the command's name, without flags */
     ExitCode (*run)(const std::vector<std::string> &arguments);
 };
 
-/** @return all subcommands, in the order help lists them. */
+/** @return all subcommands, in the order in which help lists them. */
 const std::vector<Command> &commands();
 
 } // namespace Dogwoodkeel
--- a/Programs/dogwoodkeel/ConfigCommand.cpp
+++ b/Programs/dogwoodkeel/ConfigCommand.cpp
@@ -23,7 +23,7 @@
 DEFINE_string(directory, "", "working copy of the configuration: base.toml, sites/NAME.toml and VERSION");
 DEFINE_string(reason, "", "why the configuration is changed");
 DEFINE_bool(wait, false, "wait until every node has the version in force");
-DEFINE_bool(rebase, false, "when another operator's version came first, put the changes on top of it and apply again");
+DEFINE_bool(rebase, false, "if another operator's version was accepted first, rebase the changes onto it and apply again");
 DEFINE_uint64(config_version, 0, "version to show; 0: the newest");
 DEFINE_int32(limit, 20, "how many versions to list");
 
@@ -40,8 +40,8 @@
       "       dogwoodkeel config log [--limit=N]                 versions with time, author and reason\n"
       "       dogwoodkeel config revert N --reason=TEXT [--wait] make version N's content the newest version\n"
       "       dogwoodkeel config wait N                          wait until every node has version N in force\n"
-      "All but check ask a node: --node=ADDRESS --key_file=FILE.\n"
-      "exit codes: 0 done, 1 could not be done or another version came first, 2 mistakes in files or command line\n";
+      "All commands except check query a node: --node=ADDRESS --key_file=FILE.\n"
+      "exit codes: 0 done, 1 failed or another version was accepted first, 2 errors in files or command line\n";
 
 namespace
 {
@@ -51,12 +51,12 @@
 constexpr int statusOk = 200;
 constexpr int statusConflict = 409;
 constexpr int statusInvalid = 422;
-constexpr int sends = 5;
-constexpr int rebases = 5;
+constexpr int maxSendAttempts = 5;
+constexpr int maxRebases = 5;
 constexpr std::size_t nonceBytes = 16;
-constexpr std::chrono::milliseconds resendPause{500};
+constexpr std::chrono::milliseconds resendInterval{500};
 
-/** A version as a node told it. */
+/** A configuration version as returned by a node. */
 struct ShownVersion
 {
     std::uint64_t number = 0;
@@ -81,7 +81,7 @@
     return ExitCode::Usage;
 }
 
-ExitCode tellFindings(const Json &findings)
+ExitCode printFindings(const Json &findings)
 {
     for (const Json &finding : findings) {
         const Finding reported{{finding.value("file", ""), finding.value("line", 0U), finding.value("column", 0U)},
@@ -108,7 +108,7 @@
         std::fputs(findings.toString().c_str(), stderr);
         return ExitCode::Usage;
     }
-    std::puts("the settings are in order");
+    std::puts("the settings are valid");
     return ExitCode::Success;
 }
 
@@ -191,7 +191,7 @@
         return fail(response);
     }
     if (newest->number != directory.edited()) {
-        std::printf("the working copy was made from version %llu; version %llu is the newest\n",
+        std::printf("the working copy was made from version %llu, but version %llu is the newest\n",
                     static_cast<unsigned long long>(directory.edited()),
                     static_cast<unsigned long long>(newest->number));
     }
@@ -199,18 +199,21 @@
     return ExitCode::Success;
 }
 
-/** Sends a change until its outcome is known: a resend with the same nonce is accepted once. */
+/**
+ * Sends a change until its outcome is known, a limited number of times. A change that is sent again has the same nonce, so
+ * it is accepted at most once.
+ */
 HttpResponse sendChange(const std::string &path, const std::string &body)
 {
     HttpResponse response;
-    for (int i = 0; i < sends; ++i) {
+    for (int i = 0; i < maxSendAttempts; ++i) {
         response = OperatorClient::call("POST", path, body);
         const bool mayHaveRun = response.status == 0 || response.body.find("outcome_unknown") != std::string::npos;
         if (!mayHaveRun) {
             return response;
         }
-        std::fputs("no answer yet, sent again\n", stderr);
-        std::this_thread::sleep_for(resendPause);
+        std::fputs("no answer yet, sending again\n", stderr);
+        std::this_thread::sleep_for(resendInterval);
     }
     return response;
 }
@@ -225,7 +228,10 @@
     return FLAGS_wait ? waitInForce(number) : ExitCode::Success;
 }
 
-/** Puts the changes between two contents on top of a third. @return nothing if they meet in one place */
+/**
+ * Merges configurations: applies the changes from `common` to `ours` on top of `theirs`.
+ * @return the merged configuration, or nothing if there are conflicts
+ */
 std::optional<ConfigurationContent>
 rebase(const ConfigurationContent &common, const ConfigurationContent &theirs, const ConfigurationContent &ours)
 {
@@ -234,7 +240,7 @@
         = [&isMerged](const std::string &name, const std::string &from, const std::string &left, const std::string &right) {
               const TextMerge merged = mergeTexts(from, left, right);
               for (const std::size_t line : merged.conflicts) {
-                  std::fprintf(stderr, "%s:%zu: both versions change this place\n", name.c_str(), line);
+                  std::fprintf(stderr, "%s:%zu: conflict: both versions change this line\n", name.c_str(), line);
                   isMerged = false;
               }
               return merged.text;
@@ -249,8 +255,12 @@
     return isMerged ? std::optional(result) : std::nullopt;
 }
 
-/** Tells what won, and with --rebase puts the proposal on top of it. @return whether to send the proposal again */
-bool takeRace(const HttpResponse &response, ConfigurationProposal &proposal)
+/**
+ * Handles a proposal that lost to another version: prints what the accepted version changes and, with --rebase, rebases the
+ * proposal onto it.
+ * @return whether to send the proposal again
+ */
+bool handleConflict(const HttpResponse &response, ConfigurationProposal &proposal)
 {
     const auto winner = parseVersion(Json::parse(response.body, nullptr, false).value("winner", Json()));
     HttpResponse answer;
@@ -260,11 +270,11 @@
         return false;
     }
     std::fprintf(stderr,
-                 "version %llu came first; it changes:\n%s",
+                 "version %llu was accepted first; it changes:\n%s",
                  static_cast<unsigned long long>(winner->number),
                  difference(common->content, winner->content).c_str());
     if (!FLAGS_rebase) {
-        std::fputs("apply with --rebase to put your changes on top of it\n", stderr);
+        std::fputs("apply with --rebase to rebase your changes onto it\n", stderr);
         return false;
     }
     const auto rebased = rebase(common->content, winner->content, proposal.content);
@@ -286,18 +296,18 @@
     }
     ConfigurationProposal proposal{directory.edited(), randomHex(nonceBytes), {}, FLAGS_reason, *content};
     HttpResponse response;
-    for (int i = 0; i < rebases; ++i) {
+    for (int i = 0; i < maxRebases; ++i) {
         response = sendChange("/v1/config", ConfigurationJson::format(proposal).dump());
         if (response.status == statusOk) {
             return accepted(response);
         }
         if (response.status == statusInvalid) {
-            return tellFindings(Json::parse(response.body, nullptr, false).value("findings", Json::array()));
+            return printFindings(Json::parse(response.body, nullptr, false).value("findings", Json::array()));
         }
         if (response.status != statusConflict) {
             return fail(response);
         }
-        if (!takeRace(response, proposal)) {
+        if (!handleConflict(response, proposal)) {
             return ExitCode::Failure;
         }
     }
@@ -335,7 +345,7 @@
     const Json body{{"version", number}, {"edited", newest->number}, {"nonce", randomHex(nonceBytes)}, {"reason", reason}};
     response = sendChange("/v1/config/revert", body.dump());
     if (response.status == statusInvalid) {
-        return tellFindings(Json::parse(response.body, nullptr, false).value("findings", Json::array()));
+        return printFindings(Json::parse(response.body, nullptr, false).value("findings", Json::array()));
     }
     return response.status == statusOk ? accepted(response) : fail(response);
 }
--- a/Programs/dogwoodkeel/ConfigCommand.h
+++ b/Programs/dogwoodkeel/ConfigCommand.h
@@ -8,7 +8,7 @@
 /** Checks, compares, applies, shows, lists and reverts configuration versions. */
 ExitCode runConfig(const std::vector<std::string> &arguments);
 
-/** How to use runConfig(). */
+/** Usage text of `dogwoodkeel config`. */
 extern const char *const configHelp;
 
 } // namespace Dogwoodkeel
--- a/Programs/dogwoodkeel/ConfigWait.cpp
+++ b/Programs/dogwoodkeel/ConfigWait.cpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <thread>
 
-DEFINE_int32(timeout, 60, "how many seconds to wait");
+DEFINE_int32(timeout, 60, "seconds to wait");
 
 namespace Dogwoodkeel
 {
@@ -21,36 +21,36 @@
 using Json = nlohmann::json;
 
 constexpr int statusOk = 200;
-constexpr std::chrono::milliseconds pause{200};
+constexpr std::chrono::milliseconds pollInterval{200};
 
-/** Nodes of one site. */
+/** Counts the nodes of one site and those that have the version in force. */
 struct SiteCount
 {
     int inForce = 0;
     int nodes = 0;
 };
 
-/** What the nodes said. */
-struct Survey
+/** How far a version has come into force, from the answers of the nodes. */
+struct RolloutState
 {
     bool isAnswered = false;
     bool isComplete = false;
     std::string progress;
-    std::string missing;
+    std::string missingNodes;
 };
 
-Survey ask(std::uint64_t version)
+RolloutState queryRollout(std::uint64_t version)
 {
-    Survey survey;
+    RolloutState state;
     const HttpResponse response = OperatorClient::call("GET", "/v1/config/nodes");
     const Json nodes = Json::parse(response.body, nullptr, false);
-    survey.isAnswered = response.status == statusOk && nodes.is_object();
-    if (!survey.isAnswered) {
-        survey.missing = response.body + '\n';
-        return survey;
+    state.isAnswered = response.status == statusOk && nodes.is_object();
+    if (!state.isAnswered) {
+        state.missingNodes = response.body + '\n';
+        return state;
     }
     std::map<std::string, SiteCount> sites;
-    survey.isComplete = true;
+    state.isComplete = true;
     for (const Json &node : nodes["nodes"]) {
         SiteCount &site = sites[node.value("site", "")];
         ++site.nodes;
@@ -58,17 +58,17 @@
             ++site.inForce;
             continue;
         }
-        survey.isComplete = false;
+        state.isComplete = false;
         const std::string obstacle = node.value("obstacle", "");
-        survey.missing += node.value("vm", "") + " (" + node.value("failure_domain", "") + "): has version "
+        state.missingNodes += node.value("vm", "") + " (" + node.value("failure_domain", "") + "): has version "
             + std::to_string(node.value("in_force", std::uint64_t{0})) + ", "
-            + (obstacle.empty() ? "has not heard of it yet" : obstacle) + '\n';
+            + (obstacle.empty() ? "has not received it yet" : obstacle) + '\n';
     }
     for (const auto &[name, site] : sites) {
-        survey.progress
+        state.progress
             += (name.empty() ? "nodes" : name) + ' ' + std::to_string(site.inForce) + '/' + std::to_string(site.nodes) + "  ";
     }
-    return survey;
+    return state;
 }
 
 } // namespace
@@ -78,19 +78,19 @@
     const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(FLAGS_timeout);
     std::string reported;
     for (;;) {
-        const Survey survey = ask(version);
-        if (survey.progress != reported) {
-            reported = survey.progress;
+        const RolloutState state = queryRollout(version);
+        if (state.progress != reported) {
+            reported = state.progress;
             std::printf("in force: %s\n", reported.c_str());
         }
-        if (survey.isComplete) {
+        if (state.isComplete) {
             return ExitCode::Success;
         }
         if (std::chrono::steady_clock::now() >= deadline) {
-            std::fprintf(stderr, "not in force everywhere:\n%s", survey.missing.c_str());
+            std::fprintf(stderr, "not in force everywhere:\n%s", state.missingNodes.c_str());
             return ExitCode::Failure;
         }
-        std::this_thread::sleep_for(pause);
+        std::this_thread::sleep_for(pollInterval);
     }
 }
 
--- a/Programs/dogwoodkeel/ExplainCommand.cpp
+++ b/Programs/dogwoodkeel/ExplainCommand.cpp
@@ -10,7 +10,7 @@
 
 #include <gflags/gflags.h>
 
-DEFINE_string(log, "", "log files to explain from, separated by commas; more may follow the id");
+DEFINE_string(log, "", "log files to read, separated by commas; more may follow the id");
 
 namespace Dogwoodkeel
 {
@@ -36,7 +36,7 @@
     }
     std::ifstream file(name);
     if (!file) {
-        std::fprintf(stderr, "can't read %s\n", name.c_str());
+        std::fprintf(stderr, "cannot read %s\n", name.c_str());
         return false;
     }
     readLines(file, report);
@@ -66,7 +66,7 @@
         }
     }
     if (!report.isKnown()) {
-        std::fprintf(stderr, "no line tells of %s\n", arguments.front().c_str());
+        std::fprintf(stderr, "no log line mentions %s\n", arguments.front().c_str());
         return ExitCode::Failure;
     }
     std::fputs(report.text().c_str(), stdout);
--- a/Programs/dogwoodkeel/Flags.cpp
+++ b/Programs/dogwoodkeel/Flags.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <sstream>
 
-DEFINE_string(settings, "", "settings files, separated by commas: base first, then what differs");
+DEFINE_string(settings, "", "settings files, separated by commas: base first, then files that override it");
 DEFINE_string(platform, "", "http or embedded: overrides platform.kind");
 DEFINE_string(http, "", "address for callers: overrides listen.http");
 DEFINE_string(engine, "", "for a trial: MODEL=ADDRESS of one engine");
@@ -26,10 +26,10 @@
     return paths;
 }
 
-/** What a trial needs beside the flags, so that it starts without any file. */
+/** Settings that a trial needs besides the flags, so that a node can start without any file. */
 constexpr const char *trialDefaults = "[node]\nvm = \"trial\"\nfailure_domain = \"trial\"\n";
 
-/** Flags as one more, last settings source: they are checked as settings are. */
+/** Returns the flags as the last settings source, so that they are checked in the same way as settings. */
 std::string flagsAsSettings()
 {
     std::string text;
--- a/Programs/dogwoodkeel/Flags.h
+++ b/Programs/dogwoodkeel/Flags.h
@@ -17,10 +17,10 @@
 {
 
 /**
- * Load the settings that the flags name, and let the flags override.
- * @param sources gets the texts of the files, flags last
- * @param findings gets every mistake with its place
- * @return the settings, or nothing if there was a mistake
+ * Loads the settings files named by --settings; the other flags override their values.
+ * @param sources receives the contents of the files, followed by the flags as one more source
+ * @param findings receives every error with its file, line and column
+ * @return the settings, or nothing if there was an error
  */
 std::optional<Settings> loadServeSettings(std::vector<SettingsSource> &sources, Findings &findings);
 
--- a/Programs/dogwoodkeel/GatewayCommand.cpp
+++ b/Programs/dogwoodkeel/GatewayCommand.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-/** The platform tells where it has put the settings file by this variable. */
+/** Environment variable in which the platform passes the path of the settings file. */
 constexpr const char *settingsVariable = "DOGWOODKEEL_SETTINGS";
 
 void useSettingsOfPlatform()
@@ -32,18 +32,18 @@
     }
 }
 
-/** Say what is wrong with changed settings; what they hold takes effect at the next start. */
+/** Logs the errors in changed settings. Changed values take effect at the next start only. */
 void checkChangedSettings()
 {
     Findings findings;
     std::vector<SettingsSource> sources;
-    const bool isGood = loadServeSettings(sources, findings).has_value();
-    log(isGood ? LogLevel::Info : LogLevel::Error,
+    const bool isValid = loadServeSettings(sources, findings).has_value();
+    log(isValid ? LogLevel::Info : LogLevel::Error,
         "settings file read again",
-        {{"good", isGood}, {"findings", findings.toString()}});
+        {{"good", isValid}, {"findings", findings.toString()}});
 }
 
-/** Waits for signals until one stops the node. */
+/** Waits until a signal requests a stop; SIGHUP checks the settings instead. */
 void awaitStop(const sigset_t &signals)
 {
     int signal = 0;
@@ -57,7 +57,7 @@
 
 ExitCode runGateway(const std::vector<std::string> &)
 {
-    // First of all: a VM may be told to stop while its node still reads the settings.
+    // Signals are blocked first, because a VM may receive a stop signal while its node still reads the settings.
     const sigset_t signals = blockSignals({SIGTERM, SIGINT, SIGHUP});
     useSettingsOfPlatform();
     Findings findings;
@@ -74,7 +74,8 @@
         EventLoop loop;
         Gateway gateway(loop, clock, settings);
         log(LogLevel::Info, "started", {{"address", settings->listen.http.toString()}});
-        // NOTE: Not joined: if the loop ends by a failure, no signal may ever come, and the process has to end at once.
+        // NOTE: This thread is not joined: if the loop ends by an exception, there may never be a signal to end the wait, and the
+        //       process has to exit at once.
         std::thread([&loop, &gateway, signals] {
             awaitStop(signals);
             loop.post([&loop, &gateway] {
--- a/Programs/dogwoodkeel/Main.cpp
+++ b/Programs/dogwoodkeel/Main.cpp
@@ -31,38 +31,39 @@
     for (const Command &command : commands()) {
         std::printf("  %-10s %s\n", std::string(command.name).c_str(), std::string(command.summary).c_str());
     }
-    std::puts("\ndogwoodkeel help COMMAND tells how to use one, and its exit codes.");
+    std::puts("\ndogwoodkeel help COMMAND prints the usage and exit codes of a command.");
     return topics.empty() ? ExitCode::Success : ExitCode::Usage;
 }
 
-ExitCode run(const std::vector<std::string> &words)
+ExitCode run(const std::vector<std::string> &arguments)
 {
-    if (words.empty() || words.front() == "help") {
-        return help(words.empty() ? words : std::vector<std::string>(words.begin() + 1, words.end()));
+    if (arguments.empty() || arguments.front() == "help") {
+        return help(arguments.empty() ? arguments : std::vector<std::string>(arguments.begin() + 1, arguments.end()));
     }
-    const Command *const command = findCommand(words.front());
+    const Command *const command = findCommand(arguments.front());
     if (command == nullptr) {
-        std::fprintf(stderr, "there is no command %s; dogwoodkeel help lists them\n", words.front().c_str());
+        std::fprintf(stderr, "unknown command %s; dogwoodkeel help lists the commands\n", arguments.front().c_str());
         return ExitCode::Usage;
     }
-    return command->run(std::vector<std::string>(words.begin() + 1, words.end()));
+    return command->run(std::vector<std::string>(arguments.begin() + 1, arguments.end()));
 }
 
 /**
- * Found before gflags reads the command line: its own help lists the flags of all libraries, and no commands.
- * @return the words beside --help, or nothing if it isn't asked for
+ * Finds --help before gflags parses the command line, because the help of gflags lists the flags of all libraries and no
+ * commands.
+ * @return the command names given along with --help, or nothing if help is not requested
  */
-std::optional<std::vector<std::string>> helpTopics(const std::vector<std::string> &words)
+std::optional<std::vector<std::string>> helpTopics(const std::vector<std::string> &arguments)
 {
-    const bool isAsked = std::ranges::any_of(words, [](const std::string &word) {
-        return word == "--help" || word == "-help" || word == "-h";
+    const bool isRequested = std::ranges::any_of(arguments, [](const std::string &argument) {
+        return argument == "--help" || argument == "-help" || argument == "-h";
     });
-    if (!isAsked) {
+    if (!isRequested) {
         return std::nullopt;
     }
     std::vector<std::string> topics;
-    std::ranges::copy_if(words, std::back_inserter(topics), [](std::string_view word) {
-        return !word.starts_with('-') && word != "help";
+    std::ranges::copy_if(arguments, std::back_inserter(topics), [](std::string_view argument) {
+        return !argument.starts_with('-') && argument != "help";
     });
     return topics;
 }
--- a/Programs/dogwoodkeel/Node.cpp
+++ b/Programs/dogwoodkeel/Node.cpp
@@ -20,11 +20,11 @@
 {
 
 constexpr std::chrono::milliseconds watchInterval{100};
-/** How often the entry task hears how many batch items run, to take them off the load reports. */
+/** How often the entry task receives the number of running batch items, which it subtracts from the load reports. */
 constexpr std::chrono::milliseconds itemsInterval{25};
 constexpr std::chrono::milliseconds pollInterval{20};
-/** How often a node that cannot start yet says so. */
-constexpr std::chrono::seconds waitNotice{5};
+/** How often a node that cannot start yet logs that it is not ready. */
+constexpr std::chrono::seconds waitLogInterval{5};
 
 CallBudget::Rates ratesOf(const PlatformSettings &platform)
 {
@@ -82,8 +82,8 @@
         });
     });
     std::future<SessionNumber> opened = session.get_future();
-    while (opened.wait_for(waitNotice) != std::future_status::ready) {
-        log(LogLevel::Warning, "not ready: the platform has not given a session number yet");
+    while (opened.wait_for(waitLogInterval) != std::future_status::ready) {
+        log(LogLevel::Warning, "not ready: the platform has not issued a session number yet");
     }
     this->self = opened.get();
     log(LogLevel::Info, "session opened", {{"session", static_cast<std::int64_t>(this->self.value())}});
@@ -97,11 +97,11 @@
             configuration.set_value(settings);
         });
     });
-    std::future<SettingsPointer> learnt = configuration.get_future();
-    while (learnt.wait_for(waitNotice) != std::future_status::ready) {
-        log(LogLevel::Warning, "not ready: the platform has not told the newest configuration yet, or it does not load");
+    std::future<SettingsPointer> received = configuration.get_future();
+    while (received.wait_for(waitLogInterval) != std::future_status::ready) {
+        log(LogLevel::Warning, "not ready: the newest configuration has not been received from the platform yet, or is invalid");
     }
-    this->settings = learnt.get();
+    this->settings = received.get();
 }
 
 void Node::makeTasks()
@@ -113,7 +113,7 @@
     const LocalPeer ownOwner = this->localOwner();
     this->lane = std::make_unique<TaskHost<LaneTask>>("lane", this->clock, this->settings, this->self, this->security, ownOwner);
     const OperatorGateway operators = [this](OperatorRequest request, OperatorRespond respond) {
-        this->askControl(std::move(request), std::move(respond));
+        this->forwardOperatorRequest(std::move(request), std::move(respond));
     };
     this->entry = std::make_unique<TaskHost<EntryTask>>(
         "entry", this->clock, this->settings, this->self, this->security, ownOwner, this->makePlatform, this->metrics, operators);
@@ -169,7 +169,7 @@
     });
     this->control->post([this, member](ControlTask &control) {
         control.join(member, [this](const MemberViewPointer &view) {
-            this->spread(view);
+            this->publishView(view);
         });
         control.startOrders();
         control.followConfiguration([this](const SettingsPointer &settings, const std::function<void()> &done) {
@@ -178,7 +178,7 @@
     });
     this->control->post([this](ControlTask &control) {
         control.watchVms([this](const ListedVmsPointer &vms) {
-            this->spreadVms(vms);
+            this->publishVms(vms);
         });
     });
     this->owner->post([](OwnerTask &task) {
@@ -220,31 +220,32 @@
 
 void Node::putInForce(const SettingsPointer &settings, const std::function<void()> &done)
 {
-    // Told as in force when the last task has swapped: before that a request could still run by the older settings.
+    // Reported as in force only when all tasks have applied the settings: before that, a request could still run with the
+    // older settings.
     constexpr int tasks = 3;
-    const auto missing = std::make_shared<std::atomic<int>>(tasks);
-    const auto swapped = [this, missing, done] {
-        if (--*missing == 0) {
+    const auto remainingTasks = std::make_shared<std::atomic<int>>(tasks);
+    const auto applied = [this, remainingTasks, done] {
+        if (--*remainingTasks == 0) {
             this->control->post([done](ControlTask &) {
                 done();
             });
         }
     };
-    this->owner->post([settings, swapped](OwnerTask &task) {
+    this->owner->post([settings, applied](OwnerTask &task) {
         task.putInForce(settings);
-        swapped();
+        applied();
     });
-    this->lane->post([settings, swapped](LaneTask &task) {
+    this->lane->post([settings, applied](LaneTask &task) {
         task.putInForce(settings);
-        swapped();
+        applied();
     });
-    this->entry->post([settings, swapped](EntryTask &task) {
+    this->entry->post([settings, applied](EntryTask &task) {
         task.putInForce(settings);
-        swapped();
+        applied();
     });
 }
 
-void Node::askControl(OperatorRequest request, OperatorRespond respond)
+void Node::forwardOperatorRequest(OperatorRequest request, OperatorRespond respond)
 {
     this->control->post([this, request = std::move(request), respond = std::move(respond)](ControlTask &control) {
         if (control.isClosed()) {
@@ -287,21 +288,21 @@
 
 void Node::addStatusParts()
 {
-    // Each part is made on the task that knows it and handed back on the control task.
-    const auto back = [this](const StatusBoard::Collected &collected, StatusPart part) {
+    // Each part is created on the task that owns its data, and returned on the control task.
+    const auto returnPart = [this](const StatusBoard::Collected &collected, StatusPart part) {
         this->control->post([collected, part = std::move(part)](ControlTask &) {
             collected(part);
         });
     };
-    this->control->post([this, back](ControlTask &control) {
-        control.statusBoard().add("shards", [this, back](const StatusBoard::Collected &collected) {
-            this->owner->post([back, collected](OwnerTask &task) {
-                back(collected, shardStatus(task.owner()));
+    this->control->post([this, returnPart](ControlTask &control) {
+        control.statusBoard().add("shards", [this, returnPart](const StatusBoard::Collected &collected) {
+            this->owner->post([returnPart, collected](OwnerTask &task) {
+                returnPart(collected, shardStatus(task.owner()));
             });
         });
-        control.statusBoard().add("endpoints", [this, back](const StatusBoard::Collected &collected) {
-            this->entry->post([back, collected](EntryTask &task) {
-                back(collected, endpointStatus(task.endpoints(), task.openRequests()));
+        control.statusBoard().add("endpoints", [this, returnPart](const StatusBoard::Collected &collected) {
+            this->entry->post([returnPart, collected](EntryTask &task) {
+                returnPart(collected, endpointStatus(task.endpoints(), task.openRequests()));
             });
         });
     });
@@ -325,7 +326,7 @@
     });
 }
 
-void Node::spread(const MemberViewPointer &seen)
+void Node::publishView(const MemberViewPointer &seen)
 {
     const auto writesPerSecond = static_cast<double>(this->settings->platform.writesPerSecond);
     const MemberViewPointer view = seen->withJournalLimit(maxJournals(writesPerSecond));
@@ -346,8 +347,9 @@
     if (this->stopping) {
         return;
     }
-    // Another node held this one dead, took its shards over and sealed its journal: a VM that was paused, or cut off. As it
-    // is, it could own nothing for the rest of its life. It goes on as a new member; its callers notice nothing.
+    // Another node considered this one failed, because its VM was paused or unreachable, took over its shards and sealed its
+    // journal. With the old session this node could never own a shard again, so it joins as a new member with a new session.
+    // Callers are not affected.
     this->control->post([this](ControlTask &control) {
         control.renewSession([this, &control](SessionNumber session) {
             if (this->stopping) {
@@ -369,7 +371,7 @@
     });
 }
 
-void Node::spreadVms(const ListedVmsPointer &vms)
+void Node::publishVms(const ListedVmsPointer &vms)
 {
     this->entry->post([vms](EntryTask &task) {
         task.setVms(vms);
@@ -419,9 +421,9 @@
     return true;
 }
 
-void Node::hurry()
+void Node::skipEntryWait()
 {
-    this->hurried = true;
+    this->isEntryWaitSkipped = true;
 }
 
 void Node::stop()
@@ -433,8 +435,8 @@
     });
     const SteadyTime deadline = this->clock.now() + inForce->entry.drain;
     this->watch.reset();
-    // Callers may hold an answer of /v1/entries that names this node until its time to live has passed: it goes on
-    // serving for that long, and nobody is told of it any more.
+    // Callers may use an answer of /v1/entries that names this node until its time to live has passed. The node serves for
+    // that long, but new answers no longer contain it.
     this->control->post([](ControlTask &control) {
         control.update([](Member &member) {
             member.state = MemberState::Leaving;
@@ -450,14 +452,14 @@
     this->entry->post([](EntryTask &task) {
         task.sendCallersAway();
     });
-    const auto spread = this->control->ask<std::chrono::milliseconds>([](ControlTask &control) {
+    const auto propagationTime = this->control->ask<std::chrono::milliseconds>([](ControlTask &control) {
         return control.spreadTime();
     });
     this->waitFor(
         [this] {
-            return this->hurried.load();
+            return this->isEntryWaitSkipped.load();
         },
-        std::min(deadline, this->clock.now() + spread + inForce->entry.entryTtl));
+        std::min(deadline, this->clock.now() + propagationTime + inForce->entry.entryTtl));
     this->entry->post([](EntryTask &task) {
         task.drain();
     });
@@ -495,7 +497,7 @@
     log(LogLevel::Info,
         "planned stop done",
         {{"requests_finished", isEntryDone}, {"items_finished", isLaneDone}, {"shards_released", isReleased}});
-    // The control task posts to the others, and they to it: it is made silent first and destroyed last.
+    // The control task and the other tasks post to each other: it is closed first and destroyed last.
     this->control->ask<bool>([](ControlTask &control) {
         control.close();
         return true;
--- a/Programs/dogwoodkeel/Node.h
+++ b/Programs/dogwoodkeel/Node.h
@@ -19,29 +19,32 @@
 namespace Dogwoodkeel
 {
 
-/** One node: its four tasks, put together. */
+/** One node of the system. Creates the control, owner, lane and entry tasks, connects them, and starts and stops them. */
 class Node
 {
 public:
     /**
-     * @param settings of the VM's own files and the flags
-     * @param ownFiles the texts of those
+     * @param settings loaded from the VM's own files and the flags
+     * @param ownFiles the contents of these sources
      */
     Node(const Clock &clock, SettingsPointer settings, std::vector<SettingsSource> ownFiles);
 
-    /** Start; returns when the node takes requests. @throws std::runtime_error if it cannot listen */
+    /** Starts the node; returns when it accepts requests. @throws std::runtime_error if it cannot listen */
     void start();
 
     /**
-     * Stop as planned: leave the entry answers, finish what runs, give up shards and lanes. Returns when that is done, or
-     * when entry.drain has passed.
+     * Stops the node in a planned way: removes it from the answers of /v1/entries, finishes running requests and items, and
+     * releases its shards and lanes. Returns when that is done, or when entry.drain has passed.
      */
     void stop();
 
-    /** Do not wait for the entry answers that name this node; requests in progress are finished. From any thread. */
-    void hurry();
+    /**
+     * Makes stop() no longer wait until the entry answers that name this node expire; requests in progress are still
+     * finished. May be called from any thread.
+     */
+    void skipEntryWait();
 
-    /** @return where callers connect. */
+    /** @return the address that callers connect to. */
     const Address &httpAddress() const;
 
 private:
@@ -50,16 +53,16 @@
     void learnConfiguration();
     void makeTasks();
     Member makeMember();
-    void spread(const MemberViewPointer &seen);
+    void publishView(const MemberViewPointer &seen);
     void putInForce(const SettingsPointer &settings, const std::function<void()> &done);
-    void askControl(OperatorRequest request, OperatorRespond respond);
+    void forwardOperatorRequest(OperatorRequest request, OperatorRespond respond);
     void serveControlCalls();
     void addStatusParts();
     template <typename Request>
     void
     forwardToControl(std::function<void(ControlTask &, const Request &, PeerServer::Respond<typename Request::Response>)> answer);
     void renewSession();
-    void spreadVms(const ListedVmsPointer &vms);
+    void publishVms(const ListedVmsPointer &vms);
     void watchBacklog();
     void watchItems();
     bool waitFor(const std::function<bool()> &isReached, SteadyTime deadline);
@@ -74,15 +77,15 @@
     SessionNumber self;
     std::atomic<bool> stopping = false;
     Address http;
-    /** Reckoned with on the control task. */
+    /** Used on the control task only. */
     EntryPressure pressure;
-    std::atomic<bool> hurried = false;
+    std::atomic<bool> isEntryWaitSkipped = false;
     std::unique_ptr<TaskHost<StartingTask>> starting;
     std::unique_ptr<TaskHost<ControlTask>> control;
     std::unique_ptr<TaskHost<OwnerTask>> owner;
     std::unique_ptr<TaskHost<LaneTask>> lane;
     std::unique_ptr<TaskHost<EntryTask>> entry;
-    /** Destroyed first: it posts to the tasks above. */
+    /** Declared last so that it is destroyed first: it posts to the tasks above. */
     std::unique_ptr<Task> watch;
 };
 
--- a/Programs/dogwoodkeel/NodeStatus.cpp
+++ b/Programs/dogwoodkeel/NodeStatus.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/** Failures in a row from which an endpoint is worth a look. */
-constexpr std::uint32_t manyFailures = 3;
+/** Number of consecutive failures from which an endpoint is reported as degraded. */
+constexpr std::uint32_t minReportedFailures = 3;
 
 } // namespace
 
@@ -37,7 +37,7 @@
     StatusPart part;
     for (const Replica &replica : endpoints) {
         leaving += replica.isLeaving ? 1 : 0;
-        if (replica.consecutiveFailures >= manyFailures) {
+        if (replica.consecutiveFailures >= minReportedFailures) {
             ++failing;
             part.degradations.push_back(
                 {"endpoint " + replica.name.value() + " fails", "see to it, or take it out of the configuration"});
--- a/Programs/dogwoodkeel/NodeStatus.h
+++ b/Programs/dogwoodkeel/NodeStatus.h
@@ -10,12 +10,12 @@
 namespace Dogwoodkeel
 {
 
-/** @return the part of the status on shards, batch items that wait, and the journal. */
+/** @return the part of the status about shards, waiting batch items and the journal. */
 StatusPart shardStatus(OwnerService &owner);
 
 /**
- * @param openRequests requests of callers not yet answered
- * @return the part of the status on endpoints, as this node's entry sees them
+ * @param openRequests number of callers' requests that are not answered yet
+ * @return the part of the status about the endpoints known to this node's entry task
  */
 StatusPart endpointStatus(const std::list<Replica> &endpoints, std::size_t openRequests);
 
--- a/Programs/dogwoodkeel/OperatorClient.cpp
+++ b/Programs/dogwoodkeel/OperatorClient.cpp
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <fstream>
 
-DEFINE_string(node, "127.0.0.1:8080", "address of any node, for the commands that ask one");
+DEFINE_string(node, "127.0.0.1:8080", "address of any node, for commands that query one");
 DEFINE_string(key_file, "", "file with the operator's key; without one no key is sent");
 
 namespace Dogwoodkeel
@@ -17,7 +17,7 @@
 
 constexpr std::chrono::seconds timeout{15};
 
-std::string keyInFile()
+std::string readKeyFile()
 {
     std::string key;
     std::ifstream file(FLAGS_key_file);
@@ -31,11 +31,11 @@
 {
     const auto address = Address::parse(FLAGS_node);
     if (!address) {
-        return {0, {}, "--node takes an address such as 127.0.0.1:8080"};
+        return {0, {}, "--node needs an address such as 127.0.0.1:8080"};
     }
     HttpRequest request{.method = method, .path = target, .headers = {{"Content-Type", "application/json"}}, .body = body};
     if (!FLAGS_key_file.empty()) {
-        request.headers["Authorization"] = "Bearer " + keyInFile();
+        request.headers["Authorization"] = "Bearer " + readKeyFile();
     }
     EventLoop loop;
     HttpClient client(loop);
--- a/Programs/dogwoodkeel/OperatorClient.h
+++ b/Programs/dogwoodkeel/OperatorClient.h
@@ -12,11 +12,11 @@
 namespace Dogwoodkeel
 {
 
-/** Calls a node as an operator, waiting for the answer. The node and the key come from --node and --key_file. */
+/** Sends requests of an operator to a node and waits for the response. --node and --key_file give the node and the key. */
 class OperatorClient
 {
 public:
-    /** @return the answer; status 0 if there was none */
+    /** @return the response; its status is 0 and its body says why if there was none */
     static HttpResponse call(const std::string &method, const std::string &target, const std::string &body = {});
 };
 
--- a/Programs/dogwoodkeel/ServeCommand.cpp
+++ b/Programs/dogwoodkeel/ServeCommand.cpp
@@ -21,14 +21,14 @@
 namespace
 {
 
-/** Waits for a second signal while a planned stop goes on. */
-void hurryAtSignal(Node &node, const sigset_t &signals, const std::stop_token &stopped)
+/** Waits for a second signal during a planned stop; it skips the wait for entry answers to expire. */
+void skipEntryWaitAtSignal(Node &node, const sigset_t &signals, const std::stop_token &stopped)
 {
-    constexpr timespec look{0, 100'000'000};
+    constexpr timespec pollInterval{0, 100'000'000};
     while (!stopped.stop_requested()) {
-        if (sigtimedwait(&signals, nullptr, &look) > 0) {
-            log(LogLevel::Warning, "told to stop again: not waiting for entry answers to run out");
-            node.hurry();
+        if (sigtimedwait(&signals, nullptr, &pollInterval) > 0) {
+            log(LogLevel::Warning, "told to stop again: not waiting for entry answers to expire");
+            node.skipEntryWait();
             return;
         }
     }
@@ -54,8 +54,8 @@
         log(LogLevel::Info, "serving", {{"address", node.httpAddress().toString()}});
         int signal = 0;
         sigwait(&signals, &signal);
-        const std::jthread hurrying([&node, &signals](const std::stop_token &stopped) {
-            hurryAtSignal(node, signals, stopped);
+        const std::jthread signalWatcher([&node, &signals](const std::stop_token &stopped) {
+            skipEntryWaitAtSignal(node, signals, stopped);
         });
         node.stop();
     } catch (const std::exception &error) {
--- a/Programs/dogwoodkeel/Signals.h
+++ b/Programs/dogwoodkeel/Signals.h
@@ -10,13 +10,13 @@
 {
 
 /**
- * Blocks signals in this thread and all that it starts, so that one place waits for them, and lets writes to closed
- * connections fail instead of ending the process.
- * @return the signals, for sigwait
+ * Blocks signals in this thread and in all threads that it starts, so that one thread can wait for them with sigwait().
+ * Ignores SIGPIPE, so that writes to closed connections fail instead of ending the process.
+ * @return the blocked signals, for sigwait()
  */
 sigset_t blockSignals(std::initializer_list<int> signals);
 
-/** @return the level that the settings ask for. */
+/** @return the log level for a value of the settings. */
 LogLevel logLevelOf(LogDetail detail);
 
 } // namespace Dogwoodkeel
--- a/Programs/dogwoodkeel/StatusCommand.cpp
+++ b/Programs/dogwoodkeel/StatusCommand.cpp
@@ -20,7 +20,7 @@
 
 constexpr int statusOk = 200;
 
-std::string flat(const Json &part)
+std::string formatFields(const Json &part)
 {
     std::string text;
     for (const auto &[name, value] : part.items()) {
@@ -47,24 +47,24 @@
     }
     for (const auto &[name, part] : report.items()) {
         if (part.is_object()) {
-            std::printf("    %-14s%s\n", name.c_str(), flat(part).c_str());
+            std::printf("    %-14s%s\n", name.c_str(), formatFields(part).c_str());
         }
     }
 }
 
-/** One line for what several nodes say alike. */
+/** Prints each degradation once, with the number of nodes that report it. */
 void printDegraded(const Json &nodes)
 {
     std::map<std::string, int> counts;
     for (const Json &node : nodes) {
         const Json report = node.value("report", Json());
         if (!report.is_object()) {
-            ++counts["a node did not answer\n    -> if its VM is gone, nothing; if it is there, look at its log"];
+            ++counts["a node did not answer\n    -> if its VM no longer exists, nothing; otherwise check its log"];
             continue;
         }
         for (const Json &degradation : report.value("degraded", Json::array())) {
             const std::string remedy = degradation.value("do", "");
-            ++counts[degradation.value("what", "") + "\n    -> " + (remedy.empty() ? "it heals by itself" : remedy)];
+            ++counts[degradation.value("what", "") + "\n    -> " + (remedy.empty() ? "recovers without action" : remedy)];
         }
     }
     std::puts(counts.empty() ? "nothing is degraded" : "degraded:");
--- a/Programs/dogwoodkeel/StatusCommand.h
+++ b/Programs/dogwoodkeel/StatusCommand.h
@@ -5,7 +5,7 @@
 namespace Dogwoodkeel
 {
 
-/** Tells the state of the whole system, as any node sees it. */
+/** Prints the state of the whole system as reported by the queried node. */
 ExitCode runStatus(const std::vector<std::string> &arguments);
 
 } // namespace Dogwoodkeel
