--- a/Services/Entry/ApiErrors.h
+++ b/Services/Entry/ApiErrors.h
@@ -10,31 +10,31 @@
 namespace Dogwoodkeel
 {
 
-/** Whether a refused request ran. */
+/** Whether a refused request was run by an endpoint. */
 enum class RunState {
-    /** Proved: it was never sent to an endpoint, or the endpoint refused it before running. */
+    /** Certain not to have run: it was never sent to an endpoint, or the endpoint refused it before running it. */
     NotRun,
     /** It may have run. */
     Unknown,
 };
 
-/** Why a caller is refused. */
+/** Why a request is refused. */
 struct Refusal
 {
     int status = 0;
-    /** A fixed word, for programs and counters. */
+    /** Machine-readable reason, one of a fixed set; also used as a metric label. */
     std::string_view reason;
-    /** For people. */
+    /** Human-readable explanation. */
     std::string message;
     RunState run = RunState::NotRun;
-    /** When to come back. */
+    /** Delay after which the caller may retry. */
     std::optional<std::chrono::seconds> retryAfter;
 };
 
-/** @return the response that tells a caller of a refusal, with its run member. */
+/** @return the error response for a refusal; its JSON states in "run" whether the request ran. */
 HttpResponse refusalResponse(const Refusal &refusal);
 
-/** @return the answer of GET /readyz while the node is not ready. @param waitingFor what it waits for */
+/** @return the response to GET /readyz while the node is not ready. @param waitingFor what the node waits for */
 HttpResponse notReadyResponse(const std::string &waitingFor);
 
 /** @return a response with a JSON body. */
--- a/Services/Entry/Authenticator.cpp
+++ b/Services/Entry/Authenticator.cpp
@@ -30,7 +30,7 @@
     if (!credentials.starts_with(scheme)) {
         return std::nullopt;
     }
-    // The hash is looked up, not the key: how long that takes tells nothing of the key itself.
+    // Looks up the hash instead of the key, so that the lookup time reveals nothing about the key.
     const auto found = this->byKeyHash.find(hashOfKey(credentials.substr(scheme.size())));
     return found != this->byKeyHash.end() ? std::optional(found->second) : std::nullopt;
 }
--- a/Services/Entry/Authenticator.h
+++ b/Services/Entry/Authenticator.h
@@ -19,13 +19,16 @@
     bool isOperator = false;
 };
 
-/** Finds the tenant behind an API key. Without any tenant in the settings, everyone is the tenant "default": a trial. */
+/**
+ * Maps API keys to tenants. If the settings have no API keys, as in a trial installation, every caller is the tenant
+ * "default" with operator rights.
+ */
 class Authenticator
 {
 public:
     explicit Authenticator(const std::vector<TenantSettings> &tenants);
 
-    /** @return who sent the request ("Authorization: Bearer KEY", RFC 6750), or nothing if the key is not known. */
+    /** @return who sent the request ("Authorization: Bearer KEY", RFC 6750), or nothing if the key is unknown. */
     std::optional<Caller> authenticate(const HttpHeaders &headers) const;
 
 private:
--- a/Services/Entry/BatchApi.cpp
+++ b/Services/Entry/BatchApi.cpp
@@ -24,22 +24,22 @@
 constexpr std::chrono::milliseconds timeout{10000};
 constexpr std::chrono::seconds retryAfter{1};
 constexpr std::size_t idBytes = 12;
-constexpr std::uint32_t resultsPerPage = 1000;
-constexpr std::uint32_t jobsListed = 100;
-/** An object that names a file is smaller; a larger body is items. */
-constexpr std::size_t fileRequestBytes = 16384;
+constexpr std::uint32_t defaultResultsPerPage = 1000;
+constexpr std::uint32_t maxListedJobs = 100;
+/** Maximum size of a request that references a file; a larger body holds items. */
+constexpr std::size_t maxFileRequestBytes = 16384;
 
-/** A job's id: of its key, so that a resend reaches the same owner and finds the job. */
+/** @return a job id derived from the idempotency key, so that a resend reaches the same owner and finds the job. */
 JobId jobIdOf(const Caller &caller, const std::optional<std::string> &key)
 {
     if (!key) {
         return JobId("batch-" + randomHex(idBytes));
     }
     const std::string name = caller.tenant.value() + '\n' + *key;
-    return JobId("batch-" + contentName(name));
+    return JobId("batch-" + contentHash(name));
 }
 
-const char *wordOf(JobState state)
+const char *nameOf(JobState state)
 {
     switch (state) {
     case JobState::Running:
@@ -58,18 +58,18 @@
     return std::chrono::duration_cast<std::chrono::seconds>(time.time_since_epoch()).count();
 }
 
-/** @return the file that a request to make a job from names, or nothing if the body is no such request. */
-std::optional<std::string> fileNamedIn(const std::string &body)
+/** @return the input_file_id of a request that references a file, or nothing if the body is no such request. */
+std::optional<std::string> requestedFileId(const std::string &body)
 {
-    const nlohmann::json wanted = nlohmann::json::parse(body, nullptr, false);
-    const bool isNamed = wanted.is_object() && wanted.contains("input_file_id") && wanted["input_file_id"].is_string();
-    return isNamed ? std::optional(wanted["input_file_id"].get<std::string>()) : std::nullopt;
+    const nlohmann::json request = nlohmann::json::parse(body, nullptr, false);
+    const bool isNamed = request.is_object() && request.contains("input_file_id") && request["input_file_id"].is_string();
+    return isNamed ? std::optional(request["input_file_id"].get<std::string>()) : std::nullopt;
 }
 
 nlohmann::json progressJson(const JobId &id, const JobProgress &progress)
 {
     return {{"id", id.value()},
-            {"status", wordOf(progress.state)},
+            {"status", nameOf(progress.state)},
             {"model", progress.model},
             {"items", progress.itemCount},
             {"succeeded", progress.succeeded},
@@ -114,7 +114,7 @@
     reply.send(refusalResponse({statusNotFound, "no_such_job", "there is no such job", RunState::NotRun, {}}));
 }
 
-void answerProgress(const JobId &job, HttpReply &reply, const std::optional<JobStatusResponse> &response)
+void sendProgress(const JobId &job, HttpReply &reply, const std::optional<JobStatusResponse> &response)
 {
     if (!response) {
         refuseUnreachable(reply);
@@ -138,27 +138,27 @@
 
 BodyHooks BatchApi::submit(const Caller &caller, const HttpRequest &head, const std::shared_ptr<HttpReply> &reply)
 {
-    /** A body that may still be an object that names a file. */
-    struct Start
+    /** Buffers the beginning of a body, until it is known whether it references a file or holds items. */
+    struct BodyStart
     {
         std::string body;
         BodyHooks upload;
     };
-    const auto start = std::make_shared<Start>();
+    const auto start = std::make_shared<BodyStart>();
     start->upload = this->uploadJob(caller, head, reply);
     return {.onData =
                 [start](std::string_view data) {
-                    if (start->body.size() <= fileRequestBytes) {
+                    if (start->body.size() <= maxFileRequestBytes) {
                         start->body.append(data);
-                        data = start->body.size() > fileRequestBytes ? std::string_view(start->body) : std::string_view();
+                        data = start->body.size() > maxFileRequestBytes ? std::string_view(start->body) : std::string_view();
                     }
                     start->upload.onData(data);
                 },
             .onEnd =
                 [this, start, caller, head, reply] {
-                    if (start->body.size() > fileRequestBytes) {
+                    if (start->body.size() > maxFileRequestBytes) {
                         start->upload.onEnd();
-                    } else if (const auto file = fileNamedIn(start->body)) {
+                    } else if (const auto file = requestedFileId(start->body)) {
                         this->submitFile(caller, head, *file, reply);
                     } else {
                         start->upload.onData(start->body);
@@ -170,20 +170,20 @@
 
 BodyHooks BatchApi::uploadJob(const Caller &caller, const HttpRequest &head, const std::shared_ptr<HttpReply> &reply)
 {
-    // The id is made here and kept with the head, so that a job without a key has one id for its objects and its record.
+    // Adds a key to the head if it has none, so that the objects and the record of the job have the same id.
     HttpRequest named = head;
     named.headers.try_emplace("Idempotency-Key", randomHex(idBytes));
     const std::string folder = "items/" + jobIdOf(caller, headerValue(named.headers, "Idempotency-Key")).value() + '/';
     const auto upload
         = std::make_shared<JobUpload>(this->context, folder, reply, [this, caller, named, reply](StoredItems items) {
-              this->handOver(caller, named, std::move(items), reply);
+              this->submitItems(caller, named, std::move(items), reply);
           });
     return upload->hooks();
 }
 
 BodyHooks BatchApi::uploadFile(const Caller &caller, const std::shared_ptr<HttpReply> &reply)
 {
-    const std::string folder = "items/" + contentName(caller.tenant.value()) + '/';
+    const std::string folder = "items/" + contentHash(caller.tenant.value()) + '/';
     const auto upload
         = std::make_shared<JobUpload>(this->context, folder, reply, [this, caller, reply](const StoredItems &items) {
               this->storeFile(caller, items, reply);
@@ -225,11 +225,14 @@
             reply->send(refusalResponse({statusNotFound, "no_such_file", "there is no such file", RunState::NotRun, {}}));
             return;
         }
-        this->handOver(caller, head, std::move(*items), reply);
+        this->submitItems(caller, head, std::move(*items), reply);
     });
 }
 
-void BatchApi::handOver(const Caller &caller, const HttpRequest &head, StoredItems items, const std::shared_ptr<HttpReply> &reply)
+void BatchApi::submitItems(const Caller &caller,
+                           const HttpRequest &head,
+                           StoredItems items,
+                           const std::shared_ptr<HttpReply> &reply)
 {
     if (this->context.replicas.of(items.model).empty()) {
         reply->send(refusalResponse(
@@ -252,9 +255,9 @@
 
 void BatchApi::list(const Caller &caller, const std::string &query, const std::shared_ptr<HttpReply> &reply)
 {
-    const std::uint32_t limit = std::clamp(numberOr(queryValue(query, "limit"), jobsListed), 1U, jobsListed);
+    const std::uint32_t limit = std::clamp(numberOr(queryValue(query, "limit"), maxListedJobs), 1U, maxListedJobs);
     this->context.owners.callAll<ListJobsRequest>(
-        {caller.tenant, limit}, [limit, reply](const std::vector<ListJobsResponse> &responses, std::size_t silent) {
+        {caller.tenant, limit}, [limit, reply](const std::vector<ListJobsResponse> &responses, std::size_t unresponsive) {
             std::vector<ListedJob> jobs;
             for (const ListJobsResponse &response : responses) {
                 jobs.insert(jobs.end(), response.jobs.begin(), response.jobs.end());
@@ -267,8 +270,8 @@
             for (const ListedJob &job : jobs) {
                 data.push_back(progressJson(job.jobId, job.progress));
             }
-            // A node that gave no answer may own jobs that are not listed: the caller is told, never misled.
-            const nlohmann::json body{{"data", data}, {"is_complete", silent == 0}};
+            // A node that did not answer may own jobs that are missing here; is_complete reports this to the caller.
+            const nlohmann::json body{{"data", data}, {"is_complete", unresponsive == 0}};
             reply->send(jsonResponse(statusOk, body.dump() + '\n'));
         });
 }
@@ -281,7 +284,7 @@
                                                 this->context.clock.now() + timeout,
                                                 isOwned,
                                                 [job, reply](const std::optional<JobStatusResponse> &response) {
-                                                    answerProgress(job, *reply, response);
+                                                    sendProgress(job, *reply, response);
                                                 });
 }
 
@@ -293,14 +296,14 @@
                                                 this->context.clock.now() + timeout,
                                                 isOwned,
                                                 [job, reply](const std::optional<JobStatusResponse> &response) {
-                                                    answerProgress(job, *reply, response);
+                                                    sendProgress(job, *reply, response);
                                                 });
 }
 
 void BatchApi::results(const Caller &caller, const JobId &job, const std::string &query, const std::shared_ptr<HttpReply> &reply)
 {
     const std::uint32_t from = numberOr(queryValue(query, "from"), 0);
-    const std::uint32_t limit = numberOr(queryValue(query, "limit"), resultsPerPage);
+    const std::uint32_t limit = numberOr(queryValue(query, "limit"), defaultResultsPerPage);
     this->context.owners.call<JobResultsRequest>(
         job.value(),
         {job, caller.tenant, from, limit},
@@ -315,12 +318,12 @@
             } else if (response->state == JobState::Absent) {
                 refuseUnknownJob(*reply);
             } else {
-                this->answerResults(job, *response, reply);
+                this->sendResults(job, *response, reply);
             }
         });
 }
 
-void BatchApi::answerResults(const JobId &job, const JobResultsResponse &response, const std::shared_ptr<HttpReply> &reply)
+void BatchApi::sendResults(const JobId &job, const JobResultsResponse &response, const std::shared_ptr<HttpReply> &reply)
 {
     const std::uint32_t first = response.results.empty() ? 0 : response.results.front().index;
     const std::uint32_t end = response.results.empty() ? 0 : response.results.back().index + 1;
@@ -332,12 +335,12 @@
         }
         std::string lines;
         for (const ItemRecord &result : response.results) {
-            const std::size_t place = result.index - first;
-            lines += resultLine(result, place < ids->size() ? (*ids)[place] : std::nullopt);
+            const std::size_t offset = result.index - first;
+            lines += resultLine(result, offset < ids->size() ? (*ids)[offset] : std::nullopt);
         }
         HttpResponse page{statusOk, {{"Content-Type", "application/x-ndjson"}}, std::move(lines)};
         page.headers["Dogwoodkeel-Next"] = std::to_string(response.next);
-        page.headers["Dogwoodkeel-Job"] = wordOf(response.state);
+        page.headers["Dogwoodkeel-Job"] = nameOf(response.state);
         reply->send(page);
     });
 }
--- a/Services/Entry/CallerReply.cpp
+++ b/Services/Entry/CallerReply.cpp
@@ -47,7 +47,7 @@
         return;
     }
     this->startStream();
-    this->shown += text;
+    this->sentText += text;
     const CompletionDelta delta{text, {}};
     this->reply->write(ServerSentEvents::format(delta.format(this->streamed->form, this->id, this->streamed->model)));
 }
@@ -72,15 +72,15 @@
 void CallerReply::finishStream(const Answer &answer, std::string_view result)
 {
     CompletionDelta last = CompletionDelta::parse(answer.body).value_or(CompletionDelta());
-    if (answer.status != statusOk || !last.text.starts_with(this->shown)) {
-        // Another runner's result was first. The caller has the beginning of a text that is not the answer: the stream
-        // must not end as if it were.
+    if (answer.status != statusOk || !last.text.starts_with(this->sentText)) {
+        // The result of another run was committed first. The text streamed until now is not the beginning of that
+        // answer, so the stream must end with an error.
         const nlohmann::json event{
             {"error", {{"reason", "superseded"}, {"message", "another run's answer counts; read it by its id"}}}};
-        this->breakStream(event.dump());
+        this->endStreamWithError(event.dump());
         return;
     }
-    last.text.erase(0, this->shown.size());
+    last.text.erase(0, this->sentText.size());
     this->startStream();
     this->reply->write(ServerSentEvents::format(last.format(this->streamed->form, this->id, this->streamed->model)));
     this->reply->write(": result " + std::string(result) + "\n\n");
@@ -88,7 +88,7 @@
     this->reply->finish();
 }
 
-void CallerReply::breakStream(const std::string &event)
+void CallerReply::endStreamWithError(const std::string &event)
 {
     this->reply->write(ServerSentEvents::format(event));
     this->reply->finish();
@@ -102,7 +102,7 @@
     HttpResponse response = refusalResponse(refusal);
     if (this->reply->isStarted()) {
         response.body.pop_back();
-        this->breakStream(response.body);
+        this->endStreamWithError(response.body);
     } else {
         response.headers["Dogwoodkeel-Request-Id"] = this->id.value();
         this->reply->send(response);
--- a/Services/Entry/CallerReply.h
+++ b/Services/Entry/CallerReply.h
@@ -13,25 +13,25 @@
 namespace Dogwoodkeel
 {
 
-/** The answer to the caller of a durable request: whole or as a stream, given once. */
+/** Sends the answer of a durable request to its caller, exactly once, as one response or as a stream. */
 class CallerReply
 {
 public:
-    /** @param streamed the completion whose answer goes out as a stream; null for a whole answer */
+    /** @param streamed the completion whose answer is sent as a stream; null for a single response */
     CallerReply(std::shared_ptr<HttpReply> reply, RequestId id, const CompletionRequest *streamed);
 
-    /** @return whether the answer is still due. */
+    /** @return whether the answer has not been completed yet. */
     bool isOpen() const;
 
-    /** @return whether the caller is still connected and waits. */
+    /** @return whether the answer has not been completed and the caller is still connected. */
     bool isAwaited() const;
 
-    /** Pass on a part of a stream; does nothing for a whole answer. */
+    /** Sends the next part of a stream; does nothing if the answer is not streamed. */
     void write(const std::string &text);
 
     /**
-     * Give the answer.
-     * @param answer the one that counts
+     * Completes the answer.
+     * @param answer the final answer of the request
      * @param result "committed" or "pending"
      */
     void finish(const Answer &answer, std::string_view result);
@@ -41,13 +41,13 @@
 private:
     void startStream();
     void finishStream(const Answer &answer, std::string_view result);
-    void breakStream(const std::string &event);
+    void endStreamWithError(const std::string &event);
 
     std::shared_ptr<HttpReply> reply;
     RequestId id;
     const CompletionRequest *streamed;
-    /** What the caller has of the stream. */
-    std::string shown;
+    /** The text sent on the stream until now. */
+    std::string sentText;
 };
 
 } // namespace Dogwoodkeel
--- a/Services/Entry/Completion.cpp
+++ b/Services/Entry/Completion.cpp
@@ -34,7 +34,7 @@
     return isDelta ? "chat.completion.chunk" : "chat.completion";
 }
 
-/** Adds a JSON string to a text. */
+/** Appends a text as a JSON string. */
 void appendString(std::string &json, const std::string &text)
 {
     json += dump(Json(text));
@@ -82,7 +82,7 @@
 
 std::string CompletionDelta::format(CompletionForm form, const RequestId &id, const std::string &model) const
 {
-    // Written by hand: this is done for every token, and a tree of JSON values costs ten times the text's own work.
+    // Builds the JSON text directly: this runs for every token, and a tree of JSON values costs ten times as much.
     std::string json = R"({"id":)";
     appendString(json, id.value());
     json += R"(,"object":")";
--- a/Services/Entry/Completion.h
+++ b/Services/Entry/Completion.h
@@ -10,33 +10,34 @@
 namespace Dogwoodkeel
 {
 
-/** Which of the two forms of a completion a caller uses. */
+/** The API form of a completion: chat or plain text. */
 enum class CompletionForm {
     Chat,
     Text,
 };
 
-/** What a caller asked a model for. */
+/** A completion requested by a caller. */
 struct CompletionRequest
 {
     CompletionForm form = CompletionForm::Chat;
     std::string model;
-    /** Whether the answer is to come as a stream. */
+    /** Whether the caller requested a streamed answer. */
     bool isStream = false;
     /** The request's JSON. */
     std::string body;
 
     /**
-     * @param form by the path it came to
+     * @param form the form that the request path stands for
      * @param body the HTTP body
-     * @return the request, or nothing if it is no JSON object with a model and a prompt or messages
+     * @return the request, or nothing if the body is not a JSON object with a model and a prompt or messages, is nested too
+     *         deep, or has a "stream" that is not a boolean
      */
     static std::optional<CompletionRequest> parse(CompletionForm form, const std::string &body);
 
     /**
-     * @param text what an engine has already answered, to go on behind it
-     * @param tokens how many tokens that was
-     * @return the body to send to an engine: always as a stream
+     * @param text the text generated until now, which the engine is to continue
+     * @param tokens number of tokens in the text
+     * @return the body to send to an engine; it always requests a stream
      */
     std::string engineBody(const std::string &text, std::uint32_t tokens) const;
 };
@@ -45,17 +46,17 @@
 struct CompletionDelta
 {
     std::string text;
-    /** Empty but in the last event. */
+    /** Empty in all events except the last. */
     std::string finishReason;
 
-    /** @return what an event, or a whole unstreamed answer, says; nothing if the data is neither. */
+    /** @return the content of an event or of a complete unstreamed answer, or nothing if the data is neither. */
     static std::optional<CompletionDelta> parse(std::string_view data);
 
-    /** @return the event's data, for a caller's stream. */
+    /** @return the data of an event in the stream to a caller. */
     std::string format(CompletionForm form, const RequestId &id, const std::string &model) const;
 };
 
-/** A completion as far as it has come. */
+/** The text of a completion generated until now. */
 struct CompletionText
 {
     std::string text;
@@ -64,7 +65,7 @@
 
     void add(const CompletionDelta &delta);
 
-    /** @return the whole answer in its unstreamed form. */
+    /** @return the complete answer in its unstreamed form. */
     Answer answer(const CompletionRequest &request, const RequestId &id) const;
 };
 
--- a/Services/Entry/CustomIds.cpp
+++ b/Services/Entry/CustomIds.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr std::size_t objectsKept = 64;
+constexpr std::size_t maxCachedObjects = 64;
 
 } // namespace
 
@@ -89,22 +89,22 @@
     });
 }
 
-void CustomIds::get(const std::string &key, std::function<void(ReadOutcome, const std::string &)> got)
+void CustomIds::get(const std::string &key, std::function<void(ReadOutcome, const std::string &)> onRead)
 {
-    const auto found = this->kept.find(key);
-    if (found != this->kept.end()) {
-        got(ReadOutcome::Found, found->second);
+    const auto found = this->cache.find(key);
+    if (found != this->cache.end()) {
+        onRead(ReadOutcome::Found, found->second);
         return;
     }
-    this->objects.get(key, [this, key, got = std::move(got)](const ObjectResult &result) {
-        if (result.outcome == ReadOutcome::Found && this->kept.emplace(key, result.content).second) {
-            this->byAge.push_back(key);
-            if (this->byAge.size() > objectsKept) {
-                this->kept.erase(this->byAge.front());
-                this->byAge.pop_front();
+    this->objects.get(key, [this, key, onRead = std::move(onRead)](const ObjectResult &result) {
+        if (result.outcome == ReadOutcome::Found && this->cache.emplace(key, result.content).second) {
+            this->cachedKeys.push_back(key);
+            if (this->cachedKeys.size() > maxCachedObjects) {
+                this->cache.erase(this->cachedKeys.front());
+                this->cachedKeys.pop_front();
             }
         }
-        got(result.outcome, result.content);
+        onRead(result.outcome, result.content);
     });
 }
 
--- a/Services/Entry/EntriesApi.cpp
+++ b/Services/Entry/EntriesApi.cpp
@@ -14,8 +14,8 @@
 {
 
 constexpr int statusOk = 200;
-/** A new node has its full share after that many times the answers' time to live. */
-constexpr int rampUpAnswers = 2;
+/** A new node gets its full share of callers after this many times the time to live of a response. */
+constexpr int rampUpLifetimes = 2;
 
 std::size_t countOf(const HttpRequest &request, std::size_t fallback)
 {
@@ -36,14 +36,14 @@
 {
     const Settings &settings = this->context.settings.current();
     const EntryQuery query{
-        // A caller that does not name itself is told by its address from the others.
+        // A caller that sends no name is identified by its IP address.
         .caller = queryValue(request.query, "caller").value_or(request.peer.ip),
         .near = FailureDomain(queryValue(request.query, "failure_domain").value_or(settings.node.failureDomain)),
         .count = countOf(request, static_cast<std::size_t>(settings.entry.entryCount)),
     };
-    const EntrySelector answers(settings.entry.entryTtl * rampUpAnswers);
+    const EntrySelector selector(settings.entry.entryTtl * rampUpLifetimes);
     nlohmann::json addresses = nlohmann::json::array();
-    for (const EntryAddress &entry : answers.select(view, query, this->context.clock.wallNow())) {
+    for (const EntryAddress &entry : selector.select(view, query, this->context.clock.wallNow())) {
         addresses.push_back({{"address", entry.address.toString()}, {"failure_domain", entry.failureDomain.value()}});
     }
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(settings.entry.entryTtl).count();
--- a/Services/Entry/EntriesApi.h
+++ b/Services/Entry/EntriesApi.h
@@ -8,7 +8,10 @@
 namespace Dogwoodkeel
 {
 
-/** GET /v1/entries: which addresses a caller is to use. Query: caller, failure_domain, count; all may be left out. */
+/**
+ * GET /v1/entries: returns the addresses that a caller should use. Optional query parameters: caller, failure_domain,
+ * count.
+ */
 class EntriesApi
 {
 public:
--- a/Services/Entry/EntryService.cpp
+++ b/Services/Entry/EntryService.cpp
@@ -29,8 +29,8 @@
 constexpr int statusConflict = 409;
 constexpr int statusTooManyRequests = 429;
 constexpr int statusUnavailable = 503;
-constexpr std::size_t idBytes = 12;
-constexpr std::size_t longestKey = 256;
+constexpr std::size_t randomIdBytes = 12;
+constexpr std::size_t maxKeyBytes = 256;
 constexpr std::chrono::milliseconds resultTimeout{10000};
 constexpr std::chrono::seconds retryAfter{1};
 
@@ -38,8 +38,8 @@
 constexpr std::string_view servicesPath = "/v1/services/";
 constexpr std::string_view resultsPath = "/v1/results/";
 constexpr std::string_view configurationPath = "/v1/config";
-/** As JSON, in which the 64 MiB that a configuration may have take more. */
-constexpr std::uint64_t configurationBytes = 134217728;
+/** A configuration may have 64 MiB; its JSON encoding is larger. */
+constexpr std::uint64_t maxConfigurationBytes = 134217728;
 constexpr std::string_view statusPath = "/v1/status";
 constexpr std::string_view batchesPath = "/v1/batches";
 constexpr std::string_view filesPath = "/v1/files";
@@ -50,7 +50,7 @@
     return request.method == "GET" || request.method == "HEAD";
 }
 
-/** @return whether the body may be items, as JSON lines. */
+/** @return whether the body may hold items, as JSON lines. */
 bool mayHoldItems(const HttpRequest &head)
 {
     return head.method == "POST" && (head.path == filesPath || head.path == batchesPath);
@@ -62,26 +62,26 @@
 }
 
 /**
- * @param longest what applies without the header, and the most it may ask for
- * @return how long the caller waits for its answer, or nothing if its header is no such number
+ * @param maxTimeout upper limit of the header, and the timeout without it
+ * @return how long the caller waits for its answer, or nothing if the header is not a positive whole number
  */
-std::optional<std::chrono::milliseconds> timeoutOf(const HttpRequest &request, std::chrono::milliseconds longest)
+std::optional<std::chrono::milliseconds> timeoutOf(const HttpRequest &request, std::chrono::milliseconds maxTimeout)
 {
     const auto header = headerValue(request.headers, "Dogwoodkeel-Deadline-Ms");
     if (!header) {
-        return longest;
+        return maxTimeout;
     }
     std::int64_t count = 0;
     const char *const end = header->data() + header->size();
-    const auto [rest, error] = std::from_chars(header->data(), end, count);
-    if (error != std::errc() || rest != end || count <= 0) {
+    const auto [remainder, error] = std::from_chars(header->data(), end, count);
+    if (error != std::errc() || remainder != end || count <= 0) {
         return std::nullopt;
     }
-    return std::min(std::chrono::milliseconds(count), longest);
+    return std::min(std::chrono::milliseconds(count), maxTimeout);
 }
 
-/** Request ids are kept apart by tenant: nobody reads another tenant's results. */
-std::string scoped(const Caller &caller, std::string_view id)
+/** @return the request id prefixed with the tenant, so that a caller cannot read another tenant's results. */
+std::string scopedId(const Caller &caller, std::string_view id)
 {
     return caller.tenant.value() + '/' + std::string(id);
 }
@@ -114,30 +114,30 @@
 
 BodyAdmission EntryService::admit(const HttpRequest &head)
 {
-    // A configuration holds all tenants and endpoints; the bound of an online request would refuse a large site's. Whoever
-    // has no operator's key gets no more room than others.
+    // A configuration holds all tenants and endpoints, and may exceed the size limit of an online request on a large site.
+    // The larger limit applies only to callers with an operator's key.
     const bool isConfiguration = head.path.starts_with(configurationPath);
     const std::optional<Caller> caller = isConfiguration ? this->authenticator.authenticate(head.headers) : std::nullopt;
     if (caller && caller->isOperator) {
-        return {configurationBytes, {}};
+        return {maxConfigurationBytes, {}};
     }
     if (!mayHoldItems(head)) {
         return {static_cast<std::uint64_t>(this->context.settings->entry.bodyBytes), {}};
     }
     return {static_cast<std::uint64_t>(this->context.settings->entry.jobBytes),
             [this](const HttpRequest &admitted, const Reply &reply) {
-                return this->takeItems(admitted, reply);
+                return this->receiveItems(admitted, reply);
             }};
 }
 
-BodyHooks EntryService::takeItems(const HttpRequest &head, const Reply &reply)
+BodyHooks EntryService::receiveItems(const HttpRequest &head, const Reply &reply)
 {
     const std::optional<Caller> caller = this->authenticator.authenticate(head.headers);
     if (!caller) {
         refuse(*reply, statusUnauthorized, "unknown_key", "send a known key as Authorization: Bearer KEY");
         return {};
     }
-    if (headerValue(head.headers, "Idempotency-Key").value_or(std::string()).size() > longestKey) {
+    if (headerValue(head.headers, "Idempotency-Key").value_or(std::string()).size() > maxKeyBytes) {
         refuse(*reply, statusBadRequest, "bad_key", "the Idempotency-Key is too long");
         return {};
     }
@@ -150,11 +150,11 @@
         reply->send({statusNoContent, {{"Allow", std::string(allowedMethods)}}, {}});
         return;
     }
-    if (this->serveOpen(request, reply)) {
+    if (this->servePublic(request, reply)) {
         return;
     }
     if (!this->waitingFor.empty()) {
-        // Without the members it does not know who owns a request, and would make every caller wait for its timeout.
+        // Without the member list the node cannot find the owner of a request, and every caller would wait for its timeout.
         reply->send(refusalResponse(
             {statusUnavailable, "starting", "this node waits for " + this->waitingFor, RunState::NotRun, retryAfter}));
         return;
@@ -180,7 +180,7 @@
     }
 }
 
-bool EntryService::serveOpen(const HttpRequest &request, const Reply &reply)
+bool EntryService::servePublic(const HttpRequest &request, const Reply &reply)
 {
     if (!isHeadOrGet(request)) {
         return false;
@@ -205,17 +205,17 @@
     if (!request.path.starts_with(batchesPath)) {
         return false;
     }
-    const std::string_view rest = std::string_view(request.path).substr(batchesPath.size());
-    if (rest.empty() && isHeadOrGet(request)) {
+    const std::string_view remainder = std::string_view(request.path).substr(batchesPath.size());
+    if (remainder.empty() && isHeadOrGet(request)) {
         this->batches.list(caller, request.query, reply);
         return true;
     }
-    if (!rest.starts_with('/')) {
+    if (!remainder.starts_with('/')) {
         return false;
     }
-    const std::size_t slash = std::min(rest.find('/', 1), rest.size());
-    const JobId job(std::string(rest.substr(1, slash - 1)));
-    const std::string_view action = rest.substr(slash);
+    const std::size_t slash = std::min(remainder.find('/', 1), remainder.size());
+    const JobId job(std::string(remainder.substr(1, slash - 1)));
+    const std::string_view action = remainder.substr(slash);
     if (action.empty() && request.method == "GET") {
         this->batches.status(caller, job, reply);
     } else if (action == "/results" && request.method == "GET") {
@@ -232,7 +232,7 @@
 {
     LimitSharing::Admitted admitted = this->context.limits.admit(caller.tenant, kind);
     if (!admitted.hold) {
-        // An id that the caller chose may have run by an earlier sending.
+        // A request with an id set by the caller may have run when it was sent before.
         const RunState run = request.headers.contains("Idempotency-Key") ? RunState::Unknown : RunState::NotRun;
         const auto seconds = std::max(retryAfter, std::chrono::ceil<std::chrono::seconds>(admitted.retryAfter));
         this->context.metrics.countAnswer(kind == LimitClass::Lookup ? "lookup" : "online", "tenant_limit");
@@ -245,7 +245,7 @@
 RequestId EntryService::requestIdOf(const Caller &caller, const HttpRequest &request)
 {
     const auto key = headerValue(request.headers, "Idempotency-Key");
-    return RequestId(scoped(caller, key ? *key : "r-" + randomHex(idBytes)));
+    return RequestId(scopedId(caller, key ? *key : "r-" + randomHex(randomIdBytes)));
 }
 
 void EntryService::serveCompletion(const Caller &caller, CompletionForm form, const HttpRequest &request, const Reply &reply)
@@ -255,7 +255,7 @@
         refuse(*reply, statusBadRequest, "bad_request", "the body must be a JSON object with a model and a prompt or messages");
         return;
     }
-    if (headerValue(request.headers, "Idempotency-Key").value_or(std::string()).size() > longestKey) {
+    if (headerValue(request.headers, "Idempotency-Key").value_or(std::string()).size() > maxKeyBytes) {
         refuse(*reply, statusBadRequest, "bad_key", "the Idempotency-Key is too long");
         return;
     }
@@ -290,9 +290,9 @@
 
 void EntryService::serveService(const Caller &caller, const HttpRequest &request, const Reply &reply)
 {
-    const std::string_view rest = std::string_view(request.path).substr(servicesPath.size());
-    const std::size_t slash = std::min(rest.find('/'), rest.size());
-    const std::string name(rest.substr(0, slash));
+    const std::string_view remainder = std::string_view(request.path).substr(servicesPath.size());
+    const std::size_t slash = std::min(remainder.find('/'), remainder.size());
+    const std::string name(remainder.substr(0, slash));
     const auto &services = this->context.settings->services;
     const auto service = std::ranges::find(services, name, &ServiceSettings::name);
     if (service == services.end()) {
@@ -306,12 +306,12 @@
     }
     HttpRequest forwarded;
     forwarded.method = request.method;
-    forwarded.path = slash < rest.size() ? std::string(rest.substr(slash)) : "/";
+    forwarded.path = slash < remainder.size() ? std::string(remainder.substr(slash)) : "/";
     forwarded.query = request.query;
     forwarded.body = request.body;
     forwarded.headers["Content-Type"] = headerValue(request.headers, "Content-Type").value_or("application/json");
-    const bool isMarked = headerValue(request.headers, "Dogwoodkeel-Idempotent") == "false";
-    const bool isNonIdempotent = !service->isIdempotent || isMarked;
+    const bool isMarkedNonIdempotent = headerValue(request.headers, "Dogwoodkeel-Idempotent") == "false";
+    const bool isNonIdempotent = !service->isIdempotent || isMarkedNonIdempotent;
     const bool isLookup = !isNonIdempotent && !request.headers.contains("Idempotency-Key");
     auto hold = this->admit(caller, isLookup ? LimitClass::Lookup : LimitClass::Online, request, reply);
     if (!hold) {
@@ -350,7 +350,7 @@
 
 void EntryService::serveResult(const Caller &caller, std::string_view id, const Reply &reply)
 {
-    // Ids in answers carry the tenant already; ids that callers chose do not.
+    // Ids in answers already have the tenant prefix; ids set by callers do not.
     const std::string prefix = caller.tenant.value() + '/';
     const RequestId request(id.starts_with(prefix) ? std::string(id) : prefix + std::string(id));
     this->context.owners.call<ResultRequest>(
--- a/Services/Entry/EntryService.h
+++ b/Services/Entry/EntryService.h
@@ -16,36 +16,39 @@
 namespace Dogwoodkeel
 {
 
-/** Takes each request of callers and operators to what answers it. */
+/** Authenticates the HTTP requests of callers and operators, and routes each to its handler. */
 class EntryService
 {
 public:
     explicit EntryService(EntryContext &context);
 
-    /** @return how a request's body is taken: only the items of a job may be large, and they are stored as they come. */
+    /**
+     * @return how to receive the request body: its size limit, and for the items of a job or file the hooks that store
+     *         them as they arrive
+     */
     BodyAdmission admit(const HttpRequest &head);
 
     void serve(const HttpRequest &request, const std::shared_ptr<HttpReply> &reply);
 
     void setView(MemberViewPointer view);
 
-    /** The settings of the context were replaced. */
+    /** Applies the replaced settings of the context. */
     void settingsChanged();
 
-    /** @param waitingFor what the node waits for before it takes callers; empty when it is ready */
+    /** @param waitingFor what the node waits for before it serves callers; empty when it is ready */
     void setWaitingFor(std::string waitingFor);
 
 private:
     using Reply = std::shared_ptr<HttpReply>;
 
-    BodyHooks takeItems(const HttpRequest &head, const Reply &reply);
-    bool serveOpen(const HttpRequest &request, const Reply &reply);
+    BodyHooks receiveItems(const HttpRequest &head, const Reply &reply);
+    bool servePublic(const HttpRequest &request, const Reply &reply);
     bool serveBatch(const Caller &caller, const HttpRequest &request, const Reply &reply);
     void serveCompletion(const Caller &caller, CompletionForm form, const HttpRequest &request, const Reply &reply);
     void serveService(const Caller &caller, const HttpRequest &request, const Reply &reply);
     void serveOperator(const Caller &caller, const HttpRequest &request, const Reply &reply);
     void serveResult(const Caller &caller, std::string_view id, const Reply &reply);
-    /** @return what keeps the request counted; null if its tenant is at a limit, which the caller has been told */
+    /** @return a hold that keeps the request counted; null if the tenant is at a limit and the request was refused */
     LimitSharing::Hold admit(const Caller &caller, LimitClass kind, const HttpRequest &request, const Reply &reply);
     RequestId requestIdOf(const Caller &caller, const HttpRequest &request);
 
--- a/Services/Entry/JobParser.cpp
+++ b/Services/Entry/JobParser.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-constexpr std::size_t findingsShown = 20;
-/** A job of large items gets smaller chunks, so that a chunk stays about this size. The rule looks at nothing but the
-    items, so that a resend makes the same chunks. */
-constexpr std::size_t chunkBytes = 4194304;
+constexpr std::size_t maxFindings = 20;
+/** A job of large items gets fewer items per chunk, so that a chunk stays near this size. The rule depends only on the
+    items, so that a resend produces the same chunks. */
+constexpr std::size_t targetChunkBytes = 4194304;
 
 std::string dump(const nlohmann::json &json)
 {
@@ -32,7 +32,7 @@
 void JobParser::feed(std::string_view data)
 {
     this->hash.add(data);
-    while (!data.empty() && !this->isHopeless()) {
+    while (!data.empty() && !this->hasTooManyFindings()) {
         const std::size_t end = data.find('\n');
         const std::string_view part = data.substr(0, end);
         if (this->line.size() + part.size() <= this->bounds.itemBytes) {
@@ -44,16 +44,16 @@
             return;
         }
         data.remove_prefix(end + 1);
-        this->takeLine();
+        this->finishLine();
     }
 }
 
 void JobParser::end()
 {
     if (!this->line.empty() || this->isLineTooLong) {
-        this->takeLine();
+        this->finishLine();
     }
-    if (this->inChunk > 0) {
+    if (this->itemsInChunk > 0) {
         this->closeChunk();
     }
     if (this->count == 0 && this->found.isEmpty()) {
@@ -61,33 +61,33 @@
     }
 }
 
-void JobParser::takeLine()
+void JobParser::finishLine()
 {
     const std::uint32_t number = this->lineNumber++;
-    std::string taken = std::exchange(this->line, {});
+    std::string completeLine = std::exchange(this->line, {});
     if (std::exchange(this->isLineTooLong, false)) {
         this->found.add({"body", number, 1}, "the item is larger than " + std::to_string(this->bounds.itemBytes) + " bytes");
         return;
     }
-    if (taken.ends_with('\r')) {
-        taken.pop_back();
+    if (completeLine.ends_with('\r')) {
+        completeLine.pop_back();
     }
-    if (taken.empty() || this->isHopeless()) {
+    if (completeLine.empty() || this->hasTooManyFindings()) {
         return;
     }
-    const std::string problem = this->checkItem(taken);
+    const std::string problem = this->checkItem(completeLine);
     if (!problem.empty()) {
         this->found.add({"body", number, 1}, problem);
         return;
     }
     ++this->count;
-    ++this->inChunk;
+    ++this->itemsInChunk;
     if (this->count == this->bounds.items + 1) {
         this->found.add({"body", number, 1}, "the job has more than " + std::to_string(this->bounds.items) + " items");
     }
-    const bool isFirstFull = this->perChunk == 0 && this->open.items.size() >= chunkBytes;
-    const std::size_t most = this->perChunk > 0 ? this->perChunk : this->bounds.itemsPerObject;
-    if (isFirstFull || this->inChunk >= most) {
+    const bool isFirstFull = this->perChunk == 0 && this->currentChunk.items.size() >= targetChunkBytes;
+    const std::size_t maxItems = this->perChunk > 0 ? this->perChunk : this->bounds.itemsPerObject;
+    if (isFirstFull || this->itemsInChunk >= maxItems) {
         this->closeChunk();
     }
 }
@@ -112,49 +112,49 @@
             return "the item's body is no JSON object";
         }
     }
-    const auto named = item.find("model");
-    if (named == item.end() || !named->is_string()) {
+    const auto modelField = item.find("model");
+    if (modelField == item.end() || !modelField->is_string()) {
         return "the item names no model";
     }
     if (!item.contains("prompt") && !item.contains("messages")) {
         return "the item has neither a prompt nor messages";
     }
     if (this->modelName.empty()) {
-        this->modelName = named->get<std::string>();
+        this->modelName = modelField->get<std::string>();
     }
-    if (*named != this->modelName) {
+    if (*modelField != this->modelName) {
         return "the item is for another model than the first";
     }
     this->hasIds = this->hasIds || customId.is_string();
-    this->openIds += (this->openIds.empty() ? "" : ",") + dump(customId);
-    this->open.items.append(customId.is_string() ? dump(item) : std::string(line)).push_back('\n');
+    this->currentIds += (this->currentIds.empty() ? "" : ",") + dump(customId);
+    this->currentChunk.items.append(customId.is_string() ? dump(item) : std::string(line)).push_back('\n');
     return {};
 }
 
 void JobParser::closeChunk()
 {
-    this->perChunk = std::max(this->perChunk, this->inChunk);
+    this->perChunk = std::max(this->perChunk, this->itemsInChunk);
     if (this->hasIds) {
-        this->open.customIds = '[' + this->openIds + ']';
+        this->currentChunk.customIds = '[' + this->currentIds + ']';
     }
-    this->full.push_back(std::exchange(this->open, {}));
-    this->openIds.clear();
-    this->inChunk = 0;
+    this->fullChunks.push_back(std::exchange(this->currentChunk, {}));
+    this->currentIds.clear();
+    this->itemsInChunk = 0;
 }
 
-std::optional<ItemChunk> JobParser::takeChunk()
+std::optional<ItemChunk> JobParser::popChunk()
 {
-    if (this->full.empty()) {
+    if (this->fullChunks.empty()) {
         return std::nullopt;
     }
-    ItemChunk chunk = std::move(this->full.front());
-    this->full.pop_front();
+    ItemChunk chunk = std::move(this->fullChunks.front());
+    this->fullChunks.pop_front();
     return chunk;
 }
 
-std::size_t JobParser::chunks() const
+std::size_t JobParser::pendingChunks() const
 {
-    return this->full.size();
+    return this->fullChunks.size();
 }
 
 const Findings &JobParser::findings() const
@@ -162,9 +162,9 @@
     return this->found;
 }
 
-bool JobParser::isHopeless() const
+bool JobParser::hasTooManyFindings() const
 {
-    return this->found.all().size() >= findingsShown;
+    return this->found.all().size() >= maxFindings;
 }
 
 const std::string &JobParser::model() const
--- a/Services/Entry/JobParser.h
+++ b/Services/Entry/JobParser.h
@@ -12,7 +12,7 @@
 namespace Dogwoodkeel
 {
 
-/** What a job's submission may be at most. */
+/** Upper limits for a job submission. */
 struct JobBounds
 {
     std::size_t items = 0;
@@ -23,16 +23,17 @@
 /** Items of a job that are stored together. */
 struct ItemChunk
 {
-    /** One item a line. */
+    /** One item per line. */
     std::string items;
-    /** A JSON array of the items' custom ids, null for one without; empty if none has any. */
+    /** A JSON array of the items' custom ids, with null for an item without one; empty if no item has one. */
     std::string customIds;
 };
 
 /**
- * Checks a job's items as they arrive, and splits them into the chunks they are stored in. Each line is a JSON object
- * with a model and a prompt or messages, or one that holds such an object as its "body", beside a "custom_id"; all
- * are for one model. What it keeps is bounded by one line and one chunk, however long the job is.
+ * Validates a job's items as they arrive, and splits them into the chunks they are stored in. Each line is a JSON
+ * object with a model and a prompt or messages, or one that has such an object as its "body" and a "custom_id". All
+ * items must be for the same model. Memory use is bounded by one line and the chunks not yet removed, whatever the
+ * length of the job.
  */
 class JobParser
 {
@@ -42,34 +43,34 @@
     /** @param data the next part of the body */
     void feed(std::string_view data);
 
-    /** The body has ended. */
+    /** Ends the body: processes the last line and closes the last chunk. */
     void end();
 
-    /** @return the next full chunk, or nothing; after end() also the last one. */
-    std::optional<ItemChunk> takeChunk();
+    /** Removes the oldest full chunk; after end() also the last chunk, which may be smaller. @return it, or nothing */
+    std::optional<ItemChunk> popChunk();
 
-    /** @return chunks not yet taken. */
-    std::size_t chunks() const;
+    /** @return number of chunks not yet removed by popChunk(). */
+    std::size_t pendingChunks() const;
 
-    /** @return every line that is wrong, up to a fixed number; the items are of use only without any. */
+    /** @return the invalid lines, up to a fixed number; the items may be used only if there are none. */
     const Findings &findings() const;
 
-    /** @return whether so many lines are wrong that no more are looked at. */
-    bool isHopeless() const;
+    /** @return whether the maximum number of findings is reached, after which further lines are ignored. */
+    bool hasTooManyFindings() const;
 
     /** @return the model that all items are for. */
     const std::string &model() const;
 
     std::uint32_t itemCount() const;
 
-    /** @return items in each chunk but the last; fixed once the first chunk is full. */
+    /** @return number of items in each chunk except the last; fixed once the first chunk is full. */
     std::uint32_t itemsPerChunk() const;
 
-    /** @return hash of the whole body; after end(). */
+    /** @return hash of the whole body; valid after end(). */
     std::uint64_t fingerprint() const;
 
 private:
-    void takeLine();
+    void finishLine();
     std::string checkItem(std::string_view line);
     void closeChunk();
 
@@ -81,12 +82,12 @@
     std::uint32_t lineNumber = 1;
     std::string modelName;
     std::uint32_t count = 0;
-    std::uint32_t inChunk = 0;
+    std::uint32_t itemsInChunk = 0;
     std::uint32_t perChunk = 0;
-    ItemChunk open;
-    std::string openIds;
+    ItemChunk currentChunk;
+    std::string currentIds;
     bool hasIds = false;
-    std::deque<ItemChunk> full;
+    std::deque<ItemChunk> fullChunks;
 };
 
 } // namespace Dogwoodkeel
--- a/Services/Entry/JobSubmission.cpp
+++ b/Services/Entry/JobSubmission.cpp
@@ -70,8 +70,8 @@
 
 void JobSubmission::putIds()
 {
-    // Only after the owner accepted: of two jobs with one key and other items, the one that was turned away must not
-    // leave its ids for the other. If this node is lost in between, a resend of the job does it.
+    // Runs only after the owner accepted the job: of two jobs with the same key and different items, the rejected one
+    // must not store its ids for the other. If this node fails in between, a resend of the job stores the manifest.
     this->context.platform.objects().putIfAbsent(CustomIds::keyOf(this->job.jobId),
                                                  CustomIds::manifest(this->job.itemsPerObject, this->idObjects),
                                                  [self = this->shared_from_this()](WriteOutcome outcome) {
@@ -98,7 +98,7 @@
 
 void JobSubmission::refuse()
 {
-    // The journal may have the job all the same, if its owner was lost with its answer: a resend finds it.
+    // The job may be journalled nevertheless, if the owner failed before it answered: a resend finds the job.
     this->context.metrics.countAnswer("job", "not_journalled");
     this->reply->send(refusalResponse({statusUnavailable,
                                        "not_stored",
--- a/Services/Entry/JobSubmission.h
+++ b/Services/Entry/JobSubmission.h
@@ -12,8 +12,8 @@
 {
 
 /**
- * Hands a job whose items are stored to its owner. The caller is told that the job is accepted only when it is
- * journalled, and when its custom ids can be found.
+ * Submits a job whose items are stored to the job's owner. The caller gets the "accepted" response only after the owner
+ * has journalled the job and the manifest of its custom ids is stored.
  */
 class JobSubmission : public std::enable_shared_from_this<JobSubmission>
 {
--- a/Services/Entry/JobUpload.cpp
+++ b/Services/Entry/JobUpload.cpp
@@ -14,8 +14,8 @@
 
 constexpr int statusBadRequest = 400;
 constexpr int statusUnavailable = 503;
-/** Objects that may wait for the platform before reading stops. */
-constexpr std::size_t pendingMost = 4;
+/** Number of objects waiting to be stored at which reading pauses. */
+constexpr std::size_t maxPending = 4;
 constexpr std::chrono::milliseconds retryDelay{200};
 constexpr std::chrono::seconds timeout{30};
 constexpr std::chrono::seconds retryAfter{5};
@@ -35,7 +35,7 @@
 
 } // namespace
 
-std::string contentName(std::string_view content)
+std::string contentHash(std::string_view content)
 {
     return hexOfHash(content, 1) + hexOfHash(content, 2);
 }
@@ -43,11 +43,11 @@
 JobUpload::JobUpload(EntryContext &context,
                      std::string folder,
                      std::shared_ptr<HttpReply> reply,
-                     std::function<void(StoredItems)> stored)
+                     std::function<void(StoredItems)> onStored)
     : context(context)
     , folder(std::move(folder))
     , reply(std::move(reply))
-    , stored(std::move(stored))
+    , onStored(std::move(onStored))
     , parser(boundsOf(context.settings->batch))
     , lastProgress(context.clock.now())
 {
@@ -65,29 +65,29 @@
                 },
             .onAborted =
                 [self = this->shared_from_this()] {
-                    self->isOver = true;
+                    self->isFinished = true;
                 }};
 }
 
 void JobUpload::onData(std::string_view data)
 {
-    if (this->isOver) {
+    if (this->isFinished) {
         return;
     }
     this->parser.feed(data);
-    if (this->parser.isHopeless()) {
+    if (this->parser.hasTooManyFindings()) {
         this->refuseItems();
         return;
     }
-    this->takeChunks();
-    if (this->pending.size() >= pendingMost) {
+    this->queueChunks();
+    if (this->pending.size() >= maxPending) {
         this->reply->pauseBody();
     }
 }
 
 void JobUpload::onEnd()
 {
-    if (this->isOver) {
+    if (this->isFinished) {
         return;
     }
     this->parser.end();
@@ -96,23 +96,24 @@
         return;
     }
     this->isEnded = true;
-    this->takeChunks();
+    this->queueChunks();
     this->putNext();
 }
 
-void JobUpload::takeChunks()
+void JobUpload::queueChunks()
 {
-    // Once a line is wrong the job is refused at its end: nothing more is stored, the other wrong lines are still found.
-    const bool isWanted = this->parser.findings().isEmpty();
-    while (std::optional<ItemChunk> chunk = this->parser.takeChunk()) {
-        if (!isWanted) {
+    // After an invalid line nothing more is stored, but parsing continues, so that the refusal at the end of the body
+    // lists the other invalid lines too.
+    const bool isValid = this->parser.findings().isEmpty();
+    while (std::optional<ItemChunk> chunk = this->parser.popChunk()) {
+        if (!isValid) {
             continue;
         }
-        std::string key = this->folder + std::to_string(this->items.objects.size()) + '-' + contentName(chunk->items);
+        std::string key = this->folder + std::to_string(this->items.objects.size()) + '-' + contentHash(chunk->items);
         this->items.objects.push_back(key);
         this->pending.push_back({std::move(key), std::move(chunk->items)});
         if (!chunk->customIds.empty()) {
-            key = this->folder + "ids-" + contentName(chunk->customIds);
+            key = this->folder + "ids-" + contentHash(chunk->customIds);
             this->items.idObjects.push_back(key);
             this->pending.push_back({std::move(key), std::move(chunk->customIds)});
         }
@@ -122,7 +123,7 @@
 
 void JobUpload::putNext()
 {
-    if (this->isOver || this->isPutting) {
+    if (this->isFinished || this->isPutting) {
         return;
     }
     if (!this->pending.empty()) {
@@ -137,17 +138,17 @@
     if (!this->isEnded) {
         return;
     }
-    this->isOver = true;
+    this->isFinished = true;
     this->items.model = this->parser.model();
     this->items.fingerprint = this->parser.fingerprint();
     this->items.itemCount = this->parser.itemCount();
     this->items.itemsPerObject = this->parser.itemsPerChunk();
-    this->stored(std::move(this->items));
+    this->onStored(std::move(this->items));
 }
 
 void JobUpload::onPut(WriteOutcome outcome)
 {
-    // Refused: an earlier submission stored the same items there.
+    // Refused means that an earlier submission already stored the same items under this key.
     if (outcome == WriteOutcome::Done || outcome == WriteOutcome::Refused) {
         this->isPutting = false;
         this->lastProgress = this->context.clock.now();
@@ -169,7 +170,7 @@
 
 void JobUpload::refuseItems()
 {
-    this->isOver = true;
+    this->isFinished = true;
     this->pending.clear();
     this->context.metrics.countAnswer("job", "bad_items");
     this->reply->send(refusalResponse({statusBadRequest, "bad_items", this->parser.findings().toString(), RunState::NotRun, {}}));
@@ -177,7 +178,7 @@
 
 void JobUpload::giveUp()
 {
-    this->isOver = true;
+    this->isFinished = true;
     this->pending.clear();
     this->context.metrics.countAnswer("job", "not_stored");
     this->reply->send(refusalResponse({statusUnavailable,
--- a/Services/Entry/JobUpload.h
+++ b/Services/Entry/JobUpload.h
@@ -15,7 +15,7 @@
 namespace Dogwoodkeel
 {
 
-/** The items of a job or a file, all of them stored. */
+/** Describes the stored items of a job or file. */
 struct StoredItems
 {
     std::string model;
@@ -28,30 +28,31 @@
     std::vector<std::string> idObjects;
 };
 
-/** @return a hash of the text as 32 hexadecimal digits, the same on every node. */
-std::string contentName(std::string_view content);
+/** @return a hash of the content as 32 hexadecimal digits, the same on every node. */
+std::string contentHash(std::string_view content);
 
 /**
- * Takes a body of items as it arrives and stores it. Reading stops while the platform is slow, so that what waits here
- * stays within a few chunks however large the job is. On bad input the caller is told each wrong line, and nothing is
- * accepted.
+ * Stores the items of a request body as they arrive. Pauses reading while the platform is slow, so that only a few
+ * chunks are buffered whatever the size of the job. If a line is invalid, the whole body is refused, and the response
+ * lists the invalid lines.
  *
- * NOTE: What was stored by then stays. It is named by its content, so that a resend writes nothing twice; for the same
- * reason it may already belong to another submission of the same job, and must not be removed here.
+ * NOTE: Objects stored before a refusal remain. Their keys are derived from their content, so that a resend does not
+ * write them twice; for the same reason they may already belong to another submission of the same job, and must not be
+ * removed here.
  */
 class JobUpload : public std::enable_shared_from_this<JobUpload>
 {
 public:
     /**
-     * @param folder where the objects go
-     * @param stored told once, when all items are stored; not after a refusal
+     * @param folder key prefix of the stored objects
+     * @param onStored called once, when all items are stored; not called after a refusal
      */
     JobUpload(EntryContext &context,
               std::string folder,
               std::shared_ptr<HttpReply> reply,
-              std::function<void(StoredItems)> stored);
+              std::function<void(StoredItems)> onStored);
 
-    /** @return what the server gives the body to. */
+    /** @return the hooks through which the server passes the body. */
     BodyHooks hooks();
 
 private:
@@ -63,7 +64,7 @@
 
     void onData(std::string_view data);
     void onEnd();
-    void takeChunks();
+    void queueChunks();
     void putNext();
     void onPut(WriteOutcome outcome);
     void refuseItems();
@@ -72,14 +73,14 @@
     EntryContext &context;
     std::string folder;
     std::shared_ptr<HttpReply> reply;
-    std::function<void(StoredItems)> stored;
+    std::function<void(StoredItems)> onStored;
     JobParser parser;
     StoredItems items;
     std::deque<Pending> pending;
     SteadyTime lastProgress;
     bool isPutting = false;
     bool isEnded = false;
-    bool isOver = false;
+    bool isFinished = false;
 };
 
 } // namespace Dogwoodkeel
--- a/Services/Entry/OwnerClient.cpp
+++ b/Services/Entry/OwnerClient.cpp
@@ -22,11 +22,11 @@
     return shardOfId(id, this->options.shards);
 }
 
-std::optional<Address> OwnerClient::targetFor(const std::string &id, bool asksFormer) const
+std::optional<Address> OwnerClient::targetFor(const std::string &id, bool isFormerOwner) const
 {
     const ShardNumber shard = this->shardOf(id);
-    const auto last = this->lastServing.find(shard);
-    if (asksFormer && last != this->lastServing.end()) {
+    const auto last = this->lastResponders.find(shard);
+    if (isFormerOwner && last != this->lastResponders.end()) {
         return last->second;
     }
     const Member *const owner = this->view->ownerOf(shard);
--- a/Services/Entry/OwnerClient.h
+++ b/Services/Entry/OwnerClient.h
@@ -19,20 +19,20 @@
 {
 
 /**
- * Calls the owner of a request or job, whoever that is by then. A call that met the wrong node, no node, or a node that
- * cannot decide now is repeated until its deadline; all calls to owners may be repeated safely.
+ * Calls the current owner of a request or job. A call that reached the wrong node, no node, or a node that cannot decide
+ * at present is retried until its deadline. All calls to owners are idempotent.
  */
 class OwnerClient
 {
 public:
-    /** Sizes and times. */
+    /** Number of shards, timeouts and retry delays. */
     struct Options
     {
         std::uint32_t shards = 64;
         std::chrono::milliseconds callTimeout{5000};
-        /** First pause before a call is repeated; doubled with each repetition. */
+        /** Delay before the first retry; doubled with each retry. */
         std::chrono::milliseconds firstPause{20};
-        /** Longest pause: an owner that is being replaced is found this late at most, and is not hammered meanwhile. */
+        /** Maximum retry delay: bounds both the time to find a new owner and the retry rate until there is one. */
         std::chrono::milliseconds longestPause{1000};
     };
 
@@ -41,13 +41,13 @@
     void setView(MemberViewPointer view);
 
     /**
-     * Call the owner of an id.
+     * Calls the owner of an id.
      * @param id the request or job
-     * @param request what to ask
+     * @param request the request to send
      * @param wait how long the owner itself may wait before it answers
-     * @param deadline when to give up
-     * @param isFinal whether a response counts, or the call is to be repeated
-     * @param answered gets the response, or nothing if none counted before the deadline
+     * @param deadline when to stop retrying
+     * @param isFinal returns whether a response is final; otherwise the call is retried
+     * @param answered receives the final response, or nothing if there was none before the deadline
      * @param answerTimeout how long one answer may take beyond the wait, for an owner that answers from memory; by default
      *                      long enough for one that writes to the platform first
      */
@@ -60,38 +60,38 @@
               std::function<void(std::optional<typename Request::Response>)> answered,
               std::optional<std::chrono::milliseconds> answerTimeout = {})
     {
-        const auto repeated
-            = std::make_shared<Repeated<Request>>(Repeated<Request>{id,
-                                                                    std::move(request),
-                                                                    wait,
-                                                                    deadline,
-                                                                    std::move(isFinal),
-                                                                    std::move(answered),
-                                                                    answerTimeout.value_or(this->options.callTimeout)});
-        this->attempt<Request>(repeated, this->options.firstPause, false);
+        const auto retriedCall
+            = std::make_shared<RetriedCall<Request>>(RetriedCall<Request>{id,
+                                                                          std::move(request),
+                                                                          wait,
+                                                                          deadline,
+                                                                          std::move(isFinal),
+                                                                          std::move(answered),
+                                                                          answerTimeout.value_or(this->options.callTimeout)});
+        this->attempt<Request>(retriedCall, this->options.firstPause, false);
     }
 
     /**
-     * Call every node that is not dead, once, a bounded number at a time.
-     * @param answered gets the responses, and how many nodes gave none
+     * Calls every node that is not dead once, with a bounded number of concurrent calls.
+     * @param answered receives the responses, and the number of nodes that gave none
      */
     template <typename Request>
     void callAll(const Request &request, std::function<void(std::vector<typename Request::Response>, std::size_t)> answered)
     {
-        const auto round = std::make_shared<Round<Request>>();
-        round->request = request;
-        round->answered = std::move(answered);
-        round->nodes = this->reachableOwners();
-        for (std::size_t i = 0; i < callsAtOnce; ++i) {
-            ++round->open;
-            this->callNext(round);
+        const auto broadcast = std::make_shared<Broadcast<Request>>();
+        broadcast->request = request;
+        broadcast->answered = std::move(answered);
+        broadcast->nodes = this->reachableOwners();
+        for (std::size_t i = 0; i < maxConcurrentCalls; ++i) {
+            ++broadcast->activeCalls;
+            this->callNext(broadcast);
         }
     }
 
 private:
-    /** A call, over all its repetitions. */
+    /** A call with all its retries. */
     template <typename Request>
-    struct Repeated
+    struct RetriedCall
     {
         std::string id;
         Request request;
@@ -103,74 +103,77 @@
     };
 
     template <typename Request>
-    void attempt(const std::shared_ptr<Repeated<Request>> &call, std::chrono::milliseconds pause, bool asksFormer)
+    void attempt(const std::shared_ptr<RetriedCall<Request>> &call, std::chrono::milliseconds pause, bool isFormerOwner)
     {
         using Response = typename Request::Response;
-        const auto left = std::chrono::ceil<std::chrono::milliseconds>(call->deadline - this->clock.now());
-        if (left.count() <= 0) {
+        const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(call->deadline - this->clock.now());
+        if (remaining.count() <= 0) {
             call->answered(std::nullopt);
             return;
         }
-        // The former owner, if it is another, is asked at once; only then is there a pause.
-        const bool hasFormer = !asksFormer && this->targetFor(call->id, true) != this->targetFor(call->id, false);
-        const auto again = [this, call, left, pause, hasFormer] {
+        // If the shard had another owner before, that node is called without a delay; the delay applies to later retries.
+        const bool hasFormer = !isFormerOwner && this->targetFor(call->id, true) != this->targetFor(call->id, false);
+        const auto retry = [this, call, remaining, pause, hasFormer] {
             const auto next = hasFormer ? pause : std::min(pause * 2, this->options.longestPause);
-            this->loop.schedule(hasFormer ? std::chrono::milliseconds(0) : std::min(left, pause), [this, call, next, hasFormer] {
-                this->attempt<Request>(call, next, hasFormer);
-            });
+            this->loop.schedule(hasFormer ? std::chrono::milliseconds(0) : std::min(remaining, pause),
+                                [this, call, next, hasFormer] {
+                                    this->attempt<Request>(call, next, hasFormer);
+                                });
         };
-        const std::optional<Address> owner = this->targetFor(call->id, asksFormer);
+        const std::optional<Address> owner = this->targetFor(call->id, isFormerOwner);
         if (!owner) {
-            again();
+            retry();
             return;
         }
-        // The call's own deadline bounds the wait for one answer: a lost answer would otherwise be noticed only after it.
-        const auto timeout = std::min(left, call->wait + call->answerTimeout);
-        this->peers.call<Request>(*owner, call->request, timeout, [this, owner, again, call](CallResult<Response> result) {
+        // Each attempt has its own timeout, so that a lost answer is noticed before the deadline of the whole call.
+        const auto timeout = std::min(remaining, call->wait + call->answerTimeout);
+        this->peers.call<Request>(*owner, call->request, timeout, [this, owner, retry, call](CallResult<Response> result) {
             if (result.response && call->isFinal(*result.response)) {
-                this->lastServing[this->shardOf(call->id)] = *owner;
+                this->lastResponders[this->shardOf(call->id)] = *owner;
                 call->answered(std::move(result.response));
                 return;
             }
-            again();
+            retry();
         });
     }
 
-    /** So that a call of all nodes of a large fleet does not fill the connections to them at once. */
-    static constexpr std::size_t callsAtOnce = 16;
+    /** Limits the load on connections when all nodes of a large fleet are called. */
+    static constexpr std::size_t maxConcurrentCalls = 16;
 
-    /** A call of all nodes. */
+    /** State of a call to all nodes. */
     template <typename Request>
-    struct Round
+    struct Broadcast
     {
         Request request;
         std::vector<Address> nodes;
-        std::size_t open = 0;
-        std::size_t silent = 0;
+        std::size_t activeCalls = 0;
+        std::size_t unresponsive = 0;
         std::vector<typename Request::Response> responses;
         std::function<void(std::vector<typename Request::Response>, std::size_t)> answered;
     };
 
     template <typename Request>
-    void callNext(const std::shared_ptr<Round<Request>> &round)
+    void callNext(const std::shared_ptr<Broadcast<Request>> &broadcast)
     {
-        if (round->nodes.empty()) {
-            if (--round->open == 0) {
-                round->answered(std::move(round->responses), round->silent);
+        if (broadcast->nodes.empty()) {
+            if (--broadcast->activeCalls == 0) {
+                broadcast->answered(std::move(broadcast->responses), broadcast->unresponsive);
             }
             return;
         }
-        const Address node = round->nodes.back();
-        round->nodes.pop_back();
-        this->peers.call<Request>(
-            node, round->request, this->options.callTimeout, [this, round](CallResult<typename Request::Response> result) {
-                if (result.response) {
-                    round->responses.push_back(std::move(*result.response));
-                } else {
-                    ++round->silent;
-                }
-                this->callNext(round);
-            });
+        const Address node = broadcast->nodes.back();
+        broadcast->nodes.pop_back();
+        this->peers.call<Request>(node,
+                                  broadcast->request,
+                                  this->options.callTimeout,
+                                  [this, broadcast](CallResult<typename Request::Response> result) {
+                                      if (result.response) {
+                                          broadcast->responses.push_back(std::move(*result.response));
+                                      } else {
+                                          ++broadcast->unresponsive;
+                                      }
+                                      this->callNext(broadcast);
+                                  });
     }
 
     std::vector<Address> reachableOwners() const;
@@ -178,18 +181,18 @@
     ShardNumber shardOf(const std::string &id) const;
 
     /**
-     * @param asksFormer whether to ask the node that answered last for the id's shard, if there is one. While a shard
-     *                   changes hands, its former owner goes on until every node has heard of the new one.
-     * @return whom to ask, else the member that should own the shard
+     * @param isFormerOwner whether to return the node that last answered for the id's shard, if there is one: while a
+     *                      shard moves, its former owner serves it until every node knows the new one
+     * @return the address to call, by default that of the member that should own the shard; nothing if there is none
      */
-    std::optional<Address> targetFor(const std::string &id, bool asksFormer) const;
+    std::optional<Address> targetFor(const std::string &id, bool isFormerOwner) const;
 
     EventLoop &loop;
     const Clock &clock;
     PeerClient &peers;
     Options options;
     MemberViewPointer view;
-    std::map<ShardNumber, Address> lastServing;
+    std::map<ShardNumber, Address> lastResponders;
 };
 
 } // namespace Dogwoodkeel
--- a/Services/Entry/StoredFile.cpp
+++ b/Services/Entry/StoredFile.cpp
@@ -14,7 +14,7 @@
     for (const std::string &object : items.idObjects) {
         parts += '\n' + object;
     }
-    return "file-" + contentName(parts);
+    return "file-" + contentHash(parts);
 }
 
 std::string keyOf(std::string_view id)
--- a/Services/Entry/StoredFile.h
+++ b/Services/Entry/StoredFile.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <string_view>
 
-/** A file of items that was uploaded to make jobs from: an object that names the objects with its items. */
+/** An uploaded file of items from which jobs are made, stored as an object that lists the objects with the items. */
 namespace Dogwoodkeel::StoredFile
 {
 
-/** @return the file's id: of its owner and its content, so that the same file sent again is the same file. */
+/** @return the file's id, a hash of its tenant and content, so that a file uploaded again gets the same id. */
 std::string idOf(const WorkspaceName &tenant, const StoredItems &items);
 
 /** @return key of the file's object. */
@@ -18,7 +18,7 @@
 
 std::string encode(const WorkspaceName &tenant, const StoredItems &items);
 
-/** @return the items, or nothing if the content is no file of the tenant. */
+/** @return the items, or nothing if the content is not a file of this tenant. */
 std::optional<StoredItems> decode(const WorkspaceName &tenant, std::string_view content);
 
 } // namespace Dogwoodkeel::StoredFile
--- a/Tests/ServiceEntry/EntryBench.h
+++ b/Tests/ServiceEntry/EntryBench.h
@@ -19,7 +19,7 @@
 namespace Dogwoodkeel
 {
 
-/** An owner that decides as a test tells it to, and remembers what it was told. */
+/** An owner whose decisions a test sets, and which records the requests it receives. */
 class ScriptedOwner
 {
 public:
@@ -58,7 +58,7 @@
     PeerServer server;
 };
 
-/** One entry task with scripted endpoints and a scripted owner, all on one loop. */
+/** An entry task with scripted endpoints and a scripted owner, all on one event loop. */
 class EntryBench
 {
 public:
@@ -70,7 +70,7 @@
         HttpHeaders headers;
         std::string body;
 
-        /** The text of all events of a stream. */
+        /** @return the concatenated text of all events of a stream. */
         std::string text() const
         {
             std::string text;
@@ -84,7 +84,7 @@
             return text;
         }
 
-        /** A member of a refusal. */
+        /** @return a member of the error in a refusal. */
         std::string error(const char *member) const
         {
             const auto json = nlohmann::json::parse(this->body, nullptr, false);
@@ -174,7 +174,7 @@
         return this->send({.method = "POST", .path = "/v1/completions", .headers = std::move(headers), .body = body.dump()});
     }
 
-    /** Run the loop until a condition holds; a test that never gets there fails. */
+    /** Runs the loop until a condition holds; fails the test if it does not hold within 20 seconds. */
     void until(const std::function<bool()> &condition)
     {
         bool isLate = false;
@@ -182,14 +182,14 @@
             isLate = true;
             this->loop.stop();
         });
-        std::function<void()> look = [&] {
+        std::function<void()> poll = [&] {
             if (condition()) {
                 this->loop.stop();
             } else if (!isLate) {
-                this->loop.schedule(std::chrono::milliseconds(1), look);
+                this->loop.schedule(std::chrono::milliseconds(1), poll);
             }
         };
-        this->loop.post(look);
+        this->loop.post(poll);
         this->loop.run();
         this->loop.cancel(guard);
         REQUIRE_FALSE(isLate);
--- a/Tests/ServiceEntry/TestBadBodies.cpp
+++ b/Tests/ServiceEntry/TestBadBodies.cpp
@@ -61,9 +61,9 @@
 
 } // namespace
 
-// A caller sends a body of a few hundred kilobytes that holds almost only opening brackets. The JSON library parses it, but
-// writes and copies it by recursion: the stack overflows and the whole node ends, with the work of all its callers.
-TEST_CASE("A body that nests too deep is refused, wherever it comes in")
+// Guards against a stack overflow: the JSON library parses a body of a few hundred kilobytes of nested brackets, but
+// serializes and copies it recursively, which crashed the node and with it the requests of all its callers.
+TEST_CASE("A body that is nested too deep is refused by every decoder")
 {
     const std::string deep = std::string(200000, '[') + std::string(200000, ']');
     const std::string body = R"({"model":"m","prompt":)" + deep + "}";
@@ -75,7 +75,7 @@
     CHECK(contentFingerprint("m", body) == contentFingerprint("m", body));
 }
 
-TEST_CASE("Whatever a body holds, its decoders live")
+TEST_CASE("Decoders of request bodies do not crash on any input")
 {
     CHECK(rc::check([] {
         const std::string text = *fragments();
@@ -90,7 +90,7 @@
     }));
 }
 
-TEST_CASE("Whatever the platform answers, its decoders live, and take only what they would write")
+TEST_CASE("Decoders of platform answers do not crash on any input, and accept only what can be encoded again")
 {
     CHECK(rc::check([] {
         const std::string text = *fragments();
@@ -109,7 +109,7 @@
     }));
 }
 
-TEST_CASE("However a stream of events is cut, the same events come out")
+TEST_CASE("A stream of events yields the same events however it is split")
 {
     CHECK(rc::check([](const std::vector<std::string> &texts, std::uint8_t cut, const std::string &noise) {
         std::string bytes;
--- a/Tests/ServiceEntry/TestJobParser.cpp
+++ b/Tests/ServiceEntry/TestJobParser.cpp
@@ -17,7 +17,7 @@
     return R"({"model":"m","prompt":")" + std::to_string(number) + "\"}\n";
 }
 
-/** What a body comes to. */
+/** The result of parsing a body. */
 struct Parsed
 {
     std::vector<ItemChunk> chunks;
@@ -35,7 +35,7 @@
     }
     parser.end();
     Parsed parsed;
-    while (auto chunk = parser.takeChunk()) {
+    while (auto chunk = parser.popChunk()) {
         parsed.chunks.push_back(std::move(*chunk));
     }
     parsed.findings = parser.findings().toString();
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("Items come out in chunks of the size that the record tells")
+TEST_CASE("Items are split into chunks of the reported size")
 {
     std::string body;
     for (int i = 0; i < 7; ++i) {
@@ -63,7 +63,7 @@
     CHECK(parsed.chunks[0].customIds.empty());
 }
 
-TEST_CASE("Every wrong line is told with its number")
+TEST_CASE("Every invalid line is reported with its number")
 {
     const std::string otherModel = R"({"model":"other","prompt":"x"})";
     const std::string noModel = R"({"prompt":"x"})";
@@ -86,7 +86,7 @@
     CHECK(parse({body}, small).findings.find("more than 10 items") != std::string::npos);
 }
 
-TEST_CASE("Items with custom ids are unwrapped, and their ids are kept beside them")
+TEST_CASE("Items with custom ids are unwrapped, and their ids are stored separately")
 {
     const std::string unwrapped = R"({"model":"m","prompt":"x"})";
     const std::string wrapped = R"({"custom_id":"a","method":"POST","url":"/v1/completions","body":)" + unwrapped + "}\n";
@@ -99,8 +99,8 @@
     CHECK(!parse({R"({"custom_id":"a","body":[]})"}, small).findings.empty());
 }
 
-// A caller sends a line without an end. What is kept of it is bounded, however much comes.
-TEST_CASE("A line that never ends is refused without being kept")
+// A line without an end must not use unbounded memory, however much data arrives.
+TEST_CASE("A line without an end is refused without being stored")
 {
     JobParser parser(small);
     for (int i = 0; i < 1000; ++i) {
@@ -108,10 +108,10 @@
     }
     parser.end();
     CHECK(parser.findings().all().size() == 1);
-    CHECK(parser.chunks() == 0);
+    CHECK(parser.pendingChunks() == 0);
 }
 
-TEST_CASE("Large items make smaller chunks, the same in each submission")
+TEST_CASE("Large items are split into smaller chunks, the same in each submission")
 {
     const JobBounds bounds{100, 2000000, 50};
     std::string body;
@@ -126,7 +126,7 @@
     CHECK(again.fingerprint == first.fingerprint);
 }
 
-TEST_CASE("However the body is cut into parts, the same comes out, and nothing crashes")
+TEST_CASE("Parsing does not crash, and does not depend on how the body is split into parts")
 {
     CHECK(rc::check([] {
         const std::vector<std::string> known{itemLine(1),
--- a/Tests/ServiceEntry/TestOperatorRequests.cpp
+++ b/Tests/ServiceEntry/TestOperatorRequests.cpp
@@ -14,7 +14,7 @@
 constexpr std::int64_t onlineBytes = 1024;
 constexpr std::size_t configurationSize = 8192;
 
-/** An entry whose callers are a shop and the operators, and what reaches the control task. */
+/** An entry task with the tenants "shop" and "operators"; records the operator requests that it forwards. */
 struct Fixture
 {
     EntryBench bench{1};
@@ -49,15 +49,15 @@
 
 TEST_CASE("a configuration may be larger than an online request")
 {
-    // A site of 38,000 tenants has a configuration above entry.body_bytes. Refused as too large, it could never be
-    // changed again.
+    // The configuration of a site with 38,000 tenants exceeds entry.body_bytes. If it were refused as too large, it
+    // could never be changed again.
     Fixture fixture;
     CHECK(fixture.propose("operator key")->status == 200);
     CHECK(fixture.received == configurationSize);
     CHECK(fixture.author == "operators");
 }
 
-TEST_CASE("who has no operator's key neither changes the configuration nor may send a large body to it")
+TEST_CASE("a caller without an operator's key can neither change the configuration nor send a large body to it")
 {
     Fixture fixture;
     const auto answer = fixture.propose("shop key");
