--- a/Services/Entry/ApiErrors.h
+++ b/Services/Entry/ApiErrors.h
@@ -22,7 +22,7 @@
 struct Refusal
 {
     int status = 0;
-    /** Machine-readable reason, one of a fixed set; also used as a metric label. */
+    /** Reason from a fixed set of words, for programs and counters. */
     std::string_view reason;
     /** Human-readable explanation. */
     std::string message;
--- a/Services/Entry/BatchApi.cpp
+++ b/Services/Entry/BatchApi.cpp
@@ -171,12 +171,12 @@
 BodyHooks BatchApi::uploadJob(const Caller &caller, const HttpRequest &head, const std::shared_ptr<HttpReply> &reply)
 {
     // Adds a key to the head if it has none, so that the objects and the record of the job have the same id.
-    HttpRequest named = head;
-    named.headers.try_emplace("Idempotency-Key", randomHex(idBytes));
-    const std::string folder = "items/" + jobIdOf(caller, headerValue(named.headers, "Idempotency-Key")).value() + '/';
+    HttpRequest headWithKey = head;
+    headWithKey.headers.try_emplace("Idempotency-Key", randomHex(idBytes));
+    const std::string folder = "items/" + jobIdOf(caller, headerValue(headWithKey.headers, "Idempotency-Key")).value() + '/';
     const auto upload
-        = std::make_shared<JobUpload>(this->context, folder, reply, [this, caller, named, reply](StoredItems items) {
-              this->submitItems(caller, named, std::move(items), reply);
+        = std::make_shared<JobUpload>(this->context, folder, reply, [this, caller, headWithKey, reply](StoredItems items) {
+              this->submitItems(caller, headWithKey, std::move(items), reply);
           });
     return upload->hooks();
 }
@@ -257,7 +257,7 @@
 {
     const std::uint32_t limit = std::clamp(numberOr(queryValue(query, "limit"), maxListedJobs), 1U, maxListedJobs);
     this->context.owners.callAll<ListJobsRequest>(
-        {caller.tenant, limit}, [limit, reply](const std::vector<ListJobsResponse> &responses, std::size_t unresponsive) {
+        {caller.tenant, limit}, [limit, reply](const std::vector<ListJobsResponse> &responses, std::size_t unresponsiveNodes) {
             std::vector<ListedJob> jobs;
             for (const ListJobsResponse &response : responses) {
                 jobs.insert(jobs.end(), response.jobs.begin(), response.jobs.end());
@@ -271,7 +271,7 @@
                 data.push_back(progressJson(job.jobId, job.progress));
             }
             // A node that did not answer may own jobs that are missing here; is_complete reports this to the caller.
-            const nlohmann::json body{{"data", data}, {"is_complete", unresponsive == 0}};
+            const nlohmann::json body{{"data", data}, {"is_complete", unresponsiveNodes == 0}};
             reply->send(jsonResponse(statusOk, body.dump() + '\n'));
         });
 }
--- a/Services/Entry/JobUpload.cpp
+++ b/Services/Entry/JobUpload.cpp
@@ -159,7 +159,7 @@
         return;
     }
     if (this->context.clock.now() - this->lastProgress >= timeout) {
-        this->giveUp();
+        this->refuseNotStored();
         return;
     }
     this->context.loop.schedule(retryDelay, [self = this->shared_from_this()] {
@@ -176,7 +176,7 @@
     this->reply->send(refusalResponse({statusBadRequest, "bad_items", this->parser.findings().toString(), RunState::NotRun, {}}));
 }
 
-void JobUpload::giveUp()
+void JobUpload::refuseNotStored()
 {
     this->isFinished = true;
     this->pending.clear();
--- a/Services/Entry/JobUpload.h
+++ b/Services/Entry/JobUpload.h
@@ -68,7 +68,7 @@
     void putNext();
     void onPut(WriteOutcome outcome);
     void refuseItems();
-    void giveUp();
+    void refuseNotStored();
 
     EntryContext &context;
     std::string folder;
--- a/Services/Entry/OwnerClient.h
+++ b/Services/Entry/OwnerClient.h
@@ -31,9 +31,9 @@
         std::uint32_t shards = 64;
         std::chrono::milliseconds callTimeout{5000};
         /** Delay before the first retry; doubled with each retry. */
-        std::chrono::milliseconds firstPause{20};
+        std::chrono::milliseconds initialRetryDelay{20};
         /** Maximum retry delay: bounds both the time to find a new owner and the retry rate until there is one. */
-        std::chrono::milliseconds longestPause{1000};
+        std::chrono::milliseconds maxRetryDelay{1000};
     };
 
     OwnerClient(EventLoop &loop, const Clock &clock, PeerClient &peers, Options options);
@@ -48,7 +48,7 @@
      * @param deadline when to stop retrying
      * @param isFinal returns whether a response is final; otherwise the call is retried
      * @param answered receives the final response, or nothing if there was none before the deadline
-     * @param answerTimeout how long one answer may take beyond the wait, for an owner that answers from memory; by default
+     * @param answerTimeout time limit of one attempt in addition to the wait, for an owner that answers from memory; by default
      *                      long enough for one that writes to the platform first
      */
     template <typename Request>
@@ -68,7 +68,7 @@
                                                                           std::move(isFinal),
                                                                           std::move(answered),
                                                                           answerTimeout.value_or(this->options.callTimeout)});
-        this->attempt<Request>(retriedCall, this->options.firstPause, false);
+        this->attempt<Request>(retriedCall, this->options.initialRetryDelay, false);
     }
 
     /**
@@ -103,7 +103,7 @@
     };
 
     template <typename Request>
-    void attempt(const std::shared_ptr<RetriedCall<Request>> &call, std::chrono::milliseconds pause, bool isFormerOwner)
+    void attempt(const std::shared_ptr<RetriedCall<Request>> &call, std::chrono::milliseconds retryDelay, bool isFormerOwner)
     {
         using Response = typename Request::Response;
         const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(call->deadline - this->clock.now());
@@ -112,12 +112,12 @@
             return;
         }
         // If the shard had another owner before, that node is called without a delay; the delay applies to later retries.
-        const bool hasFormer = !isFormerOwner && this->targetFor(call->id, true) != this->targetFor(call->id, false);
-        const auto retry = [this, call, remaining, pause, hasFormer] {
-            const auto next = hasFormer ? pause : std::min(pause * 2, this->options.longestPause);
-            this->loop.schedule(hasFormer ? std::chrono::milliseconds(0) : std::min(remaining, pause),
-                                [this, call, next, hasFormer] {
-                                    this->attempt<Request>(call, next, hasFormer);
+        const bool hasFormerOwner = !isFormerOwner && this->targetFor(call->id, true) != this->targetFor(call->id, false);
+        const auto retry = [this, call, remaining, retryDelay, hasFormerOwner] {
+            const auto nextDelay = hasFormerOwner ? retryDelay : std::min(retryDelay * 2, this->options.maxRetryDelay);
+            this->loop.schedule(hasFormerOwner ? std::chrono::milliseconds(0) : std::min(remaining, retryDelay),
+                                [this, call, nextDelay, hasFormerOwner] {
+                                    this->attempt<Request>(call, nextDelay, hasFormerOwner);
                                 });
         };
         const std::optional<Address> owner = this->targetFor(call->id, isFormerOwner);
@@ -125,7 +125,8 @@
             retry();
             return;
         }
-        // Each attempt has its own timeout, so that a lost answer is noticed before the deadline of the whole call.
+        // The timeout of an attempt is shorter than that of the call: a lost answer would otherwise be noticed only at the
+        // deadline of the call.
         const auto timeout = std::min(remaining, call->wait + call->answerTimeout);
         this->peers.call<Request>(*owner, call->request, timeout, [this, owner, retry, call](CallResult<Response> result) {
             if (result.response && call->isFinal(*result.response)) {
@@ -147,7 +148,7 @@
         Request request;
         std::vector<Address> nodes;
         std::size_t activeCalls = 0;
-        std::size_t unresponsive = 0;
+        std::size_t unresponsiveNodes = 0;
         std::vector<typename Request::Response> responses;
         std::function<void(std::vector<typename Request::Response>, std::size_t)> answered;
     };
@@ -157,7 +158,7 @@
     {
         if (broadcast->nodes.empty()) {
             if (--broadcast->activeCalls == 0) {
-                broadcast->answered(std::move(broadcast->responses), broadcast->unresponsive);
+                broadcast->answered(std::move(broadcast->responses), broadcast->unresponsiveNodes);
             }
             return;
         }
@@ -170,7 +171,7 @@
                                       if (result.response) {
                                           broadcast->responses.push_back(std::move(*result.response));
                                       } else {
-                                          ++broadcast->unresponsive;
+                                          ++broadcast->unresponsiveNodes;
                                       }
                                       this->callNext(broadcast);
                                   });
--- a/Tests/ServiceEntry/EntryBench.h
+++ b/Tests/ServiceEntry/EntryBench.h
@@ -134,8 +134,8 @@
             SessionNumber(1),
             PeerSecurity{MessageKey(""), 1048576},
             std::nullopt,
-            [store](EventLoop &on) {
-                return std::make_unique<EmbeddedPlatform>(store, on);
+            [store](EventLoop &eventLoop) {
+                return std::make_unique<EmbeddedPlatform>(store, eventLoop);
             },
             this->metrics,
             this->operators);
--- a/Tests/ServiceEntry/TestBadBodies.cpp
+++ b/Tests/ServiceEntry/TestBadBodies.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/** JSON that is valid, nearly valid, or neither. */
+/** Generates texts of JSON fragments in random order: valid, nearly valid or invalid JSON. */
 rc::Gen<std::string> fragments()
 {
     static const std::vector<std::string> known{"{",
@@ -62,7 +62,7 @@
 } // namespace
 
 // Guards against a stack overflow: the JSON library parses a body of a few hundred kilobytes of nested brackets, but
-// serializes and copies it recursively, which crashed the node and with it the requests of all its callers.
+// serializes and copies it recursively. The overflow would end the whole node, and with it the work of all its callers.
 TEST_CASE("A body that is nested too deep is refused by every decoder")
 {
     const std::string deep = std::string(200000, '[') + std::string(200000, ']');
--- a/Tests/ServiceEntry/TestJobParser.cpp
+++ b/Tests/ServiceEntry/TestJobParser.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr JobBounds small{10, 100, 3};
+constexpr JobBounds smallBounds{10, 100, 3};
 
 std::string itemLine(int number)
 {
@@ -53,7 +53,7 @@
     for (int i = 0; i < 7; ++i) {
         body += itemLine(i);
     }
-    const Parsed parsed = parse({body}, small);
+    const Parsed parsed = parse({body}, smallBounds);
     CHECK(parsed.findings.empty());
     CHECK(parsed.items == 7);
     CHECK(parsed.perChunk == 3);
@@ -68,7 +68,7 @@
     const std::string otherModel = R"({"model":"other","prompt":"x"})";
     const std::string noModel = R"({"prompt":"x"})";
     const std::string body = itemLine(0) + "nonsense\n\n" + otherModel + '\n' + std::string(101, 'x') + '\n' + noModel;
-    const Parsed parsed = parse({body}, small);
+    const Parsed parsed = parse({body}, smallBounds);
     CHECK(parsed.findings.find("2:1") != std::string::npos);
     CHECK(parsed.findings.find("4:1") != std::string::npos);
     CHECK(parsed.findings.find("5:1") != std::string::npos);
@@ -78,12 +78,12 @@
 
 TEST_CASE("A job without items and one with too many are refused")
 {
-    CHECK(!parse({"\n\r\n"}, small).findings.empty());
+    CHECK(!parse({"\n\r\n"}, smallBounds).findings.empty());
     std::string body;
     for (int i = 0; i < 11; ++i) {
         body += itemLine(i);
     }
-    CHECK(parse({body}, small).findings.find("more than 10 items") != std::string::npos);
+    CHECK(parse({body}, smallBounds).findings.find("more than 10 items") != std::string::npos);
 }
 
 TEST_CASE("Items with custom ids are unwrapped, and their ids are stored separately")
@@ -95,14 +95,14 @@
     REQUIRE(parsed.chunks.size() == 1);
     CHECK(parsed.chunks[0].items == unwrapped + '\n' + itemLine(1));
     CHECK(parsed.chunks[0].customIds == R"(["a",null])");
-    CHECK(!parse({R"({"custom_id":7,"body":{"model":"m","prompt":"x"}})"}, small).findings.empty());
-    CHECK(!parse({R"({"custom_id":"a","body":[]})"}, small).findings.empty());
+    CHECK(!parse({R"({"custom_id":7,"body":{"model":"m","prompt":"x"}})"}, smallBounds).findings.empty());
+    CHECK(!parse({R"({"custom_id":"a","body":[]})"}, smallBounds).findings.empty());
 }
 
 // A line without an end must not use unbounded memory, however much data arrives.
 TEST_CASE("A line without an end is refused without being stored")
 {
-    JobParser parser(small);
+    JobParser parser(smallBounds);
     for (int i = 0; i < 1000; ++i) {
         parser.feed(std::string(1000, 'x'));
     }
@@ -146,8 +146,8 @@
         }
         body += *rc::gen::string<std::string>();
         const std::size_t cut = body.empty() ? 0 : *rc::gen::inRange<std::size_t>(0, body.size());
-        const Parsed whole = parse({body}, small);
-        const Parsed parts = parse({body.substr(0, cut), body.substr(cut)}, small);
+        const Parsed whole = parse({body}, smallBounds);
+        const Parsed parts = parse({body.substr(0, cut), body.substr(cut)}, smallBounds);
         RC_ASSERT(whole.findings == parts.findings);
         RC_ASSERT(whole.items == parts.items);
         RC_ASSERT(whole.fingerprint == parts.fingerprint);
