--- a/Benchmarks/Measure/Capacity.cpp
+++ b/Benchmarks/Measure/Capacity.cpp
@@ -1,5 +1,5 @@
-// The slopes behind docs/CAPACITY.md: what a node spends idle, by number of nodes and of replicas, and what a lookup, a
-// token, a kept result and a batch item cost in processor time, memory and platform writes, at three sizes each.
+// Measures the costs that docs/CAPACITY.md is based on: the use of an idle node by the number of nodes and replicas, and the
+// processor time, memory and platform writes of a lookup, a token, a retained result and a batch item, at three sizes each.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 #include <Benchmarks/Support/ProcessUsage.h>
@@ -17,8 +17,8 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "folder with the programs");
-DEFINE_string(only, "", "one part: nodes, replicas, lookups, tokens, results or items");
-DEFINE_int32(seconds, 5, "how long each rate is watched");
+DEFINE_string(only, "", "measure only this part: nodes, replicas, lookups, tokens, results or items");
+DEFINE_int32(seconds, 5, "how long an idle fleet is measured");
 
 namespace
 {
@@ -36,7 +36,7 @@
     double platformWrites = 0;
 };
 
-/** A site of its own: platform, replicas, nodes. */
+/** Runs a separate fleet of a platform, replicas and nodes. */
 struct Site
 {
     explicit Site(std::size_t nodes, std::size_t engines, std::size_t extraReplicas) : fleet(FLAGS_programs)
@@ -52,7 +52,7 @@
                                       "capacity = 64\n");
         }
         for (std::size_t i = 0; i < extraReplicas; ++i) {
-            // Replicas that nobody asks for: what is measured is knowing of them.
+            // These replicas receive no requests; they only add to the replicas that the nodes track.
             this->fleet.addSettings("[[endpoint]]\nname = \"idle-" + std::to_string(i) + "\"\naddress = \"127.0.0.1:1\"\n"
                                     + "failure_domain = \"d" + std::to_string(i % 7) + "\"\nmodel = \"m" + std::to_string(i % 21)
                                     + "\"\n");
@@ -96,7 +96,7 @@
     return static_cast<double>(time.count());
 }
 
-/** Prints what a time without requests costs each node. */
+/** Prints the processor time, memory and platform calls of each node without requests. */
 void printIdle(const Site &site, const std::string &name)
 {
     if (!site.isReady) {
@@ -115,7 +115,7 @@
     printFigure(name + ".platform_writes", (after.platformWrites - before.platformWrites) / (seconds * nodes), "1/s/node");
 }
 
-/** Sends requests, a number of them in flight, until as many as wanted are answered. @return those answered with 200 */
+/** Sends `wanted` requests with at most `inFlight` at a time. @return the number of responses with status 200 */
 std::size_t
 sendMany(const Site &site, std::size_t wanted, std::size_t inFlight, const std::function<HttpRequest(std::size_t)> &make)
 {
@@ -168,7 +168,7 @@
         const Site site(3, 3, replicas);
         printIdle(site, "idle.replicas_" + std::to_string(replicas));
     }
-    // The same replicas over more nodes: tells what each lane that is held costs from what each replica that is known costs.
+    // The same replicas over more nodes: separates the cost per lane of a node from the cost per replica that it tracks.
     const Site spread(11, 3, 1800);
     printIdle(spread, "idle.replicas_1800_nodes_11");
 }
@@ -234,7 +234,7 @@
     }
 }
 
-/** Submits a job and waits until all its items are done. @return whether they were, in time */
+/** Submits a job and waits until all items succeed. @return whether they did within the time limit */
 bool runJob(const Site &site, std::size_t items)
 {
     std::string body;
@@ -249,7 +249,7 @@
         return false;
     }
     const std::string path = "/v1/batches/" + job["id"].get<std::string>();
-    for (int tries = 0; tries < 1200; ++tries) {
+    for (int attempt = 0; attempt < 1200; ++attempt) {
         const auto state = nlohmann::json::parse(LocalFleet::call(site.node(1), "GET", path).body, nullptr, false);
         if (state.is_object() && state.value("succeeded", 0U) == items) {
             return true;
@@ -266,12 +266,12 @@
         const auto start = std::chrono::steady_clock::now();
         const Totals before = site.totals();
         const bool isDone = runJob(site, items);
-        const std::chrono::duration<double> took = std::chrono::steady_clock::now() - start;
+        const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
         const Totals after = site.totals();
         const std::string name = "items_" + std::to_string(items);
         const auto count = static_cast<double>(items);
         printFigure(name + ".done", isDone ? 1 : 0, "jobs");
-        printFigure(name + ".rate", count / took.count(), "items/s");
+        printFigure(name + ".rate", count / elapsed.count(), "items/s");
         printFigure(name + ".cpu", microseconds(after.processorTime - before.processorTime) / count, "us/item");
         printFigure(name + ".memory", (after.memoryKilobytes - before.memoryKilobytes) * bytesPerKilobyte / count, "B/item");
         printFigure(name + ".platform_writes", (after.platformWrites - before.platformWrites) / count, "writes/item");
--- a/Benchmarks/Measure/Colocation.cpp
+++ b/Benchmarks/Measure/Colocation.cpp
@@ -1,6 +1,6 @@
-// What batch work does to interactive callers, and how much of the idle capacity it uses: without yielding, with a static
-// split of the replicas, with a fixed limit, and as it is. Each variant first serves online requests alone and then with a
-// batch job beside them, in one fleet, so that both see the same machine.
+// Measures how batch work affects the latency of online requests, and how much of the idle capacity it uses: without
+// yielding, with a static split of the replicas, with a fixed limit, and with the yield policy. Each variant first serves
+// online requests alone and then with a concurrent batch job, in the same fleet, so that both run on the same machine.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 #include <Benchmarks/Support/OnlineLoad.h>
@@ -13,13 +13,13 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "folder with the programs");
-DEFINE_int32(nodes, 6, "nodes; the users have 10 to 11");
-DEFINE_int32(seconds, 8, "how long each half of a variant is measured");
+DEFINE_int32(nodes, 6, "nodes; the users run 10 to 11");
+DEFINE_int32(seconds, 8, "how long each phase of a variant is measured");
 DEFINE_string(mix, "trocamundo", "trocamundo (notes, bursts) or hoshizora (labels, steady)");
-DEFINE_string(variants, "unlimited,static,fixed,yield", "what to compare");
-DEFINE_bool(debug, false, "let the nodes log what the lanes do; KEEP_LOGS=1 keeps the logs");
-DEFINE_int32(capacity, 8, "streams an engine runs side by side; the load grows with it");
-DEFINE_uint64(seed, 1, "of the arrivals");
+DEFINE_string(variants, "unlimited,static,fixed,yield", "variants to compare");
+DEFINE_bool(debug, false, "nodes log at debug level; KEEP_LOGS=1 keeps the logs");
+DEFINE_int32(capacity, 8, "concurrent streams of an engine; the load scales with it");
+DEFINE_uint64(seed, 1, "seed of the arrivals");
 
 namespace
 {
@@ -57,7 +57,7 @@
     return mix;
 }
 
-/** One fleet, with the settings of a variant. */
+/** Runs one fleet with the settings of a variant. */
 class Site
 {
 public:
@@ -126,36 +126,36 @@
     std::vector<std::size_t> nodes;
 };
 
-struct Half
+struct Phase
 {
     OnlineFigures online;
     double batchTokensPerSecond = 0;
     double onlineTokensPerSecond = 0;
 };
 
-Half measureHalf(Site &site)
+Phase measurePhase(Site &site)
 {
     const std::uint64_t before = site.tokens();
     const auto start = std::chrono::steady_clock::now();
-    Half half;
-    half.online = OnlineLoad(site.entries(), mixOf(FLAGS_mix), FLAGS_seed).run(std::chrono::seconds(FLAGS_seconds));
-    const std::chrono::duration<double> passed = std::chrono::steady_clock::now() - start;
-    half.onlineTokensPerSecond = static_cast<double>(half.online.tokens) / passed.count();
-    half.batchTokensPerSecond = static_cast<double>(site.tokens() - before) / passed.count() - half.onlineTokensPerSecond;
-    return half;
+    Phase phase;
+    phase.online = OnlineLoad(site.entries(), mixOf(FLAGS_mix), FLAGS_seed).run(std::chrono::seconds(FLAGS_seconds));
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
+    phase.onlineTokensPerSecond = static_cast<double>(phase.online.tokens) / elapsed.count();
+    phase.batchTokensPerSecond = static_cast<double>(site.tokens() - before) / elapsed.count() - phase.onlineTokensPerSecond;
+    return phase;
 }
 
-void print(const std::string &name, Half &half)
+void print(const std::string &name, Phase &phase)
 {
     for (const auto &[label, share] : {std::pair("p50", 0.5), std::pair("p95", 0.95), std::pair("p99", 0.99)}) {
-        printFigure(name + ".first_token_" + label, half.online.firstToken.percentile(share), "ms");
-        printFigure(name + ".between_tokens_" + label, half.online.betweenTokens.percentile(share), "ms");
-        printFigure(name + ".total_" + label, half.online.total.percentile(share), "ms");
-        printFigure(name + ".lookup_" + label, half.online.lookup.percentile(share), "ms");
+        printFigure(name + ".first_token_" + label, phase.online.firstToken.percentile(share), "ms");
+        printFigure(name + ".between_tokens_" + label, phase.online.betweenTokens.percentile(share), "ms");
+        printFigure(name + ".total_" + label, phase.online.total.percentile(share), "ms");
+        printFigure(name + ".lookup_" + label, phase.online.lookup.percentile(share), "ms");
     }
-    printFigure(name + ".online_tokens", half.onlineTokensPerSecond, "1/s");
-    printFigure(name + ".batch_tokens", half.batchTokensPerSecond, "1/s");
-    printFigure(name + ".failed", static_cast<double>(half.online.failed), "requests");
+    printFigure(name + ".online_tokens", phase.onlineTokensPerSecond, "1/s");
+    printFigure(name + ".batch_tokens", phase.batchTokensPerSecond, "1/s");
+    printFigure(name + ".failed", static_cast<double>(phase.online.failed), "requests");
 }
 
 double ratio(Durations &with, Durations &without)
@@ -169,16 +169,16 @@
 int main(int argc, char **argv)
 {
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    // What the engines make when nothing but batch items run, all places taken: what is idle is this less the online tokens.
-    double most = 0;
+    // Tokens per second with only batch items and all slots in use; the idle capacity is this minus the online tokens.
+    double maxTokensPerSecond = 0;
     {
         Site site("unlimited");
         site.submitJob();
         std::this_thread::sleep_for(3s);
         const std::uint64_t before = site.tokens();
         std::this_thread::sleep_for(std::chrono::seconds(FLAGS_seconds));
-        most = static_cast<double>(site.tokens() - before) / FLAGS_seconds;
-        printFigure("colocation.batch_alone.batch_tokens", most, "1/s");
+        maxTokensPerSecond = static_cast<double>(site.tokens() - before) / FLAGS_seconds;
+        printFigure("colocation.batch_alone.batch_tokens", maxTokensPerSecond, "1/s");
     }
     std::string variants = FLAGS_variants + ',';
     for (std::size_t comma = variants.find(','); comma != std::string::npos; comma = variants.find(',')) {
@@ -190,17 +190,17 @@
             return 1;
         }
         const std::string name = "colocation." + variant;
-        Half alone = measureHalf(site);
+        Phase alone = measurePhase(site);
         print(name + ".without_batch", alone);
         site.submitJob();
         std::this_thread::sleep_for(2s);
-        Half both = measureHalf(site);
+        Phase both = measurePhase(site);
         print(name + ".with_batch", both);
         printFigure(name + ".first_token_p99_ratio", ratio(both.online.firstToken, alone.online.firstToken), "x");
         printFigure(name + ".between_tokens_p99_ratio", ratio(both.online.betweenTokens, alone.online.betweenTokens), "x");
         printFigure(name + ".total_p99_ratio", ratio(both.online.total, alone.online.total), "x");
         printFigure(name + ".lookup_p99_ratio", ratio(both.online.lookup, alone.online.lookup), "x");
-        printFigure(name + ".idle_used", both.batchTokensPerSecond / (most - both.onlineTokensPerSecond), "share");
+        printFigure(name + ".idle_used", both.batchTokensPerSecond / (maxTokensPerSecond - both.onlineTokensPerSecond), "share");
     }
     return 0;
 }
--- a/Benchmarks/Measure/Config.cpp
+++ b/Benchmarks/Measure/Config.cpp
@@ -1,5 +1,5 @@
-// How long an accepted configuration takes until it is in force at every node, by the number of nodes, with the
-// platform healthy and with the platform down from the moment the version was inserted.
+// Measures the time from an operator's request until the configuration is in force at every node, by the number of nodes:
+// with a healthy platform, and with a platform that fails as soon as the version is inserted.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 
@@ -18,7 +18,7 @@
 DEFINE_string(programs, "build", "folder with the programs");
 DEFINE_string(sizes, "3,11,40", "numbers of nodes");
 DEFINE_int32(rounds, 5, "versions applied for each figure");
-DEFINE_uint64(tenants, 0, "tenants in the configuration, to measure a large one");
+DEFINE_uint64(tenants, 0, "number of tenants in the configuration, to measure a large one");
 
 namespace
 {
@@ -28,12 +28,12 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::chrono::milliseconds pollPause{5};
-constexpr std::chrono::seconds mostWait{30};
+constexpr std::chrono::seconds maxWait{30};
 constexpr std::chrono::seconds callTimeout{20};
 constexpr int statusOk = 200;
 constexpr const char *operatorKey = "measurement";
 
-/** A call with the operator's key. */
+/** Sends a request with the operator's key. */
 LocalFleet::Answer call(const Address &node, const std::string &method, const std::string &path, const std::string &body = {})
 {
     EventLoop loop;
@@ -61,7 +61,7 @@
     return base;
 }
 
-/** One fleet and the number of its newest version. */
+/** Runs one fleet and applies configuration versions to it. */
 class Trial
 {
 public:
@@ -78,7 +78,7 @@
         return this->fleet.waitReady(std::chrono::seconds(60));
     }
 
-    /** @return how long one version took from the operator's request until the last node said that it is in force */
+    /** @return time from the operator's request until the last node reports the version as in force, or nothing if it fails */
     std::optional<Clock::duration> apply(bool isDownAfterwards)
     {
         const Address node = this->fleet.process(this->fleet.nodes().front()).address;
@@ -96,7 +96,7 @@
             LocalFleet::call(this->fleet.platform(), "POST", "/faults", "{\"down\":true}");
         }
         while (!this->isInForce(node)) {
-            if (Clock::now() - start > mostWait) {
+            if (Clock::now() - start > maxWait) {
                 return std::nullopt;
             }
             std::this_thread::sleep_for(pollPause);
--- a/Benchmarks/Measure/ConfigHistory.cpp
+++ b/Benchmarks/Measure/ConfigHistory.cpp
@@ -1,6 +1,6 @@
-// Whether a configuration that was told as accepted is in force at every node and never goes back, while nodes are killed
-// and paused, the platform is down, slow or loses answers, and two operators race. Each version sets the time to live of
-// /v1/entries to its own number of seconds, so what callers see at a node tells the version that it works by.
+// Checks that an acknowledged configuration comes into force at every node and is never reverted, while nodes are killed
+// and paused, the platform is down, slow or loses responses, and two operators submit changes concurrently. Each version
+// sets the time to live of /v1/entries to its own number in seconds, so a response shows which version a node uses.
 #include <Benchmarks/Support/FaultSchedule.h>
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
@@ -16,7 +16,7 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "folder with the programs");
-DEFINE_uint64(seed, 1, "of the faults");
+DEFINE_uint64(seed, 1, "seed of the faults");
 DEFINE_int32(seconds, 8, "how long faults are injected");
 DEFINE_int32(nodes, 5, "nodes, in two sites");
 
@@ -30,38 +30,38 @@
 constexpr int statusOk = 200;
 constexpr int statusConflict = 409;
 constexpr int statusInvalid = 422;
-constexpr std::chrono::milliseconds watchPause{20};
+constexpr std::chrono::milliseconds pollPause{20};
 constexpr std::chrono::seconds settleTime{20};
 
-/** What operators were told and callers saw. */
-class Record
+/** Collects acknowledged versions and the versions seen at each node, and reports violations. */
+class Observations
 {
 public:
-    void accepted(std::uint64_t number, const std::string &nonce)
+    void recordAccepted(std::uint64_t number, const std::string &nonce)
     {
         const std::lock_guard lock(this->mutex);
         const auto [known, isNew] = this->nonces.try_emplace(number, nonce);
         if (!isNew && known->second != nonce) {
-            this->fail("version " + std::to_string(number) + " was told as accepted to two operators");
+            this->reportViolation("version " + std::to_string(number) + " was acknowledged to two operators");
         }
         this->newest = std::max(this->newest, number);
     }
 
-    void saw(std::size_t node, std::uint64_t number)
+    void recordSeen(std::size_t node, std::uint64_t number)
     {
         const std::lock_guard lock(this->mutex);
         std::uint64_t &before = this->byNode[node];
         if (number < before) {
-            this->fail("node " + std::to_string(node) + " went back from " + std::to_string(before) + " to "
-                       + std::to_string(number));
+            this->reportViolation("node " + std::to_string(node) + " reverted from " + std::to_string(before) + " to "
+                                  + std::to_string(number));
         }
         before = std::max(before, number);
-        ++this->looks;
+        ++this->checks;
     }
 
-    void fail(const std::string &what)
+    void reportViolation(const std::string &message)
     {
-        std::printf("violation: %s\n", what.c_str());
+        std::printf("violation: %s\n", message.c_str());
         ++this->violations;
     }
 
@@ -75,17 +75,17 @@
     std::map<std::uint64_t, std::string> nonces;
     std::map<std::size_t, std::uint64_t> byNode;
     std::uint64_t newest = 0;
-    std::uint64_t looks = 0;
+    std::uint64_t checks = 0;
     std::atomic<std::uint64_t> violations = 0;
     std::atomic<std::uint64_t> raced = 0;
 };
 
-/** An operator who applies one change after the other, at any node, and resends until told. */
+/** Applies one change after the other at random nodes and resends each until it is acknowledged or rejected. */
 class Operator
 {
 public:
-    Operator(const LocalFleet &fleet, Record &record, std::string name, std::uint64_t seed)
-        : fleet(fleet), record(record), name(std::move(name)), random(seed)
+    Operator(const LocalFleet &fleet, Observations &observations, std::string name, std::uint64_t seed)
+        : fleet(fleet), observations(observations), name(std::move(name)), random(seed)
     {
     }
 
@@ -97,7 +97,7 @@
             if (shown.status == statusOk && json.is_object()) {
                 this->apply(json.value("version", std::uint64_t{0}), isStopping);
             }
-            std::this_thread::sleep_for(watchPause);
+            std::this_thread::sleep_for(pollPause);
         }
     }
 
@@ -110,18 +110,18 @@
         while (!isStopping) {
             const auto answer = LocalFleet::call(this->anyNode(), "POST", "/v1/config", body.dump());
             if (answer.status == statusOk) {
-                this->record.accepted(Json::parse(answer.body).value("version", std::uint64_t{0}), nonce);
+                this->observations.recordAccepted(Json::parse(answer.body).value("version", std::uint64_t{0}), nonce);
                 return;
             }
             if (answer.status == statusConflict) {
-                ++this->record.raced;
+                ++this->observations.raced;
                 return;
             }
             if (answer.status == statusInvalid) {
-                this->record.fail("a good version was refused: " + answer.body);
+                this->observations.reportViolation("a valid version was rejected: " + answer.body);
                 return;
             }
-            std::this_thread::sleep_for(watchPause);
+            std::this_thread::sleep_for(pollPause);
         }
     }
 
@@ -132,57 +132,57 @@
     }
 
     const LocalFleet &fleet;
-    Record &record;
+    Observations &observations;
     std::string name;
     std::mt19937_64 random;
     std::uint64_t changes = 0;
 };
 
-/** Reads at one node what callers are told there, again and again, over its restarts. */
-void watch(const Address &node, std::size_t index, Record &record, const std::atomic<bool> &isStopping)
+/** Polls the version that one node uses, also across its restarts. */
+void pollVersion(const Address &node, std::size_t index, Observations &observations, const std::atomic<bool> &isStopping)
 {
     while (!isStopping) {
         const auto answer = LocalFleet::call(node, "GET", "/v1/entries");
         const Json json = Json::parse(answer.body, nullptr, false);
         if (answer.status == statusOk && json.is_object()) {
-            record.saw(index, json.value("ttl_seconds", std::uint64_t{0}));
+            observations.recordSeen(index, json.value("ttl_seconds", std::uint64_t{0}));
         }
-        std::this_thread::sleep_for(watchPause);
+        std::this_thread::sleep_for(pollPause);
     }
 }
 
-/** @return how long the nodes took, after the faults, until all had the newest accepted version */
-std::optional<Clock::duration> settle(Record &record, std::size_t nodes)
+/** @return time after the faults until all nodes use the newest accepted version, or nothing after a timeout */
+std::optional<Clock::duration> settle(Observations &observations, std::size_t nodes)
 {
     const auto start = Clock::now();
     while (Clock::now() - start < settleTime) {
         {
-            const std::lock_guard lock(record.mutex);
+            const std::lock_guard lock(observations.mutex);
             std::size_t current = 0;
-            for (const auto &[node, number] : record.byNode) {
-                current += number >= record.newest ? 1 : 0;
+            for (const auto &[node, number] : observations.byNode) {
+                current += number >= observations.newest ? 1 : 0;
             }
             if (current == nodes) {
                 return Clock::now() - start;
             }
         }
-        std::this_thread::sleep_for(watchPause);
+        std::this_thread::sleep_for(pollPause);
     }
     return std::nullopt;
 }
 
-void checkLog(const Address &node, Record &record)
+void checkLog(const Address &node, Observations &observations)
 {
     const auto answer = LocalFleet::call(node, "GET", "/v1/config/log?limit=1000");
     const Json versions = Json::parse(answer.body, nullptr, false).value("versions", Json::array());
     std::uint64_t expected = versions.size();
     for (const Json &version : versions) {
         if (version.value("version", std::uint64_t{0}) != expected--) {
-            record.fail("the log has a gap");
+            observations.reportViolation("the configuration log has a gap");
         }
     }
-    if (versions.size() < record.newestAccepted()) {
-        record.fail("the log lacks an accepted version");
+    if (versions.size() < observations.newestAccepted()) {
+        observations.reportViolation("the configuration log lacks an accepted version");
     }
 }
 
@@ -202,47 +202,47 @@
         std::fputs("the nodes did not become ready\n", stderr);
         return 1;
     }
-    Record record;
+    Observations observations;
     std::atomic<bool> isStopping = false;
     std::atomic<bool> isOver = false;
-    std::vector<std::thread> operators;
-    std::vector<std::thread> watchers;
-    std::vector<std::unique_ptr<Operator>> people;
+    std::vector<std::thread> operatorThreads;
+    std::vector<std::thread> watcherThreads;
+    std::vector<std::unique_ptr<Operator>> operators;
     for (const char *const name : {"ana", "bruno"}) {
-        people.push_back(std::make_unique<Operator>(fleet, record, name, FLAGS_seed + people.size()));
-        operators.emplace_back([&person = *people.back(), &isStopping] {
-            person.run(isStopping);
+        operators.push_back(std::make_unique<Operator>(fleet, observations, name, FLAGS_seed + operators.size()));
+        operatorThreads.emplace_back([&operatorClient = *operators.back(), &isStopping] {
+            operatorClient.run(isStopping);
         });
     }
     for (const std::size_t node : fleet.nodes()) {
-        watchers.emplace_back([address = fleet.process(node).address, node, &record, &isOver] {
-            watch(address, node, record, isOver);
+        watcherThreads.emplace_back([address = fleet.process(node).address, node, &observations, &isOver] {
+            pollVersion(address, node, observations, isOver);
         });
     }
     FaultSchedule faults(fleet, {fleet.nodes(), {}}, FLAGS_seed);
     faults.run(std::chrono::seconds(FLAGS_seconds), 2);
     isStopping = true;
-    for (std::thread &thread : operators) {
+    for (std::thread &thread : operatorThreads) {
         thread.join();
     }
-    const auto settled = settle(record, fleet.nodes().size());
+    const auto settled = settle(observations, fleet.nodes().size());
     if (!settled) {
-        record.fail("the newest accepted version did not come into force at every node");
+        observations.reportViolation("the newest accepted version did not come into force at every node");
     }
     isOver = true;
-    for (std::thread &thread : watchers) {
+    for (std::thread &thread : watcherThreads) {
         thread.join();
     }
-    checkLog(fleet.process(fleet.nodes().front()).address, record);
+    checkLog(fleet.process(fleet.nodes().front()).address, observations);
     for (const auto &[fault, count] : faults.injected()) {
         printFigure("confighistory.fault_" + fault, count, "1");
     }
-    printFigure("confighistory.accepted", static_cast<double>(record.newest), "1");
-    printFigure("confighistory.raced", static_cast<double>(record.raced), "1");
-    printFigure("confighistory.looks", static_cast<double>(record.looks), "1");
+    printFigure("confighistory.accepted", static_cast<double>(observations.newest), "1");
+    printFigure("confighistory.raced", static_cast<double>(observations.raced), "1");
+    printFigure("confighistory.looks", static_cast<double>(observations.checks), "1");
     if (settled) {
         printFigure("confighistory.settled", std::chrono::duration<double, std::milli>(*settled).count(), "ms");
     }
-    printFigure("confighistory.violations", static_cast<double>(record.violations), "1");
-    return record.violations == 0 ? 0 : 1;
+    printFigure("confighistory.violations", static_cast<double>(observations.violations), "1");
+    return observations.violations == 0 ? 0 : 1;
 }
--- a/Benchmarks/Measure/Decisions.cpp
+++ b/Benchmarks/Measure/Decisions.cpp
@@ -1,4 +1,4 @@
-// What one decision costs in processor time, by how much there is to decide about.
+// Measures the time that the selection of a replica takes, by the number of replicas.
 #include <Benchmarks/Support/Figures.h>
 
 #include <LibBase/Hash.h>
@@ -11,8 +11,8 @@
 
 #include <gflags/gflags.h>
 
-DEFINE_string(programs, "build", "not used: nothing is started");
-DEFINE_int32(decisions, 200000, "how many are timed");
+DEFINE_string(programs, "build", "not used: starts no programs");
+DEFINE_int32(decisions, 200000, "number of timed decisions");
 
 namespace
 {
@@ -23,11 +23,11 @@
 constexpr std::size_t inFlight = 200;
 constexpr std::uint64_t prefixes = 1000;
 
-/** A node's choices among some replicas, a bounded number of requests being in flight. */
-class Choices
+/** Selects replicas as a node does, while a bounded number of requests is in flight. */
+class SelectionBenchmark
 {
 public:
-    explicit Choices(std::size_t count) : settings(make(count)), table(this->settings->endpoints)
+    explicit SelectionBenchmark(std::size_t count) : settings(make(count)), table(this->settings->endpoints)
     {
         ReplicaReport report;
         report.inFlight = 3;
@@ -37,13 +37,13 @@
         }
     }
 
-    /** @return nanoseconds that one choice and the count of its request take */
-    template <typename Choose>
-    double time(const Choose &choose)
+    /** @return nanoseconds for one selection, including the accounting of its request */
+    template <typename Select>
+    double time(const Select &select)
     {
         const auto begin = std::chrono::steady_clock::now();
         for (int i = 0; i < FLAGS_decisions; ++i) {
-            Replica *const replica = choose(static_cast<std::uint64_t>(i));
+            Replica *const replica = select(static_cast<std::uint64_t>(i));
             this->state.begin(*replica);
             this->open.push_back(replica);
             if (this->open.size() > inFlight) {
@@ -51,20 +51,20 @@
                 this->open.pop_front();
             }
         }
-        const std::chrono::duration<double, std::nano> spent = std::chrono::steady_clock::now() - begin;
-        return spent.count() / FLAGS_decisions;
+        const std::chrono::duration<double, std::nano> elapsed = std::chrono::steady_clock::now() - begin;
+        return elapsed.count() / FLAGS_decisions;
     }
 
     void measure(const std::string &name)
     {
         printFigure("decisions.route_two_choices." + name,
                     this->time([this](std::uint64_t) {
-                        return this->chooser.select(model, {});
+                        return this->selector.select(model, {});
                     }),
                     "ns");
         printFigure("decisions.route_prefix." + name,
                     this->time([this](std::uint64_t number) {
-                        return this->chooser.select(model, {.prefix = rendezvousWeight(1, number % prefixes)});
+                        return this->selector.select(model, {.prefix = rendezvousWeight(1, number % prefixes)});
                     }),
                     "ns");
         printFigure("decisions.route_scan_of_all." + name,
@@ -92,7 +92,7 @@
     std::mt19937_64 random{1};
     ReplicaTable table;
     FleetState state{this->clock, this->settings, this->table};
-    ReplicaSelector chooser{this->clock, this->settings, this->table, this->random};
+    ReplicaSelector selector{this->clock, this->settings, this->table, this->random};
     std::deque<Replica *> open;
 };
 
@@ -102,7 +102,7 @@
 {
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     for (const std::size_t count : {9, 180, 1800}) {
-        Choices(count).measure("replicas_" + std::to_string(count));
+        SelectionBenchmark(count).measure("replicas_" + std::to_string(count));
     }
     return 0;
 }
--- a/Benchmarks/Measure/DecisionsBatch.cpp
+++ b/Benchmarks/Measure/DecisionsBatch.cpp
@@ -1,5 +1,5 @@
-// What the batch decisions cost: scheduling over 10 and 32,000 jobs, whom to ask among 390 owners, a lane's places; and
-// the memory a job and an item take.
+// Measures the time of batch decisions: scheduling over 10 and 32,000 jobs, selecting one of 390 owners, and updating a
+// lane and computing its free slots. Also measures the memory of a job and of an item.
 #include <Benchmarks/Support/Figures.h>
 
 #include <LibBase/ManualClock.h>
@@ -32,8 +32,8 @@
     for (int i = 0; i < times; ++i) {
         action(i);
     }
-    const std::chrono::duration<double, std::nano> passed = std::chrono::steady_clock::now() - start;
-    return passed.count() / times;
+    const std::chrono::duration<double, std::nano> elapsed = std::chrono::steady_clock::now() - start;
+    return elapsed.count() / times;
 }
 
 JobRecord makeJob(std::uint32_t number, std::uint32_t items, std::mt19937_64 &random)
@@ -77,10 +77,10 @@
         }
     });
     printFigure("decisionsbatch.lease_8_items." + name, each, "ns");
-    const double rekey = nanosecondsEach(1, [&](int) {
+    const double rateUpdate = nanosecondsEach(1, [&](int) {
         schedule.setTimePerItem(model, std::chrono::milliseconds(2));
     });
-    printFigure("decisionsbatch.new_rate." + name, rekey / 1000000, "ms");
+    printFigure("decisionsbatch.new_rate." + name, rateUpdate / 1000000, "ms");
     const double expire = nanosecondsEach(100, [&](int) {
         table.expire();
     });
@@ -91,14 +91,14 @@
 {
     constexpr std::uint32_t owners = 390;
     ManualClock clock;
-    OwnerSelector choice(clock);
+    OwnerSelector selector(clock);
     std::vector<SessionNumber> candidates;
     for (std::uint32_t i = 1; i <= owners; ++i) {
         candidates.emplace_back(i);
     }
     const double each = nanosecondsEach(5000, [&](int i) {
-        const auto owner = choice.select(model, candidates);
-        choice.recordAnswer(model, *owner, 100, WallTime(std::chrono::seconds(i * 7919 % 86400)));
+        const auto owner = selector.select(model, candidates);
+        selector.recordAnswer(model, *owner, 100, WallTime(std::chrono::seconds(i * 7919 % 86400)));
         clock.advance(std::chrono::milliseconds(10));
     });
     printFigure("decisionsbatch.choose_of_390_owners", each, "ns");
@@ -109,15 +109,15 @@
     ManualClock clock;
     Lane lane(clock, {.capacity = 64, .headroom = 1, .slowdown = 0.1});
     lane.settle();
-    std::uint32_t places = 0;
+    std::uint32_t slots = 0;
     const double each = nanosecondsEach(200000, [&](int i) {
         const auto number = static_cast<std::uint32_t>(i);
         lane.observeOnline(SessionNumber(1 + number % 390), number + 1, number % 3);
-        places += lane.freeSlots() + lane.excess();
+        slots += lane.freeSlots() + lane.excess();
     });
     printFigure("decisionsbatch.lane_notice", each, "ns");
-    // Read, so that the decisions are not left out by the compiler.
-    if (places == 0) {
+    // The sum is used, so that the compiler does not optimize the decisions away.
+    if (slots == 0) {
         printFigure("decisionsbatch.lane_never_had_places", 1, "error");
     }
 }
@@ -143,13 +143,13 @@
         const auto bytes = static_cast<double>(heapBytes() - before);
         printFigure("decisionsbatch.memory_of_a_job_of_" + std::to_string(items), bytes / jobs, "bytes");
     }
-    // A whole large job: all items leased, done, and their results moved out page by page.
+    // Runs one large job: leases and completes all items, and writes their results out page by page.
     const std::size_t before = heapBytes();
     JobTable table(clock, std::chrono::seconds(30));
     const JobRecord job = makeJob(0, largestJob, random);
     table.submit(job);
     table.apply(job);
-    std::size_t most = 0;
+    std::size_t peakBytes = 0;
     std::uint32_t done = 0;
     const auto start = std::chrono::steady_clock::now();
     while (const auto leased = table.lease(job.jobId, 64, SessionNumber(1))) {
@@ -161,12 +161,12 @@
         while (const auto draft = table.nextDraft(1U << 24U)) {
             table.apply(table.recordOf(*draft, "results/" + job.jobId.value() + '/' + std::to_string(draft->page)));
         }
-        most = std::max(most, heapBytes() - before);
+        peakBytes = std::max(peakBytes, heapBytes() - before);
     }
-    const std::chrono::duration<double, std::micro> passed = std::chrono::steady_clock::now() - start;
-    printFigure("decisionsbatch.memory_of_260000_items_most", static_cast<double>(most), "bytes");
+    const std::chrono::duration<double, std::micro> elapsed = std::chrono::steady_clock::now() - start;
+    printFigure("decisionsbatch.memory_of_260000_items_most", static_cast<double>(peakBytes), "bytes");
     printFigure("decisionsbatch.memory_of_an_item", static_cast<double>(heapBytes() - before) / largestJob, "bytes");
-    printFigure("decisionsbatch.time_of_an_item", passed.count() / done, "us");
+    printFigure("decisionsbatch.time_of_an_item", elapsed.count() / done, "us");
 }
 
 } // namespace
--- a/Benchmarks/Measure/Faults.cpp
+++ b/Benchmarks/Measure/Faults.cpp
@@ -1,5 +1,5 @@
-// What callers see while endpoints fail under load, on real processes: errors, the longest time without a sign, and how
-// many attempts the endpoints get for each request.
+// Measures what callers see while endpoints fail under load, with real processes: errors, the longest gap between two
+// events of a response, and the attempts that endpoints receive per request.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 #include <Benchmarks/Support/OpenLoad.h>
@@ -21,7 +21,7 @@
 DEFINE_string(programs, "build", "folder with the programs");
 DEFINE_int32(seconds, 6, "how long each load is offered");
 DEFINE_double(per_second, 25, "requests a second");
-DEFINE_string(only, "", "the one fault to measure");
+DEFINE_string(only, "", "measure only this fault");
 
 namespace
 {
@@ -33,7 +33,7 @@
 constexpr std::size_t eventLimit = 1048576;
 const std::vector<std::string> domains{"one", "two", "three"};
 
-/** Six engines and three nodes in three failure domains. */
+/** Runs six engines and three nodes in three failure domains. */
 struct Fleet
 {
     Fleet() : local(FLAGS_programs)
@@ -88,21 +88,21 @@
     return hasEnd && text == FakeEngine::expectedText("label " + std::to_string(number), tokens);
 }
 
-/** @return retries of all nodes, as their metrics count them */
+/** @return sum of the retries in the metrics of all nodes */
 double retriesOf(const Fleet &fleet)
 {
     double sum = 0;
     for (const Address &node : fleet.targets) {
         const std::string text = LocalFleet::call(node, "GET", "/metrics").body;
-        for (std::size_t at = text.find("\ndogwoodkeel_retries_total{"); at != std::string::npos;
-             at = text.find("\ndogwoodkeel_retries_total{", at + 1)) {
-            sum += std::strtod(text.c_str() + text.find('}', at) + 1, nullptr);
+        for (std::size_t position = text.find("\ndogwoodkeel_retries_total{"); position != std::string::npos;
+             position = text.find("\ndogwoodkeel_retries_total{", position + 1)) {
+            sum += std::strtod(text.c_str() + text.find('}', position) + 1, nullptr);
         }
     }
     return sum;
 }
 
-/** Offer the load, and bring the fault about when a third of it is over. */
+/** Offers the load and injects the fault after a third of its duration. */
 void measure(const std::string &name, const std::function<void(Fleet &)> &fault)
 {
     if (!FLAGS_only.empty() && FLAGS_only != name) {
@@ -136,7 +136,7 @@
     printFigure(prefix + ".amplification", 1 + retriesOf(fleet) / std::max(1.0, requests), "attempts/request");
 }
 
-/** A request that crashes engines, sent under a new id to each node in turn while others are served. */
+/** Sends a request that crashes engines under a new id to each node in turn while other requests are served. */
 void poison(Fleet &fleet)
 {
     const std::string body = R"({"model":"m","prompt":"crash-the-engine now","max_tokens":4})";
--- a/Benchmarks/Measure/Feeds.cpp
+++ b/Benchmarks/Measure/Feeds.cpp
@@ -1,6 +1,6 @@
-// What the nodes of a fleet read of the platform's replicas, by the ways in which they may learn of them: from the store each, or
-// from relays that pass on the whole list, or a bounded set. Sizes are those of the messages; a common start is played in virtual
-// time.
+// Estimates the traffic by which nodes learn the platform's replicas, for three strategies: each node reads the store, relays
+// forward the whole list, or relays forward a bounded set. Sizes are those of encoded messages; the simultaneous start of all
+// nodes is simulated in virtual time.
 #include <LibGateway/ReplicaList.h>
 #include <LibGateway/ReplicaRing.h>
 #include <LibMembership/RelayAssignment.h>
@@ -18,13 +18,13 @@
 #include <vector>
 
 DEFINE_string(programs, "build", "not used");
-DEFINE_uint64(row_bytes, 340, "of a replica's row in an answer of the store");
-DEFINE_uint64(replicas_per_node, 10, "replicas");
-DEFINE_double(changes, 0.44, "rows that change a second, for each node of the fleet");
-DEFINE_uint64(set, 64, "replicas of a service that a node is given");
-DEFINE_double(store_mbps, 4000, "of the store's link");
-DEFINE_double(large_mbps, 600, "of a relay's link");
-DEFINE_double(small_mbps, 30, "of any other node's link");
+DEFINE_uint64(row_bytes, 340, "bytes of a replica's row in a response of the store");
+DEFINE_uint64(replicas_per_node, 10, "number of replicas per node");
+DEFINE_double(changes, 0.44, "rows that change per second, for each node of the fleet");
+DEFINE_uint64(set, 64, "replicas of a service that a relay sends to a node");
+DEFINE_double(store_mbps, 4000, "bandwidth of the store's link in Mbit/s");
+DEFINE_double(large_mbps, 600, "bandwidth of a relay's link in Mbit/s");
+DEFINE_double(small_mbps, 30, "bandwidth of any other node's link in Mbit/s");
 
 namespace
 {
@@ -67,15 +67,15 @@
     return encode(records).size();
 }
 
-/** What a common start in virtual time shows. */
+/** Result of the simulated simultaneous start of all nodes. */
 struct Start
 {
     std::size_t relays = 0;
-    /** From the start until the last of them begins to read. */
-    std::chrono::milliseconds begun{0};
+    /** Time from the start until the last relay begins to read. */
+    std::chrono::milliseconds readStart{0};
 };
 
-Start playStart(Number nodeCount)
+Start simulateStart(Number nodeCount)
 {
     Membership::Options options;
     options.sessionOrder = Membership::SessionOrder::Random;
@@ -90,15 +90,15 @@
         roles[number] = std::make_unique<RelayRole>(network.clock);
     }
     constexpr std::chrono::milliseconds step{50};
-    constexpr std::chrono::milliseconds played{4000};
+    constexpr std::chrono::milliseconds simulated{4000};
     std::set<Number> relays;
     Start start;
-    for (std::chrono::milliseconds passed = step; passed <= played; passed += step) {
+    for (std::chrono::milliseconds elapsed = step; elapsed <= simulated; elapsed += step) {
         network.clock.advance(step);
         for (auto &[number, role] : roles) {
             role->update(*network.member(number).view(), network.sessionOf(number));
             if (role->isRelay(RelayRole::Use::None) && relays.insert(number).second) {
-                start.begun = passed;
+                start.readStart = elapsed;
             }
         }
     }
@@ -111,12 +111,13 @@
     return bytes * bitsPerByte / (mbps * megabit);
 }
 
-void printWay(Number nodes, const char *way, double calm, double starting, double node, double seconds, std::size_t state)
+void printStrategy(
+    Number nodes, const char *strategy, double steady, double starting, double node, double seconds, std::size_t state)
 {
     std::printf("| %llu | %s | %.3f MB/s | %.0f MB | %.0f kB | %.2f s | %zu |\n",
                 static_cast<unsigned long long>(nodes),
-                way,
-                calm / megabyte,
+                strategy,
+                steady / megabyte,
                 starting / megabyte,
                 node / 1e3,
                 seconds,
@@ -131,40 +132,40 @@
         replicas.push_back(replicaOf(number));
         ring.put(replicas.back());
     }
-    const Start start = playStart(nodes);
+    const Start start = simulateStart(nodes);
     const double table = static_cast<double>(replicas.size() * FLAGS_row_bytes);
     const double changes = FLAGS_changes * static_cast<double>(nodes * FLAGS_row_bytes);
-    const double each = static_cast<double>(nodes);
+    const double nodeCount = static_cast<double>(nodes);
     const double relays = static_cast<double>(start.relays);
-    const double served = each / relays;
-    const double begun = std::chrono::duration<double>(start.begun).count();
-    const double read = begun + secondsOn(table * relays, FLAGS_store_mbps) + secondsOn(table, FLAGS_large_mbps);
+    const double served = nodeCount / relays;
+    const double readStart = std::chrono::duration<double>(start.readStart).count();
+    const double read = readStart + secondsOn(table * relays, FLAGS_store_mbps) + secondsOn(table, FLAGS_large_mbps);
     const double whole = static_cast<double>(listBytes(replicas));
-    const ReplicaRing::Selection choice = ring.select(1, FailureDomain("domain-1"), FLAGS_set);
-    const double set = static_cast<double>(listBytes(choice.replicas));
+    const ReplicaRing::Selection selection = ring.select(1, FailureDomain("domain-1"), FLAGS_set);
+    const double set = static_cast<double>(listBytes(selection.replicas));
     const double sample = static_cast<double>(FLAGS_set * FLAGS_row_bytes);
 
-    printWay(nodes,
-             "each node follows the store",
-             changes * each,
-             table * each,
-             table,
-             std::max(secondsOn(table * each, FLAGS_store_mbps), secondsOn(table, FLAGS_small_mbps)),
-             replicas.size());
-    printWay(nodes,
-             "relays pass on the whole list",
-             changes * relays,
-             table * relays,
-             whole,
-             read + std::max(secondsOn(whole * served, FLAGS_large_mbps), secondsOn(whole, FLAGS_small_mbps)),
-             replicas.size());
-    printWay(nodes,
-             "relays pass on a bounded set, a sample before",
-             changes * relays,
-             table * relays + sample * each,
-             set,
-             std::max(secondsOn(sample * each, FLAGS_store_mbps), secondsOn(sample, FLAGS_small_mbps)),
-             choice.replicas.size());
+    printStrategy(nodes,
+                  "each node follows the store",
+                  changes * nodeCount,
+                  table * nodeCount,
+                  table,
+                  std::max(secondsOn(table * nodeCount, FLAGS_store_mbps), secondsOn(table, FLAGS_small_mbps)),
+                  replicas.size());
+    printStrategy(nodes,
+                  "relays forward the whole list",
+                  changes * relays,
+                  table * relays,
+                  whole,
+                  read + std::max(secondsOn(whole * served, FLAGS_large_mbps), secondsOn(whole, FLAGS_small_mbps)),
+                  replicas.size());
+    printStrategy(nodes,
+                  "relays forward a bounded set, nodes read a sample first",
+                  changes * relays,
+                  table * relays + sample * nodeCount,
+                  set,
+                  std::max(secondsOn(sample * nodeCount, FLAGS_store_mbps), secondsOn(sample, FLAGS_small_mbps)),
+                  selection.replicas.size());
 }
 
 } // namespace
@@ -172,8 +173,9 @@
 int main(int argc, char **argv)
 {
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    std::puts("| nodes | way | from the store in calm | from the store at a common start | to a node at the start | until it can"
-              " serve, by links | replicas a node knows |\n|---|---|---|---|---|---|---|");
+    std::puts(
+        "| nodes | strategy | from the store when steady | from the store at a common start | to a node at the start | until it"
+        " can serve, by link bandwidth | replicas a node knows |\n|---|---|---|---|---|---|---|");
     for (const Number nodes : {100U, 300U, 984U, 2000U}) {
         measure(nodes);
     }
--- a/Benchmarks/Measure/History.cpp
+++ b/Benchmarks/Measure/History.cpp
@@ -1,5 +1,6 @@
-// Concurrent callers against real nodes while a seeded schedule kills and pauses nodes and engines and breaks the
-// platform. What the callers saw is recorded and checked: "history violations <n>", and a non-zero exit with any.
+// Runs concurrent callers against real nodes while a seeded schedule kills and pauses nodes and engines and injects faults
+// into the platform. Records and checks what the callers see, prints "history violations <n>", and exits with a non-zero
+// status if there are any.
 #include <Benchmarks/Support/FaultSchedule.h>
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/HistoryCaller.h>
@@ -19,12 +20,12 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "folder with the programs");
-DEFINE_uint64(seed, 1, "of the faults and of the callers");
+DEFINE_uint64(seed, 1, "seed of the faults and of the callers");
 DEFINE_int32(seconds, 8, "how long faults are injected");
 DEFINE_int32(nodes, 3, "nodes");
 DEFINE_int32(callers, 10, "concurrent callers");
-DEFINE_int32(overlap, 2, "faults in force at once, at most");
-DEFINE_int32(settle, 60, "seconds that the fleet has, after the faults, to answer all that it owes");
+DEFINE_int32(overlap, 2, "maximum number of concurrent faults");
+DEFINE_int32(settle, 60, "seconds after the faults within which the fleet must answer all open requests");
 
 namespace
 {
@@ -47,7 +48,10 @@
     std::atomic<bool> isOver = false;
 };
 
-/** One concurrent caller: new ids, resends of what others sent at other nodes, hang-ups, reads, jobs. */
+/**
+ * Runs one caller, which sends new ids, resends ids of other callers to other nodes, disconnects early, reads results, and
+ * submits and cancels jobs.
+ */
 class Traffic
 {
 public:
@@ -61,7 +65,7 @@
         while (!this->pools.isOver) {
             const std::uint64_t dice = this->random() % 100;
             if (dice < 35) {
-                this->caller.complete(this->idFrom(this->pools.completions, "c"), this->node(), this->timeoutOfOne());
+                this->caller.complete(this->idFrom(this->pools.completions, "c"), this->node(), this->randomTimeout());
             } else if (dice < 75) {
                 this->issue();
             } else if (dice < 92) {
@@ -81,8 +85,8 @@
         return this->random() % this->nodes;
     }
 
-    /** Now and then a caller hangs up while its request runs. */
-    std::chrono::milliseconds timeoutOfOne()
+    /** Returns a short timeout for one request in four, so that the caller disconnects while its request runs. */
+    std::chrono::milliseconds randomTimeout()
     {
         return this->random() % 4 == 0 ? std::chrono::milliseconds(10 + this->random() % 100) : timeout;
     }
@@ -93,22 +97,22 @@
         if (known && this->random() % 3 == 0) {
             return *known;
         }
-        std::string id = prefix + std::to_string(this->number) + '-' + std::to_string(++this->made);
+        std::string id = prefix + std::to_string(this->number) + '-' + std::to_string(++this->createdIds);
         ids.add(id);
         return id;
     }
 
     void issue()
     {
-        // One offer in three is sent by one caller only: it may be given up for good when told that it did not run.
+        // One offer in three is sent by one caller only, which may abandon it after a response that it did not run.
         if (this->random() % 3 != 0) {
-            this->caller.issue(this->idFrom(this->pools.offers, "o"), this->node(), this->timeoutOfOne());
+            this->caller.issue(this->idFrom(this->pools.offers, "o"), this->node(), this->randomTimeout());
             return;
         }
-        const std::string id = "s" + std::to_string(this->number) + '-' + std::to_string(++this->made);
+        const std::string id = "s" + std::to_string(this->number) + '-' + std::to_string(++this->createdIds);
         CallOutcome outcome = CallOutcome::Lost;
         for (int attempt = 0; attempt < 3 && outcome != CallOutcome::NotRun && outcome != CallOutcome::Answered; ++attempt) {
-            outcome = this->caller.issue(id, this->node(), this->timeoutOfOne());
+            outcome = this->caller.issue(id, this->node(), this->randomTimeout());
         }
         if (outcome != CallOutcome::NotRun) {
             this->pools.offers.add(id);
@@ -137,7 +141,7 @@
     std::uint64_t number;
     std::size_t nodes;
     std::mt19937_64 random;
-    std::uint64_t made = 0;
+    std::uint64_t createdIds = 0;
 };
 
 bool isFinal(CallOutcome outcome)
@@ -145,7 +149,7 @@
     return outcome == CallOutcome::Answered || outcome == CallOutcome::OutcomeUnknown;
 }
 
-/** After the faults: send all again until it has its final answer, and read it everywhere. */
+/** After the faults, resends all requests until each has its final response, and reads the results at several nodes. */
 class Settlement
 {
 public:
@@ -157,7 +161,7 @@
     template <typename Call>
     void finish(std::vector<std::string> ids, bool isCompletion, const Call &call)
     {
-        // All are sent in turn, so that one that gets no answer does not use up the time of the others.
+        // Sends all ids in turn, so that one without a response does not use up the time of the others.
         for (std::size_t round = 0; !ids.empty() && Steady::now() < this->deadline; ++round) {
             std::vector<std::string> open;
             for (std::size_t i = 0; i < ids.size() && Steady::now() < this->deadline; ++i) {
@@ -215,7 +219,7 @@
     Steady::time_point deadline;
 };
 
-/** How often each offer ran, as the stand-ins counted. */
+/** Returns how often each offer ran, as counted by the fake services. */
 std::map<std::string, std::uint64_t> countRuns(const LocalFleet &fleet, const std::vector<std::size_t> &services)
 {
     std::map<std::string, std::uint64_t> runs;
@@ -231,7 +235,7 @@
     return runs;
 }
 
-const char *wordOf(CallOutcome outcome)
+const char *nameOf(CallOutcome outcome)
 {
     switch (outcome) {
     case CallOutcome::Answered:
@@ -262,7 +266,7 @@
                         static_cast<double>(call.ended.count()) / 1e6,
                         call.node + 1,
                         static_cast<int>(call.kind),
-                        wordOf(call.outcome),
+                        nameOf(call.outcome),
                         call.text.substr(0, 120).c_str());
         }
     }
@@ -275,7 +279,7 @@
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     LocalFleet fleet(FLAGS_programs);
     fleet.startPlatform({"--seed=" + std::to_string(FLAGS_seed)});
-    // Short, so that a silent platform makes outcomes unknown: of writes that took effect and of writes that did not.
+    // A short timeout, so that an unresponsive platform leaves the outcome of writes unknown, whether they took effect or not.
     fleet.addSettings("timeout = \"400ms\"\n");
     const std::vector<std::string> domains{"one", "two", "three"};
     FaultSchedule::Targets targets;
@@ -283,7 +287,7 @@
     for (std::size_t i = 0; i < domains.size(); ++i) {
         targets.engines.push_back(fleet.startEndpoint("engine", "m", domains[i]));
         if (i < 2) {
-            // The slow one keeps intents without a result, so that owners and runners are lost between the two.
+            // The slow service keeps intents without a result for longer, so that owners and runners fail between the two.
             services.push_back(
                 fleet.startEndpoint("service", "offers", domains[i], {i == 0 ? "--delay_ms=20" : "--delay_ms=400"}));
         }
@@ -298,7 +302,7 @@
         targets.nodes.push_back(fleet.startNode({domains[static_cast<std::size_t>(i) % domains.size()], ""}));
         addresses.push_back(fleet.process(targets.nodes.back()).address);
     }
-    // The plain services stay up: they count the runs that the check needs.
+    // The services are not killed: they count the runs that the check needs.
     for (std::size_t i = 0; i < domains.size() && i < targets.nodes.size(); ++i) {
         targets.domains.push_back({targets.nodes[i], targets.engines[i]});
     }
@@ -327,13 +331,13 @@
 
     const auto settleStart = Steady::now();
     const bool isReady = fleet.waitReady(std::chrono::seconds(FLAGS_settle));
-    HistoryCaller last(addresses, start);
-    Settlement settlement(last, addresses.size());
-    settlement.finish(pools.completions.live(), true, [&last](const std::string &id, std::size_t node) {
-        return last.complete(id, node, settleTimeout);
+    HistoryCaller settleCaller(addresses, start);
+    Settlement settlement(settleCaller, addresses.size());
+    settlement.finish(pools.completions.live(), true, [&settleCaller](const std::string &id, std::size_t node) {
+        return settleCaller.complete(id, node, settleTimeout);
     });
-    settlement.finish(pools.offers.live(), false, [&last](const std::string &id, std::size_t node) {
-        return last.issue(id, node, settleTimeout);
+    settlement.finish(pools.offers.live(), false, [&settleCaller](const std::string &id, std::size_t node) {
+        return settleCaller.issue(id, node, settleTimeout);
     });
     History history;
     for (const std::string &id : pools.jobs.live()) {
@@ -346,7 +350,7 @@
     for (const auto &caller : callers) {
         history.calls.insert(history.calls.end(), caller->calls().begin(), caller->calls().end());
     }
-    history.calls.insert(history.calls.end(), last.calls().begin(), last.calls().end());
+    history.calls.insert(history.calls.end(), settleCaller.calls().begin(), settleCaller.calls().end());
     for (const std::string &id : pools.completions.live()) {
         history.expected[id] = FakeEngine::expectedText(HistoryCaller::promptOf(id), HistoryCaller::tokens);
     }
@@ -364,7 +368,7 @@
         ++outcomes[call.outcome];
     }
     for (const auto &[outcome, count] : outcomes) {
-        printFigure(std::string("history.calls_") + wordOf(outcome), count, "count");
+        printFigure(std::string("history.calls_") + nameOf(outcome), count, "count");
     }
     printFigure("history.jobs", static_cast<double>(history.jobs.size()), "count");
     printFigure("history.settled_after", settled.count(), "s");
--- a/Benchmarks/Measure/Journal.cpp
+++ b/Benchmarks/Measure/Journal.cpp
@@ -1,5 +1,5 @@
-// Platform writes per accepted request at several rates, and what durability adds to a request's time, against the
-// platform's own time for a write in the same run.
+// Measures platform writes per accepted request at several rates, and the latency that durability adds to a request,
+// compared with the latency of a platform write in the same run.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 
@@ -14,9 +14,9 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "folder with the programs");
-DEFINE_int32(seconds, 5, "how long each rate is held");
+DEFINE_int32(seconds, 5, "how long each request rate is kept up");
 DEFINE_int32(nodes, 3, "nodes that share the load");
-DEFINE_int32(platform_delay, 2, "milliseconds that the stand-in for the platform takes");
+DEFINE_int32(platform_delay, 2, "delay of the fake platform in milliseconds");
 DEFINE_string(gather, "75ms", "owner.group_gather");
 
 namespace
@@ -46,7 +46,7 @@
     int failed = 0;
 };
 
-/** Send lookups at a steady rate, whatever becomes of them. */
+/** Sends lookups at a constant rate, independent of how fast they are answered. */
 Run load(const std::vector<Address> &nodes, int perSecond, const std::string &idPrefix)
 {
     EventLoop loop;
@@ -56,18 +56,18 @@
     const auto start = Clock::now();
     int sent = 0;
     std::function<void()> tick = [&] {
-        const double passed = std::chrono::duration<double>(Clock::now() - start).count();
-        for (; sent < total && sent < passed * perSecond; ++sent) {
+        const double elapsed = std::chrono::duration<double>(Clock::now() - start).count();
+        for (; sent < total && sent < elapsed * perSecond; ++sent) {
             HttpRequest request{.method = "GET", .path = "/v1/services/prices/lookup"};
             if (!idPrefix.empty()) {
                 request.headers["Idempotency-Key"] = idPrefix + std::to_string(sent);
             }
             const Address &node = nodes[static_cast<std::size_t>(sent) % nodes.size()];
-            const auto begun = Clock::now();
-            client.fetch(node, request, callTimeout, [&, begun](ExchangeEnd end, const HttpResponse &response) {
+            const auto callStart = Clock::now();
+            client.fetch(node, request, callTimeout, [&, callStart](ExchangeEnd end, const HttpResponse &response) {
                 const bool isDone = end == ExchangeEnd::Complete && response.status == 200;
                 ++(isDone ? run.answered : run.failed);
-                run.durations.add(Clock::now() - begun);
+                run.durations.add(Clock::now() - callStart);
                 if (run.answered + run.failed == total) {
                     loop.stop();
                 }
@@ -82,7 +82,7 @@
     return run;
 }
 
-/** One platform write after the other. */
+/** Measures platform writes that run one after the other. */
 Durations platformWrites(const Address &platform)
 {
     EventLoop loop;
@@ -95,9 +95,9 @@
             loop.stop();
             return;
         }
-        const auto begun = Clock::now();
-        client.tables().insertIfAbsent("measure/" + std::to_string(number++), "row", [&, begun](WriteOutcome) {
-            durations.add(Clock::now() - begun);
+        const auto callStart = Clock::now();
+        client.tables().insertIfAbsent("measure/" + std::to_string(number++), "row", [&, callStart](WriteOutcome) {
+            durations.add(Clock::now() - callStart);
             next();
         });
     };
--- a/Benchmarks/Measure/Leaving.cpp
+++ b/Benchmarks/Measure/Leaving.cpp
@@ -1,6 +1,6 @@
-// A replica that is about to go, under load, on real processes: how long it still gets new work from three nodes, online
-// and batch, and whether anything that runs on it is cut. It says so itself, or refuses with the header, or the
-// platform's list of VMs says it.
+// Measures, with real processes under load, how long a leaving replica still receives new online and batch work from three
+// nodes, and whether requests that run on it are interrupted. The replica announces that it leaves in its load report or in
+// the header of a refusal, or the platform's list of VMs marks it as leaving.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 
@@ -20,9 +20,9 @@
 
 DEFINE_string(programs, "build", "folder with the programs");
 DEFINE_int32(callers, 24, "online requests in flight");
-DEFINE_int32(tokens, 64, "of each answer: 0.2 to 0.3 s");
-DEFINE_int32(items, 4000, "of the batch job behind");
-DEFINE_int32(seconds, 5, "how long each replica is watched after it was told to leave");
+DEFINE_int32(tokens, 64, "tokens of each response: 0.2 to 0.3 s");
+DEFINE_int32(items, 4000, "items of the concurrent batch job");
+DEFINE_int32(seconds, 5, "how long each replica is observed after it begins to leave");
 
 namespace
 {
@@ -38,7 +38,7 @@
     return std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now().time_since_epoch());
 }
 
-/** Keeps online requests in flight over all nodes, and checks each answer. */
+/** Keeps online requests in flight over all nodes and checks each response. */
 class Callers
 {
 public:
@@ -55,8 +55,8 @@
         this->thread.join();
     }
 
-    std::atomic<int> whole = 0;
-    std::atomic<int> bad = 0;
+    std::atomic<int> complete = 0;
+    std::atomic<int> failed = 0;
 
 private:
     void run()
@@ -79,7 +79,7 @@
             client.fetch(node, request, callTimeout, [&, prompt](ExchangeEnd, const HttpResponse &response) {
                 const std::string text = FakeEngine::expectedText(prompt, static_cast<std::uint32_t>(FLAGS_tokens));
                 const bool isWhole = response.status == 200 && response.body.find(text) != std::string::npos;
-                ++(isWhole ? this->whole : this->bad);
+                ++(isWhole ? this->complete : this->failed);
                 next();
             });
         };
@@ -94,43 +94,43 @@
     std::thread thread;
 };
 
-struct Notes
+struct EngineActivity
 {
     int starts = 0;
     Micros lastStart{0};
-    int cuts = 0;
+    int interruptions = 0;
 };
 
-/** @return what an engine noted from a moment on */
-Notes notesSince(const Address &engine, Micros since)
+/** @return what an engine recorded since the given time */
+EngineActivity activitySince(const Address &engine, Micros since)
 {
-    Notes notes;
+    EngineActivity activity;
     std::istringstream lines(LocalFleet::call(engine, "GET", "/notes").body);
-    std::int64_t at = 0;
-    std::string what;
+    std::int64_t timestamp = 0;
+    std::string event;
     for (std::string line; std::getline(lines, line);) {
-        std::istringstream(line) >> at >> what;
-        if (Micros(at) < since) {
+        std::istringstream(line) >> timestamp >> event;
+        if (Micros(timestamp) < since) {
             continue;
         }
-        notes.starts += what == "start" ? 1 : 0;
-        notes.cuts += what == "start" ? 0 : 1;
-        notes.lastStart = what == "start" ? Micros(at) : notes.lastStart;
+        activity.starts += event == "start" ? 1 : 0;
+        activity.interruptions += event == "start" ? 0 : 1;
+        activity.lastStart = event == "start" ? Micros(timestamp) : activity.lastStart;
     }
-    return notes;
+    return activity;
 }
 
-/** Make a replica leave, watch it, and print what it got. */
-void watch(const std::string &way, const Address &engine, const std::function<void()> &leave)
+/** Makes a replica leave, observes it, and prints the work that it received and the requests that were interrupted. */
+void observeLeaving(const std::string &announcement, const Address &engine, const std::function<void()> &leave)
 {
     const Micros begin = now();
     leave();
     std::this_thread::sleep_for(std::chrono::seconds(FLAGS_seconds));
-    const Notes notes = notesSince(engine, begin);
-    const double last = notes.starts == 0 ? 0 : std::chrono::duration<double>(notes.lastStart - begin).count();
-    printFigure("leaving." + way + ".last_new_work", last, "s");
-    printFigure("leaving." + way + ".new_work", notes.starts, "requests");
-    printFigure("leaving." + way + ".cut", notes.cuts, "requests");
+    const EngineActivity activity = activitySince(engine, begin);
+    const double last = activity.starts == 0 ? 0 : std::chrono::duration<double>(activity.lastStart - begin).count();
+    printFigure("leaving." + announcement + ".last_new_work", last, "s");
+    printFigure("leaving." + announcement + ".new_work", activity.starts, "requests");
+    printFigure("leaving." + announcement + ".cut", activity.interruptions, "requests");
 }
 
 } // namespace
@@ -164,19 +164,19 @@
     const auto addressOf = [&](std::size_t engine) {
         return fleet.process(engines[engine]).address;
     };
-    watch("load_report", addressOf(0), [&] {
+    observeLeaving("load_report", addressOf(0), [&] {
         LocalFleet::call(addressOf(0), "POST", "/faults", R"({"leaving":true})");
     });
-    watch("refusal", addressOf(1), [&] {
+    observeLeaving("refusal", addressOf(1), [&] {
         LocalFleet::call(addressOf(1), "POST", "/faults", R"({"leaving":true,"refuse":true})");
     });
-    watch("vm_list", addressOf(2), [&] {
+    observeLeaving("vm_list", addressOf(2), [&] {
         const nlohmann::json vm{{"name", fleet.process(engines[2]).name}, {"leaving", true}};
         LocalFleet::call(fleet.process(platform).address, "POST", "/faults", nlohmann::json{{"vms", {vm}}}.dump());
     });
     callers.stop();
     printFigure("leaving.job_submitted", submitted, "status");
-    printFigure("leaving.answers", callers.whole, "requests");
-    printFigure("leaving.failed", callers.bad, "requests");
+    printFigure("leaving.answers", callers.complete, "requests");
+    printFigure("leaving.failed", callers.failed, "requests");
     return 0;
 }
--- a/Benchmarks/Measure/Membership.cpp
+++ b/Benchmarks/Measure/Membership.cpp
@@ -1,5 +1,5 @@
-// What membership costs a node and how soon it notices a death, by the number of nodes. Small fleets run as processes;
-// every size also runs in this process on a clock moved by hand, where bytes and times do not depend on the machine.
+// Measures the traffic and processor time of membership and how fast a failed member is detected, by the number of nodes.
+// All members run in this process on a manual clock, so bytes and times do not depend on the machine.
 #include <Benchmarks/Support/Figures.h>
 #include <Tests/Fakes/GossipNetwork.h>
 
@@ -14,7 +14,7 @@
 
 DEFINE_string(programs, "build", "folder with the programs");
 DEFINE_string(sizes, "3,11,50,100,390", "fleet sizes run in this process");
-DEFINE_int32(seconds, 60, "seconds of the fleet's time each steady state is measured");
+DEFINE_int32(seconds, 60, "simulated seconds for which each steady state is measured");
 
 namespace
 {
@@ -26,11 +26,11 @@
 std::vector<Number> parseSizes(const std::string &text)
 {
     std::vector<Number> sizes;
-    std::size_t at = 0;
-    while (at < text.size()) {
-        const std::size_t comma = std::min(text.find(',', at), text.size());
-        sizes.push_back(std::stoull(text.substr(at, comma - at)));
-        at = comma + 1;
+    std::size_t position = 0;
+    while (position < text.size()) {
+        const std::size_t comma = std::min(text.find(',', position), text.size());
+        sizes.push_back(std::stoull(text.substr(position, comma - position)));
+        position = comma + 1;
     }
     return sizes;
 }
@@ -42,12 +42,12 @@
     return std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
 }
 
-/** Moves time on until a condition holds. @return how long that took, or nothing if it took too long */
+/** Advances the clock until a condition holds. @return the simulated time until then, or nothing after 120 s */
 std::optional<std::chrono::milliseconds> waitUntil(GossipNetwork &network, const std::function<bool()> &isReached)
 {
     constexpr std::chrono::milliseconds step = 10ms;
-    constexpr std::chrono::milliseconds most = 120s;
-    for (std::chrono::milliseconds waited = 0ms; waited < most; waited += step) {
+    constexpr std::chrono::milliseconds maxWait = 120s;
+    for (std::chrono::milliseconds waited = 0ms; waited < maxWait; waited += step) {
         if (isReached()) {
             return waited;
         }
@@ -61,7 +61,7 @@
     printFigure(name, time ? static_cast<double>(time->count()) : -1, "ms");
 }
 
-/** Bytes and processor time a node a second while nothing happens, and while a member dies and another comes. */
+/** Measures traffic and processor time per node and second while no member joins or fails. */
 void measureSteady(GossipNetwork &network, const std::string &prefix, Number size)
 {
     const std::uint64_t bytes = network.bytes;
@@ -69,35 +69,35 @@
     const std::chrono::nanoseconds before = processorTime();
     network.clock.advance(std::chrono::seconds(FLAGS_seconds));
     const auto nodeSeconds = static_cast<double>(size) * FLAGS_seconds;
-    const std::chrono::duration<double, std::micro> spent = processorTime() - before;
+    const std::chrono::duration<double, std::micro> elapsed = processorTime() - before;
     printFigure(prefix + "sent", static_cast<double>(network.bytes - bytes) / nodeSeconds, "bytes/s/node");
     printFigure(prefix + "datagrams", static_cast<double>(network.datagrams - datagrams) / nodeSeconds, "1/s/node");
-    printFigure(prefix + "processor", spent.count() / nodeSeconds / 1e6 * 100, "%/node");
+    printFigure(prefix + "processor", elapsed.count() / nodeSeconds / 1e6 * 100, "%/node");
 }
 
 void measureDeath(GossipNetwork &network, const std::string &prefix, Number victim)
 {
     network.kill(victim);
     const SessionNumber session(victim);
-    std::size_t knowing = 0;
-    const auto countKnowing = [&] {
-        knowing = 0;
+    std::size_t informed = 0;
+    const auto countInformed = [&] {
+        informed = 0;
         for (const Number number : network.running()) {
-            knowing += network.member(number).view()->find(session) == nullptr ? 1 : 0;
+            informed += network.member(number).view()->find(session) == nullptr ? 1 : 0;
         }
-        return knowing;
+        return informed;
     };
     const auto first = waitUntil(network, [&] {
-        return countKnowing() > 0;
+        return countInformed() > 0;
     });
-    const auto rest = waitUntil(network, [&] {
-        return countKnowing() == network.running().size();
+    const auto remaining = waitUntil(network, [&] {
+        return countInformed() == network.running().size();
     });
     print(prefix + "death_first", first);
-    print(prefix + "death_all", first && rest ? std::optional(*first + *rest) : std::nullopt);
+    print(prefix + "death_all", first && remaining ? std::optional(*first + *remaining) : std::nullopt);
 }
 
-/** Views in which a running node is suspect or missing, while datagrams are lost and nodes are paused. */
+/** Counts running nodes that are suspected or removed while datagrams are lost and nodes are paused. */
 void measureFalseSuspicions(GossipNetwork &network, const std::string &prefix, Number size)
 {
     constexpr int pauses = 20;
--- a/Benchmarks/Measure/Metrics.cpp
+++ b/Benchmarks/Measure/Metrics.cpp
@@ -1,4 +1,5 @@
-// What one token costs in metrics: by the node's own series, and by a look-up in the registry as it was before.
+// Measures the time that metrics take for one token: with the series that NodeMetrics keeps, and with a lookup in the
+// registry for each observation.
 #include <Benchmarks/Support/Figures.h>
 
 #include <LibMetrics/NodeMetrics.h>
@@ -8,7 +9,7 @@
 #include <prometheus/registry.h>
 
 DEFINE_string(programs, "build", "not used");
-DEFINE_uint64(tokens, 1000000, "tokens observed each way");
+DEFINE_uint64(tokens, 1000000, "tokens observed with each method");
 
 namespace
 {
@@ -23,8 +24,8 @@
     for (std::uint64_t i = 0; i < FLAGS_tokens; ++i) {
         action();
     }
-    const std::chrono::duration<double, std::nano> taken = Clock::now() - start;
-    printFigure("metrics." + name, taken.count() / static_cast<double>(FLAGS_tokens), "ns per token");
+    const std::chrono::duration<double, std::nano> elapsed = Clock::now() - start;
+    printFigure("metrics." + name, elapsed.count() / static_cast<double>(FLAGS_tokens), "ns per token");
 }
 
 } // namespace
--- a/Benchmarks/Measure/Overhead.cpp
+++ b/Benchmarks/Measure/Overhead.cpp
@@ -1,4 +1,4 @@
-// What a node adds to a plain lookup, against a direct call of the same stand-in in the same run.
+// Measures the latency that a node adds to a lookup, compared with direct calls to the same fake service in the same run.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 
@@ -10,7 +10,7 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "folder with the programs");
-DEFINE_int32(seconds, 3, "how long each way is measured");
+DEFINE_int32(seconds, 3, "how long direct calls and calls through a node are each measured");
 DEFINE_int32(callers, 8, "requests in flight");
 
 namespace
@@ -19,7 +19,7 @@
 using namespace Dogwoodkeel;
 using Clock = std::chrono::steady_clock;
 
-/** Keeps a number of lookups in flight for a time. */
+/** Keeps a fixed number of lookups in flight for the configured time. @return their durations */
 Durations measure(const Address &address, const std::string &path)
 {
     EventLoop loop;
@@ -63,10 +63,10 @@
         return 1;
     }
     Durations direct = measure(fleet.process(service).address, "/lookup");
-    Durations through = measure(fleet.process(node).address, "/v1/services/prices/lookup");
-    printFigure("overhead.added_p50", through.percentile(0.5) - direct.percentile(0.5), "ms");
-    printFigure("overhead.added_p99", through.percentile(0.99) - direct.percentile(0.99), "ms");
+    Durations throughNode = measure(fleet.process(node).address, "/v1/services/prices/lookup");
+    printFigure("overhead.added_p50", throughNode.percentile(0.5) - direct.percentile(0.5), "ms");
+    printFigure("overhead.added_p99", throughNode.percentile(0.99) - direct.percentile(0.99), "ms");
     printFigure("overhead.direct_requests", static_cast<double>(direct.count()) / FLAGS_seconds, "1/s");
-    printFigure("overhead.through_requests", static_cast<double>(through.count()) / FLAGS_seconds, "1/s");
+    printFigure("overhead.through_requests", static_cast<double>(throughNode.count()) / FLAGS_seconds, "1/s");
     return 0;
 }
--- a/Benchmarks/Measure/Overload.cpp
+++ b/Benchmarks/Measure/Overload.cpp
@@ -1,5 +1,5 @@
-// What callers get at 0.8, 1, 2 and 5 times what the engines can serve, with lookups beside, on real processes: with the
-// entries' queue, and with places without bound, so that the engines take whatever comes.
+// Measures goodput and latency at 0.8, 1, 2 and 5 times the capacity of the engines, with concurrent lookups and real
+// processes: with the queue of the nodes, and with practically unlimited slots, so that the engines receive every request.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 #include <Benchmarks/Support/OpenLoad.h>
@@ -18,7 +18,7 @@
 DEFINE_int32(seconds, 5, "how long each load is offered");
 DEFINE_double(overcommit, 1, "entry.overcommit of the nodes");
 DEFINE_bool(unbounded, true, "measure the engines without the queue as well");
-DEFINE_int32(capacity_per_second, 0, "requests a second that count as 1x; 0 measures it");
+DEFINE_int32(capacity_per_second, 0, "requests per second that count as 1x; 0 measures the capacity");
 
 namespace
 {
@@ -132,8 +132,12 @@
     return result;
 }
 
-/** @return the share of the best goodput that is left at five times the load */
-void measure(const std::string &variant, const std::string &capacity, double &one)
+/**
+ * Offers each load in turn and prints the results, and the share of the best goodput that remains at five times the load.
+ *
+ * @param baseLoad requests per second that count as 1x; measured first if it is 0
+ */
+void measure(const std::string &variant, const std::string &capacity, double &baseLoad)
 {
     Fleet fleet(capacity);
     if (!fleet.local.waitReady(std::chrono::seconds(20))) {
@@ -144,29 +148,29 @@
     Result alone = offer(fleet, 0, 2);
     const std::string prefix = "overload." + variant;
     printFigure(prefix + ".lookup_p99_alone", alone.lookups.percentile(0.99), "ms");
-    if (one == 0) {
-        // What is finished of far too much, with the queue: the most that these engines can do on this machine now.
-        one = offer(fleet, 400, 3).goodput;
-        printFigure("overload.one", one, "requests/s");
+    if (baseLoad == 0) {
+        // The goodput under heavy overload, with the queue, is the capacity of these engines on this machine.
+        baseLoad = offer(fleet, 400, 3).goodput;
+        printFigure("overload.one", baseLoad, "requests/s");
     }
     std::map<double, Result> results;
     double best = 0;
     for (const double factor : {0.8, 1.0, 2.0, 5.0}) {
         Result &result = results[factor];
-        result = offer(fleet, one * factor, 10);
+        result = offer(fleet, baseLoad * factor, 10);
         best = std::max(best, result.goodput);
-        char name[64];
-        std::snprintf(name, sizeof(name), "%s.%gx", prefix.c_str(), factor);
-        const std::string at(name);
-        printFigure(at + ".goodput", result.goodput, "requests/s");
-        printFigure(at + ".answered_p99", result.answered.percentile(0.99), "ms");
-        printFigure(at + ".refused", static_cast<double>(result.refused.count()) / std::max(1.0, result.sent), "share");
-        printFigure(at + ".refused_p50", result.refused.percentile(0.5), "ms");
-        printFigure(at + ".refused_p99", result.refused.percentile(0.99), "ms");
-        printFigure(at + ".refused_without_retry_after", static_cast<double>(result.withoutRetryAfter), "requests");
-        printFigure(at + ".late_or_lost", static_cast<double>(result.lost), "requests");
-        printFigure(at + ".lookup_p99", result.lookups.percentile(0.99), "ms");
-        printFigure(at + ".lookup_errors", static_cast<double>(result.lookupErrors), "requests");
+        char buffer[64];
+        std::snprintf(buffer, sizeof(buffer), "%s.%gx", prefix.c_str(), factor);
+        const std::string name(buffer);
+        printFigure(name + ".goodput", result.goodput, "requests/s");
+        printFigure(name + ".answered_p99", result.answered.percentile(0.99), "ms");
+        printFigure(name + ".refused", static_cast<double>(result.refused.count()) / std::max(1.0, result.sent), "share");
+        printFigure(name + ".refused_p50", result.refused.percentile(0.5), "ms");
+        printFigure(name + ".refused_p99", result.refused.percentile(0.99), "ms");
+        printFigure(name + ".refused_without_retry_after", static_cast<double>(result.withoutRetryAfter), "requests");
+        printFigure(name + ".late_or_lost", static_cast<double>(result.lost), "requests");
+        printFigure(name + ".lookup_p99", result.lookups.percentile(0.99), "ms");
+        printFigure(name + ".lookup_errors", static_cast<double>(result.lookupErrors), "requests");
     }
     printFigure(prefix + ".share_of_best_at_5x", best > 0 ? results[5.0].goodput / best : 0, "share");
 }
@@ -176,10 +180,10 @@
 int main(int argc, char **argv)
 {
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    double one = FLAGS_capacity_per_second;
-    measure("queue", "8", one);
+    double baseLoad = FLAGS_capacity_per_second;
+    measure("queue", "8", baseLoad);
     if (FLAGS_unbounded) {
-        measure("unbounded", "100000", one);
+        measure("unbounded", "100000", baseLoad);
     }
     return 0;
 }
