--- a/Services/Entry/Admission.cpp
+++ b/Services/Entry/Admission.cpp
@@ -12,9 +12,15 @@
 namespace
 {
 
-/** How often the places of a pool are counted: between two counts, what this node sends and gets back is reckoned in. */
+/**
+ * How often the free slots of a pool are counted. Between two counts, requests that this node sends and completes are
+ * subtracted and added.
+ */
 constexpr std::chrono::milliseconds countInterval{10};
-/** Places are freed by other nodes' requests too, and requests become hopeless, without this node noticing. */
+/**
+ * How often the queues are checked. Other nodes' requests free slots, and deadlines become infeasible, without an
+ * event on this node.
+ */
 constexpr std::chrono::milliseconds tickInterval{10};
 
 DeadlineQueue::Options queueOptions(const EntrySettings &settings)
@@ -54,8 +60,8 @@
         }
     }
     if (usable.empty()) {
-        // Nobody may wait for replicas that are all gone or leaving: what is sent on is refused at once, or tried on the
-        // last resort.
+        // Requests must not wait when all replicas are removed or leaving. Admitted ones are refused at once, or
+        // tried on a replica of last resort.
         return std::numeric_limits<double>::infinity();
     }
     const FleetSettings &fleet = this->settings->fleet;
--- a/Services/Entry/Admission.h
+++ b/Services/Entry/Admission.h
@@ -16,24 +16,24 @@
 {
 
 /**
- * Lets requests go to the replicas of a model or plain service while there is room, and makes the others wait, by
- * deadline, or refuses them at once. Each model and service has a queue of its own, so that nothing waits behind requests
- * for something else; batch items never stand in one.
+ * Admits requests to the replicas of a model or plain service while there is capacity; queues the others by deadline
+ * or refuses them at once. Each model and service has its own queue, so that no request waits behind requests for
+ * something else. Batch items are never queued here.
  *
- * An engine takes whatever it is sent and then serves all of it more slowly. Waiting here in place of there keeps what
- * was begun fast, and leaves a waiting request free to go to whichever replica has room first.
+ * An engine accepts whatever it is sent and then serves all of it more slowly. Queueing here instead keeps running
+ * requests fast and lets a waiting request go to whichever replica has capacity first.
  */
 class Admission
 {
 public:
     using Ticket = DeadlineQueue::Ticket;
 
-    /** What a request that entered is told, once, unless it leaves the queue before. */
+    /** Callbacks of a queued request. Exactly one is called, once, unless the request leaves the queue before. */
     struct Hooks
     {
-        /** There is room: send it now. */
+        /** There is capacity: the request must be sent now. */
         std::function<void()> run;
-        /** It would be late. @param retryAfter when there should be room */
+        /** The request would miss its deadline. @param retryAfter when capacity is expected */
         std::function<void(std::chrono::milliseconds retryAfter)> refuse;
     };
 
@@ -43,20 +43,21 @@
     Admission &operator=(const Admission &) = delete;
 
     /**
+     * Queues a request, or admits or refuses it at once.
      * @param serves the model or plain service
-     * @param deadline until when its caller waits
-     * @param hooks may be called from inside
-     * @return a ticket to leave by
+     * @param deadline when the caller stops waiting
+     * @param hooks may be called before this function returns
+     * @return a ticket for leave()
      */
     Ticket enter(const std::string &serves, SteadyTime deadline, Hooks hooks);
 
-    /** A request no longer waits. One that has been told already is ignored. */
+    /** Removes a request from the queue. Ignores one whose hook has already been called. */
     void leave(const std::string &serves, Ticket ticket);
 
-    /** A request left its replica. @param service how long it was there */
+    /** Records that a request left its replica. @param service how long it was there */
     void served(const std::string &serves, std::chrono::microseconds service);
 
-    /** @return requests that wait for a model or service. */
+    /** @return the number of requests that wait for a model or service. */
     std::size_t waiting(const std::string &serves) const;
 
 private:
@@ -66,7 +67,7 @@
 
         DeadlineQueue queue;
         std::unordered_map<Ticket, Hooks> hooks;
-        /** Free places as last counted, less what was sent since. */
+        /** Free slots as last counted, less the requests sent since. */
         double room = 0;
         SteadyTime counted{};
     };
--- a/Services/Entry/Attempt.cpp
+++ b/Services/Entry/Attempt.cpp
@@ -80,8 +80,8 @@
     if (this->hasBytes) {
         return this->limits.between;
     }
-    // A connection that had been idle may have gone silent unnoticed. Waiting as long as an endpoint may take to begin
-    // would cost the caller its deadline, so it has to show sooner that it lives; the next try gets the full time.
+    // An idle connection may have become unresponsive unnoticed. Waiting the full time to the first byte could exceed
+    // the caller's deadline, so a reused connection gets the shorter limit; the next attempt gets the full time.
     const bool isReused = this->http.isReused(this->exchange);
     return isReused ? std::min(this->limits.firstByte, this->limits.between) : this->limits.firstByte;
 }
@@ -95,7 +95,7 @@
 
 void Attempt::check()
 {
-    // One timer for the whole attempt: setting it anew with each token would cost more than the token.
+    // One timer serves the whole attempt: rescheduling it for each token would cost more than handling the token.
     if (!this->isConnected && this->http.isConnected(this->exchange)) {
         this->isConnected = true;
     }
@@ -115,8 +115,8 @@
         return;
     }
     const bool isReused = this->http.isReused(this->exchange);
-    // Something between the two ends may have lost track of the connections of this age: nothing tells, and every one of
-    // them would cost another request its time. New ones are not affected.
+    // A network device on the path may have dropped its state of connections of this age without notice, and each of
+    // them would time out another request. New connections are not affected.
     this->http.closeIdle(this->address);
     this->end(isReused ? AttemptEnd::SilentReused : AttemptEnd::SilentFresh);
 }
--- a/Services/Entry/Attempt.h
+++ b/Services/Entry/Attempt.h
@@ -12,10 +12,10 @@
 namespace Dogwoodkeel
 {
 
-/** How long an attempt may go without progress, in each of its phases. */
+/** Limits how long an attempt may go without progress, in each of its phases. */
 struct ProgressLimits
 {
-    /** Until the connection is made. */
+    /** Until the connection is established. */
     std::chrono::milliseconds connect{1000};
     /** From then until the first byte of the answer. */
     std::chrono::milliseconds firstByte{10000};
@@ -25,31 +25,31 @@
 
 /** How an attempt ended. */
 enum class AttemptEnd {
-    /** The endpoint's whole answer arrived. */
+    /** The endpoint's complete answer arrived. */
     Complete,
-    /** Proved: no connection was made, so nothing was sent. */
+    /** No connection was established, so certainly nothing was sent. */
     NotConnected,
-    /** The connection broke; the request may have run. */
+    /** The connection was lost; the request may have run. */
     Broken,
-    /** No progress, over a connection that had been idle before: it may have gone silent while new ones work. */
+    /** No progress over a connection that had been idle before; new connections may still work. */
     SilentReused,
-    /** No progress, over a connection made for this attempt: the endpoint itself does not get on. */
+    /** No progress over a connection made for this attempt: the endpoint itself is unresponsive. */
     SilentFresh,
 };
 
 /**
- * One try of a request at one endpoint. Its hooks are told nothing once it has ended or was destroyed, so that a late
- * reply never meets another attempt.
+ * Runs one attempt of a request at one endpoint. No hook is called after it has ended or was destroyed, so that a
+ * late reply never reaches another attempt.
  */
 class Attempt
 {
 public:
-    /** What an attempt tells. */
+    /** Callbacks of an attempt. */
     struct Hooks
     {
         std::function<void(int status, const HttpHeaders &headers)> onHeaders;
         std::function<void(std::string_view data)> onData;
-        /** Told once, as the last; the attempt may be destroyed in it. */
+        /** Called once, as the last hook; the attempt may be destroyed in it. */
         std::function<void(AttemptEnd end)> onEnd;
     };
 
--- a/Services/Entry/EndpointReports.cpp
+++ b/Services/Entry/EndpointReports.cpp
@@ -13,7 +13,10 @@
 constexpr std::size_t mostAdapters = 256;
 constexpr std::size_t longestName = 128;
 
-/** @return the member as a number; 0 if it is missing or none, since an endpoint's word must not end this node. */
+/**
+ * @return the member as a number; 0 if it is missing or not a number, so that invalid input from an endpoint cannot
+ * end this node.
+ */
 template <typename Number>
 Number numberIn(const Json &object, const char *name)
 {
--- a/Services/Entry/EntryContext.h
+++ b/Services/Entry/EntryContext.h
@@ -22,7 +22,7 @@
 namespace Dogwoodkeel
 {
 
-/** What the handlers of one entry task share; all of it lives on that task. */
+/** Holds the services that the handlers of one entry task share; all of them live on that task. */
 struct EntryContext
 {
     EventLoop &loop;
@@ -43,7 +43,7 @@
     FleetState &fleet;
     ReplicaSelector &chooser;
     FleetWatch &watch;
-    /** Takes operators' requests to the control task. */
+    /** Forwards operators' requests to the control task. */
     OperatorGateway operators;
 };
 
--- a/Services/Entry/EntryTask.cpp
+++ b/Services/Entry/EntryTask.cpp
@@ -167,7 +167,7 @@
 void EntryTask::putInForce(const SettingsPointer &settings)
 {
     this->settings.replace(settings);
-    // A replica that is taken out without requests is gone at once; a notice of its last one must not point to it.
+    // A removed replica without requests is deleted at once; a pending notice must not point to it.
     this->notices.flush();
     this->replicas.update(settings->endpoints);
     this->limits.settingsChanged();
--- a/Services/Entry/EntryTask.h
+++ b/Services/Entry/EntryTask.h
@@ -21,14 +21,14 @@
 namespace Dogwoodkeel
 {
 
-/** What the task that serves callers owns: its sockets, and all that the entry service uses. */
+/** Owns the sockets and all services of the task that serves callers. */
 class EntryTask
 {
 public:
     using PlatformFactory = std::function<std::unique_ptr<Platform>(EventLoop &)>;
 
     /**
-     * @param ownOwner reaches the owner of this node without a socket, if there is one
+     * @param localOwner reaches the owner of this node without a socket, if there is one
      * @throws std::runtime_error if it cannot listen
      */
     EntryTask(EventLoop &loop,
@@ -41,47 +41,49 @@
               NodeMetrics &metrics,
               OperatorGateway operators);
 
-    /** @return where callers connect. */
+    /** @return the address that callers connect to. */
     const Address &address() const;
 
     void setView(const MemberViewPointer &view);
-    /** @param waitingFor what the node waits for before it takes callers; empty when it is ready */
+    /** @param waitingFor what the node waits for before it accepts callers; empty when it is ready */
     void setWaitingFor(std::string waitingFor);
 
-    /** A datagram of another node came. */
+    /** Handles a datagram from another node. */
     void receive(const Datagram &datagram);
 
-    /** @return requests held to crash endpoints, that run nowhere for now. */
+    /**
+     * @return the number of quarantined requests: they are suspected of crashing endpoints and currently run nowhere.
+     */
     std::size_t quarantinedRequests() const;
 
-    /** This node goes on as another session; requests in progress are not touched. */
+    /** Continues under another session number; requests in progress are not affected. */
     void setSession(SessionNumber self);
 
-    /** Put a new configuration into force; requests that run go on with what they have. */
+    /** Puts a new configuration in force; running requests keep the settings they started with. */
     void putInForce(const SettingsPointer &settings);
 
-    /** The platform's VM list changed: endpoints on leaving VMs get no new work. */
+    /** Applies the platform's VM list: endpoints on leaving VMs get no new work. */
     void setVms(const ListedVmsPointer &vms);
 
-    /** Ask callers to leave: each connection is closed after its next answer, new ones are taken as before. */
+    /** Closes each caller's connection after its next answer; new connections are accepted as before. */
     void sendCallersAway();
 
-    /** How many batch items this node's lanes run on each replica. */
+    /** Sets how many batch items this node's lanes run on each replica. */
     void setItems(const std::map<EndpointName, std::uint32_t> &items);
 
-    /** @return where load reports go. */
+    /** @return the address that receives load reports. */
     const Address &fleetAddress() const;
 
-    /** Read load reports from now on. @param leaving told of each endpoint that leaves or is back, on this task */
+    /** Starts reading load reports. @param leaving called on this task when an endpoint begins to leave or is back */
     void watchFleet(FleetWatch::LeavingChanged leaving);
 
-    /** Take no new connections. */
+    /** Stops accepting new connections. */
     void drain();
 
-    /** @return the endpoints as this node has them. */
+    /** @return the endpoints with their state as known to this node. */
     const std::list<Replica> &endpoints();
 
-    /** @return requests not yet answered. */
+    /** @return the number of requests not yet answered. */
     std::size_t openRequests() const;
 
 private:
--- a/Services/Entry/FleetWatch.cpp
+++ b/Services/Entry/FleetWatch.cpp
@@ -18,9 +18,9 @@
 constexpr int statusOk = 200;
 constexpr std::size_t namesPerDatagram = 32;
 constexpr std::size_t reportsPerDatagram = 16;
-/** A pool counts as in use for this long after the last request. */
+/** A pool counts as in use for this long after its last request. */
 constexpr std::chrono::seconds useMemory{30};
-/** A datagram may be lost; that an endpoint leaves is told this often. */
+/** How often a notice that an endpoint leaves is sent, as a datagram may be lost. */
 constexpr int leavingRepeats = 3;
 constexpr std::chrono::milliseconds leavingRepeat{300};
 constexpr const char *leavingHeader = "Dogwoodkeel-Leaving";
@@ -106,8 +106,9 @@
 
 void FleetWatch::renewPolled()
 {
-    // Views change with each news of a member; who holds what changes only with who there is. Looking for the holder of
-    // each of 1,800 replicas among 390 members at each poll took 3.4% of a core.
+    // Views change with each member update, but lane holders change only with the set of members, their leaving state
+    // and the replicas. Computing the holder of each of 1,800 replicas among 390 members at each poll took 3.4% of a
+    // core.
     std::uint64_t basis = this->replicas.version();
     for (const Member &member : this->view->members()) {
         const std::uint64_t isLeaving = member.state == MemberState::Leaving ? 1 : 0;
@@ -153,8 +154,8 @@
     }
     const auto items = this->items.find(name);
     if (items != this->items.end()) {
-        // Batch items give way to online requests within milliseconds. Counted as load, they would make a replica look
-        // full that has all its places free, and requests would wait behind batch work.
+        // Batch items yield to online requests within milliseconds. Counted as load, they would make a replica with
+        // free slots look full, and requests would wait behind batch work.
         const std::uint32_t running = items->second.at(asked - std::chrono::milliseconds(report->ageMilliseconds));
         report->inFlight -= std::min(report->inFlight, running);
     }
@@ -350,8 +351,8 @@
 
 void FleetWatch::tellOthers(const ReplicaReport &report, int times)
 {
-    // The node that polls the endpoint tells all; any other tells only that node. So each node hears of it at a cost
-    // that grows with the number of nodes, and not with its square.
+    // The node that polls the endpoint notifies all nodes; any other node notifies only that one. The cost of
+    // informing every node thus grows linearly with the number of nodes, not with its square.
     const EndpointLeaving message{this->self, {report}};
     const Member *const holder = this->view->laneHolderOf(report.endpoint);
     if (holder != nullptr && holder->session != this->self) {
--- a/Services/Entry/FleetWatch.h
+++ b/Services/Entry/FleetWatch.h
@@ -20,16 +20,17 @@
 {
 
 /**
- * Learns about the endpoints, for this node and the others.
+ * Collects the state of endpoints for this node and shares it with the others.
  *
- * Each endpoint is polled by one node, the holder of its lane, so that the polls an endpoint gets do not grow with the
- * number of nodes. The others ask that node for the reports of the replicas they use, and get them by datagram, as
- * often as they can take them. That an endpoint is about to go is told to all nodes at once, by whoever learns it.
+ * Each endpoint is polled by one node, the holder of its lane, so that the number of polls per endpoint does not grow
+ * with the number of nodes. The other nodes request reports for the replicas they use from that node and receive them
+ * by datagram, as often as their limit of received bytes allows. The node that learns that an endpoint is about to
+ * leave notifies all nodes at once.
  */
 class FleetWatch
 {
 public:
-    /** Told when an endpoint is about to go, and when it is back. */
+    /** Called when an endpoint is about to leave, and when it is back. */
     using LeavingChanged = std::function<void(const EndpointName &endpoint, bool isLeaving)>;
 
     FleetWatch(EventLoop &loop,
@@ -47,19 +48,22 @@
     void start(LeavingChanged leaving);
     void setView(MemberViewPointer view);
 
-    /** This node goes on as another session. */
+    /** Continues under another session number. */
     void setSession(SessionNumber self);
 
-    /** The platform's list of VMs came. */
+    /** Applies the platform's list of VMs. */
     void observe(const std::vector<ListedVm> &vms);
 
-    /** How many batch items this node's lanes run on a replica: its load report counts them, and they give way. */
+    /**
+     * Sets how many batch items this node's lanes run on a replica. The replica's load report includes them, and they
+     * are subtracted as they yield to online requests.
+     */
     void setItems(const EndpointName &endpoint, std::uint32_t items);
 
-    /** A datagram of another node's FleetWatch came. */
+    /** Handles a datagram from another node's FleetWatch. */
     void receive(const Datagram &datagram);
 
-    /** An endpoint answered a request: it may say by a header that it is leaving, or how loaded it is. */
+    /** Evaluates the headers of an endpoint's answer, which may state that it is leaving or how loaded it is. */
     void sawHeaders(Replica &replica, const HttpHeaders &headers);
 
 private:
@@ -91,19 +95,22 @@
     MemberViewPointer view;
     LeavingChanged leaving;
     ReportSubscriptions subscriptions;
-    /** What the endpoints that are polled here said last, and when. */
+    /** The last report of an endpoint that is polled here, and when it was requested. */
     struct Latest
     {
         ReplicaReport report;
         SteadyTime at{};
     };
     std::map<EndpointName, Latest> latest;
-    /** Batch items of this node's lanes, over time, as load reports are late. */
+    /** Number of batch items of this node's lanes over time, as load reports describe the past. */
     std::unordered_map<EndpointName, InFlightHistory> items;
-    /** The endpoints that are polled here, and a hash of the members and the configuration that this follows from. */
+    /**
+     * The endpoints that are polled here, and a hash of the members and the configuration from which they were
+     * computed.
+     */
     std::vector<EndpointName> polled;
     std::uint64_t polledBasis = 0;
-    /** Polls without an answer yet. */
+    /** Endpoints with a poll that is not yet answered. */
     std::set<EndpointName> asked;
     std::set<EndpointName> reportedLeaving;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/Services/Entry/LimitSharing.cpp
+++ b/Services/Entry/LimitSharing.cpp
@@ -14,9 +14,9 @@
 {
 
 constexpr std::chrono::milliseconds tellInterval{500};
-/** A part counts this long without being renewed: a few datagrams may be lost. */
+/** How long a share is valid without being renewed; it covers the loss of a few datagrams. */
 constexpr std::chrono::milliseconds grantLife{3000};
-/** How long a node's demand counts with the one that splits. */
+/** How long a node's demand counts at the member that splits the limits. */
 constexpr std::chrono::milliseconds demandLife{2000};
 /** Tenants in one datagram. */
 constexpr std::size_t perDatagram = 24;
--- a/Services/Entry/LimitSharing.h
+++ b/Services/Entry/LimitSharing.h
@@ -13,17 +13,18 @@
 {
 
 /**
- * Limits of tenants that hold for all nodes together. A node that comes near to its share of one tells how much it could
- * use to the member that splits this tenant's limits (rendezvous hashing), and gets its part back, by datagrams twice a
- * second. Losing that member, or a datagram, leaves the nodes with their last parts for a while, and then with even ones.
+ * Enforces tenants' limits across all nodes. A node that comes near to its share of a limit sends its demand to the
+ * member that splits this tenant's limits (selected by rendezvous hashing) and receives its share in return, by
+ * datagrams twice a second. If that member or a datagram is lost, nodes keep their last shares for a while and then
+ * use even ones.
  */
 class LimitSharing
 {
 public:
-    /** Keeps a request counted until it is destroyed. */
+    /** Keeps a request counted against its limit until it is destroyed. */
     using Hold = std::shared_ptr<void>;
 
-    /** A request was taken in, or when there is room for it. */
+    /** Result of an admission: a hold, or the time after which to retry. */
     struct Admitted
     {
         /** Null if it was refused. */
@@ -35,10 +36,10 @@
 
     void setView(MemberViewPointer view);
 
-    /** This node goes on as another session. */
+    /** Continues under another session number. */
     void setSession(SessionNumber self);
 
-    /** The settings were replaced. */
+    /** Rebuilds the tenants' limits from the replaced settings. */
     void settingsChanged();
 
     Admitted admit(const WorkspaceName &tenant, LimitClass kind);
--- a/Services/Entry/LoadNotices.h
+++ b/Services/Entry/LoadNotices.h
@@ -12,8 +12,9 @@
 {
 
 /**
- * Tells the holder of a replica's lane how many online requests this entry has there, at once when the number changes
- * (changes of one turn of the loop together) and again at intervals, so that a lost datagram heals.
+ * Sends the number of this entry's online requests on a replica to the holder of the replica's lane. Sends at once
+ * when the number changes, combining the changes of one turn of the loop, and repeats at intervals to make up for
+ * lost datagrams.
  */
 class LoadNotices
 {
@@ -22,16 +23,16 @@
 
     void setView(MemberViewPointer view);
 
-    /** This node goes on as another session. */
+    /** Continues under another session number. */
     void setSession(SessionNumber self);
 
-    /** The number of online requests on a replica changed. */
+    /** Schedules a notice: the number of online requests on a replica changed. */
     void changed(const Replica &replica);
 
-    /** Repeat the numbers of all replicas in use. */
+    /** Sends the numbers of all replicas in use again. */
     void repeat(const std::list<Replica> &replicas);
 
-    /** Tell of the changes so far now, before replicas are taken out. */
+    /** Sends all pending changes now, before replicas are removed. */
     void flush();
 
 private:
--- a/Services/Entry/OnlineRequest.cpp
+++ b/Services/Entry/OnlineRequest.cpp
@@ -14,18 +14,21 @@
 constexpr std::string_view streamEnd = "[DONE]";
 constexpr std::size_t eventLimit = 1048576;
 constexpr std::chrono::milliseconds joinWait{2000};
-/** How long to look for an owner that can decide, before the caller is refused. */
+/** How long to retry the claim until an owner can decide, before the caller is refused. */
 constexpr std::chrono::milliseconds claimTimeout{5000};
-/** An owner answers a claim that may be repeated from memory. What takes longer has been lost with its connection. */
+/**
+ * Timeout of one claim call for a request that may be repeated. The owner decides such a claim from memory, so a
+ * longer wait means that the call was lost with its connection.
+ */
 constexpr std::chrono::milliseconds claimAnswerTimeout{1000};
 constexpr std::chrono::seconds usualRetryAfter{1};
 /** How long an owner may hold a commit before it answers Held. */
 constexpr std::chrono::milliseconds commitWait{500};
 constexpr std::chrono::milliseconds firstCommitPause{500};
 constexpr std::chrono::milliseconds longestCommitPause{10000};
-/** How long a caller waits for a result to be durable when no owner answers at all. */
+/** How long a caller waits for a durable result when no owner answers. */
 constexpr std::chrono::milliseconds pendingAfter{5000};
-/** How long a runner keeps a result that its owner does not have durably. */
+/** How long a runner keeps a result that its owner has not stored durably. */
 constexpr std::chrono::minutes commitTimeout{30};
 
 constexpr int statusOk = 200;
@@ -101,7 +104,7 @@
         claim.wait,
         std::min(this->deadline, now + claimTimeout),
         [isNonIdempotent = this->request.isNonIdempotent](const ClaimResponse &response) {
-            // Without the platform a non-idempotent request cannot run for now: its caller is told at once.
+            // Without the platform a non-idempotent request cannot run, so its caller is refused at once.
             const bool isUndecided = response.decision == ClaimDecision::Unavailable && !isNonIdempotent;
             return response.decision != ClaimDecision::NotOwner && !isUndecided;
         },
@@ -169,8 +172,9 @@
     if (!this->request.isNamedByCaller) {
         return;
     }
-    // The claim may have been given, and its answer lost: every resend would then wait for a runner that does not exist,
-    // until the lease ends, and for a non-idempotent request for good. The same claim is asked again until it is known.
+    // The claim may have been granted and the answer lost. Every resend would then wait for a runner that does not
+    // exist until the lease ends, and for a non-idempotent request forever. The same claim is repeated until its
+    // state is known.
     const ClaimRequest claim{this->request.id,
                              this->request.fingerprint,
                              this->request.isNonIdempotent,
@@ -198,13 +202,13 @@
         return;
     }
     if (this->request.isNonIdempotent && this->mayHaveRun) {
-        // It must not run again: the refusal becomes its answer, and every resend gets it.
+        // The request must not run again, so the refusal is committed as its answer and every resend gets it.
         const HttpResponse response = refusalResponse(refusal);
         this->commit({static_cast<std::uint16_t>(response.status), "application/json", response.body});
         return;
     }
-    // It was not sent and will not be. Kept as an answer, the refusal would meet its caller at each resend, though
-    // Retry-After had told it to come back: given back, a resend runs.
+    // The request was not sent and will not be. A stored refusal would be returned to every resend, although
+    // Retry-After invites the caller to retry; with the claim released, a resend runs.
     this->release();
 }
 
@@ -263,8 +267,8 @@
     if (this->attempts > 0 && !this->mayRetryAt(*chosen)) {
         return;
     }
-    // A non-idempotent call gets a connection of its own: an idle one may have gone silent unnoticed, and the call could
-    // then neither be known to have run nor be sent again.
+    // A non-idempotent call gets a new connection. A reused one may have become unresponsive unnoticed, and the call
+    // could then neither be known to have run nor be sent again.
     this->sendTo(*chosen, this->request.isNonIdempotent ? ConnectionChoice::Fresh : ConnectionChoice::Pooled);
 }
 
@@ -300,7 +304,8 @@
     if (this->request.completion) {
         message.body = this->request.completion->engineBody(this->completion.text, this->completion.tokens);
     }
-    // NOTE: The attempt lives no longer than this request and tells nothing after its end, so its hooks hold no owner.
+    // NOTE: The attempt does not outlive this request and calls no hook after its end, so its hooks hold no shared
+    // pointer, except onEnd.
     Attempt::Hooks hooks{
         .onHeaders =
             [this](int status, const HttpHeaders &headers) {
@@ -366,7 +371,7 @@
 
 bool OnlineRequest::isWhole() const
 {
-    // An engine may be lost between its last token and the end of its stream: there is nothing left to resume.
+    // An engine may be lost between its last token and the end of its stream; nothing remains to resume then.
     return this->request.completion && this->status == statusOk && (this->sawEnd || !this->completion.finishReason.empty());
 }
 
@@ -391,7 +396,8 @@
         this->attemptFailed(AttemptOutcome::Unresponsive, RunState::Unknown, "silent");
         return;
     case AttemptEnd::SilentReused: {
-        // The connection is blamed first, not the endpoint: its place in the stream is resumed there over a new one.
+        // The connection is assumed to have failed, not the endpoint; the stream is resumed at the same endpoint over
+        // a new one.
         this->lastFailure = "silent_connection";
         Replica &same = *this->replica;
         this->mayHaveRun = true;
@@ -413,12 +419,13 @@
 void OnlineRequest::attemptDone()
 {
     if (this->status == statusUnavailable) {
-        // By the endpoints' contract (docs/operators/endpoints.md) a 503 is given before anything is run.
+        // By the endpoints' contract (docs/operators/endpoints.md) a 503 is sent before anything runs.
         this->attemptFailed(AttemptOutcome::Refused, RunState::NotRun, "refused");
         return;
     }
     const bool isCutShort = this->request.completion && this->status == statusOk && !this->isWhole();
-    // An endpoint that has no room or fails may be followed by one that serves: its answer is no result to be kept.
+    // Another endpoint may serve the request when this one is full or fails, so such an answer is not stored as the
+    // result.
     const bool isEndpointError = this->status >= statusServerError || this->status == statusTooManyRequests;
     if (isCutShort || (isEndpointError && !this->request.isNonIdempotent)) {
         this->attemptFailed(AttemptOutcome::Failed, RunState::Unknown, isCutShort ? "cut_short" : "endpoint_error");
@@ -466,7 +473,8 @@
     this->leaveReplica({outcome, {}});
     this->mayHaveRun = this->mayHaveRun || run == RunState::Unknown;
     if (this->request.isNonIdempotent && run == RunState::Unknown) {
-        // It may have run, so it must not run again. This is committed as its answer: every resend gets the same.
+        // The request may have run, so it must not run again. This refusal is committed as its answer and every
+        // resend gets it.
         this->refuse({statusBadGateway,
                       "outcome_unknown",
                       "the endpoint was lost while it ran; it will not run again",
@@ -519,7 +527,8 @@
         this->finish(response->answer, "committed");
         return;
     case CommitDecision::Held:
-        // This node and the owner both hold the result until the platform is back: one of them may be lost.
+        // Both this node and the owner hold the result until the platform is available again, as either of them may
+        // be lost.
         this->finish(this->result, "pending");
         this->context.loop.schedule(this->commitPause, [self = this->shared_from_this()] {
             self->sendCommit();
@@ -563,13 +572,14 @@
     Refusal running = refusal;
     running.run = RunState::Unknown;
     if (this->request.isNonIdempotent) {
-        // It is running, and can neither be stopped for certain nor run again. The caller is told at once; its resend
-        // gets the endpoint's answer, if that still comes.
+        // The request is running and can neither be reliably stopped nor run again. The caller is refused at once; a
+        // resend gets the endpoint's answer if it still arrives.
         this->context.metrics.countAnswer(this->kind(), std::string(running.reason));
         this->reply.refuse(running);
         return;
     }
-    // The endpoint did nothing wrong. What it would still make is of use to nobody.
+    // The caller's deadline has passed, which is not counted as a failure of the endpoint; the remaining output is
+    // not needed.
     this->attempt = nullptr;
     this->leaveReplica({AttemptOutcome::Abandoned, {}});
     this->refuse(running);
@@ -577,8 +587,9 @@
 
 RunState OnlineRequest::runState() const
 {
-    // An id that the caller chose may have come before, here or at another node, and that sending may have run. Only the
-    // durable intent of a non-idempotent request proves that none has: it is written once, before any attempt.
+    // A request with an id chosen by the caller may have been sent before, here or to another node, and may have run.
+    // Only the durable intent of a non-idempotent request proves that none has: it is written once, before any
+    // attempt.
     const bool hasProof = !this->request.isNamedByCaller || (this->hasClaim && this->request.isNonIdempotent);
     return this->mayHaveRun || !hasProof ? RunState::Unknown : RunState::NotRun;
 }
--- a/Services/Entry/OnlineRequest.h
+++ b/Services/Entry/OnlineRequest.h
@@ -19,36 +19,37 @@
 namespace Dogwoodkeel
 {
 
-/** A request whose answer is kept: a completion, or a call of a plain service that has an id. */
+/** A request whose answer is stored: a completion, or a call of a plain service that has a request id. */
 struct DurableRequest
 {
     RequestId id;
-    /** Whether the caller chose the id, so that an earlier sending of it may have run. */
+    /** Whether the caller chose the id, so that an earlier request under the same id may have run. */
     bool isNamedByCaller = false;
     WorkspaceName tenant;
-    /** Hash of all that was asked. */
+    /** Hash of the whole request. */
     std::uint64_t fingerprint = 0;
-    /** Hash of what it asks for, whatever its id. */
+    /** Hash of the requested content, independent of the id. */
     ContentFingerprint content;
     bool isNonIdempotent = false;
-    /** What is sent to the endpoint, but for a completion's body. */
+    /** The message to the endpoint, without the body of a completion. */
     HttpRequest request;
     /** The model or plain service it is for. */
     std::string serves;
     std::chrono::milliseconds timeout{0};
-    /** For a completion. */
+    /** Set for a completion only. */
     std::optional<CompletionRequest> completion;
-    /** Key of the prompt's first bytes, shared by requests that may profit from one cache; 0 for none. */
+    /** Key of the prompt's first bytes, equal for requests that can share cached state; 0 for none. */
     std::uint64_t prefix = 0;
-    /** Counts it against its tenant's limits until its caller is answered. */
+    /** Counts the request against its tenant's limits until its caller is answered. */
     LimitSharing::Hold hold;
 };
 
 /**
- * Runs one durable request: claim it at its owner, run it at an endpoint, commit the result, answer the caller.
+ * Runs one durable request: claims it at its owner, runs it at an endpoint, commits the result and answers the
+ * caller.
  *
- * It goes on when the caller hangs up: the result is what a resend will get. A stream's last event and a whole answer
- * go out only when the owner has the result. A claim that is not used is given back, so that a resend need not wait for
+ * The run continues when the caller disconnects, and a resend gets its result. A stream's last event and a complete
+ * answer are sent only when the owner has the result. An unused claim is released, so that a resend need not wait for
  * its lease to end.
  */
 class OnlineRequest : public std::enable_shared_from_this<OnlineRequest>
@@ -61,11 +62,11 @@
 private:
     enum class Phase {
         Claiming,
-        /** In the queue for room at a replica. */
+        /** Queued until a replica has capacity. */
         Waiting,
         Running,
         Committing,
-        /** Refused; what still arrives is settled without the caller. */
+        /** Refused; responses that still arrive are handled without the caller. */
         Ended,
     };
 
@@ -75,10 +76,11 @@
     void settleClaim();
     void giveBack(const Refusal &refusal);
     /**
-     * Have the owner take the claim back; it withdraws a durable intent by a record. Even a claim that it could not record
-     * in time, or that met its own intent when it was asked again, may stand in the journal as an intent, and the owner may be
-     * lost before it withdraws it. So a node that does not own the shard, or not yet, is no end of it: the next owner would find
-     * an intent whose runner lives, and resends would wait for that runner until the claim's lease ends.
+     * Releases the claim at its owner, which withdraws a durable intent by a record. A claim may stand in the journal
+     * as an intent even if its owner could not record it in time, or if the repeated claim met its own intent, and
+     * the owner may be lost before it withdraws it. So the release is repeated when a node answers that it does not
+     * own the shard: the next owner would find an intent whose runner lives, and resends would wait for that runner
+     * until the claim's lease ends.
      */
     void release();
 
@@ -112,7 +114,7 @@
     CallerReply reply;
     SteadyTime started;
     SteadyTime deadline;
-    /** Of the claim: the node may go on as another session meanwhile. */
+    /** Session number in the claim; the node may continue under another session meanwhile. */
     SessionNumber runner;
     std::uint64_t claimNumber;
     Phase phase = Phase::Claiming;
@@ -123,14 +125,14 @@
     std::uint32_t attempts = 0;
     std::vector<EndpointName> tried;
     FailureDomain failedDomain;
-    /** Why the last attempt failed: the reason of the next one. */
+    /** Why the last attempt failed; counted as the reason of the next retry. */
     std::string lastFailure;
     Replica *replica = nullptr;
     SteadyTime sent{};
     std::unique_ptr<Attempt> attempt;
     SteadyTime lastToken{};
     SteadyTime attemptFirstToken{};
-    /** Tokens that came from earlier attempts. */
+    /** Number of tokens received from earlier attempts. */
     std::uint32_t tokensBefore = 0;
     int status = 0;
     std::string contentType;
--- a/Services/Entry/PlainCall.cpp
+++ b/Services/Entry/PlainCall.cpp
@@ -153,7 +153,8 @@
         this->failed(AttemptOutcome::Unresponsive, RunState::Unknown, "silent");
         return;
     case AttemptEnd::SilentReused: {
-        // The connection is blamed first, not the endpoint.
+        // The connection is assumed to have failed, not the endpoint; the call is repeated at the same endpoint over
+        // a new one.
         this->lastFailure = "silent_connection";
         Replica &same = *this->replica;
         this->mayHaveRun = true;
@@ -200,7 +201,7 @@
 void PlainCall::onDeadline()
 {
     if (this->replica != nullptr) {
-        // The endpoint did nothing wrong: the caller's time is up.
+        // The caller's deadline has passed, which is not counted as a failure of the endpoint.
         this->attempt = nullptr;
         this->mayHaveRun = true;
         this->leaveReplica({AttemptOutcome::Abandoned, {}});
--- a/Services/Entry/PlainCall.h
+++ b/Services/Entry/PlainCall.h
@@ -15,15 +15,15 @@
 {
 
 /**
- * One call of a plain service that may be repeated and that names no id, such as a price lookup: it is passed on at
- * once, without claim or journal, and goes on when the platform is down.
+ * Runs one call of a plain service that may be repeated and has no request id, such as a price lookup. It is
+ * forwarded at once, without a claim or a journal record, and works while the platform is down.
  */
 class PlainCall : public std::enable_shared_from_this<PlainCall>
 {
 public:
     /**
      * @param timeout how long the caller waits
-     * @param hold counts it against its tenant's limits
+     * @param hold counts the call against its tenant's limits
      */
     PlainCall(EntryContext &context,
               const ServiceSettings &service,
@@ -48,7 +48,7 @@
     void onDeadline();
 
     EntryContext &context;
-    /** A copy: the settings may be replaced while the call runs. */
+    /** A copy, as the settings may be replaced while the call runs. */
     ServiceSettings service;
     WorkspaceName tenant;
     HttpRequest request;
@@ -65,7 +65,7 @@
     HttpResponse response;
     std::vector<EndpointName> tried;
     FailureDomain failedDomain;
-    /** Why the last attempt failed: the reason of the next one. */
+    /** Why the last attempt failed; counted as the reason of the next retry. */
     std::string lastFailure;
     bool mayHaveRun = false;
 };
--- a/Services/Entry/PromptPrefix.cpp
+++ b/Services/Entry/PromptPrefix.cpp
@@ -14,7 +14,7 @@
     if (!body.is_object()) {
         return 0;
     }
-    // NOTE: The text as engines hash it for their cache events (docs/operators/endpoints.md).
+    // NOTE: This is the text that engines hash for their cache events (docs/operators/endpoints.md).
     if (body.contains("messages")) {
         return prefixKey(body["messages"].dump(-1, ' ', false, Json::error_handler_t::replace), bytes);
     }
--- a/Services/Entry/PromptPrefix.h
+++ b/Services/Entry/PromptPrefix.h
@@ -9,9 +9,10 @@
 {
 
 /**
- * Key of a prompt's start: what engines cache, and what requests of one kind share (a system message, a template).
- * @param bytes how much of the prompt counts
- * @return the key; 0 if the prompt is too short to be worth it
+ * Returns the key of a prompt's prefix, the part that engines cache and that similar requests share (a system
+ * message, a template).
+ * @param bytes the length of the prefix
+ * @return the key; 0 if the prompt is too short
  */
 std::uint64_t promptPrefix(const CompletionRequest &request, std::size_t bytes);
 
--- a/Services/Entry/StartingTask.h
+++ b/Services/Entry/StartingTask.h
@@ -10,15 +10,16 @@
 {
 
 /**
- * Answers in the place of the entry while the node has no session or no configuration yet: up, not ready, and why. Every
- * request is refused as not run. Without it a node that waits for the platform could not be told from one that hangs.
+ * Serves HTTP in place of the entry while the node has no session or no configuration yet. Reports that the node is
+ * up and what it waits for, and refuses every other request as not run. This distinguishes a node that waits for the
+ * platform from one that hangs.
  */
 class StartingTask
 {
 public:
     /**
-     * @param address where the entry will listen
-     * @param waitingFor told by GET /readyz
+     * @param address the address to listen on
+     * @param waitingFor what the start waits for, as reported by GET /readyz
      * @throws std::runtime_error if it cannot listen
      */
     StartingTask(EventLoop &loop, const Address &address, std::string waitingFor);
--- a/Services/Entry/SuspectNotices.cpp
+++ b/Services/Entry/SuspectNotices.cpp
@@ -11,9 +11,12 @@
 namespace
 {
 
-/** A datagram that is larger than a packet is lost more easily. */
+/** Entries in one notice. A datagram larger than a packet is more likely to be lost. */
 constexpr std::size_t perNotice = 16;
-/** When a notice is repeated: three losses in a row on one path within a second are no chance, but a partition. */
+/**
+ * Delays after which a notice is repeated. Three losses in a row on one path within a second indicate a partition
+ * rather than random loss.
+ */
 constexpr std::chrono::milliseconds repeats[] = {std::chrono::milliseconds(50), std::chrono::milliseconds(1000)};
 
 std::uint32_t millisecondsSince(SteadyTime then, SteadyTime now)
@@ -113,7 +116,7 @@
     const SteadyTime now = this->clock.now();
     SuspectNotice message{this->self, {}, cleared};
     for (const Loss &loss : losses) {
-        // A request that has succeeded since is not accused again by the repetition.
+        // A repeated notice does not report a request that has succeeded in the meantime.
         if (this->held.status(loss.request) != QuarantineStatus::Clear) {
             message.suspects.push_back({loss.request.value(),
                                         loss.point.endpoint,
--- a/Services/Entry/SuspectNotices.h
+++ b/Services/Entry/SuspectNotices.h
@@ -13,9 +13,9 @@
 {
 
 /**
- * The quarantine as all nodes have it: each loss and each acquittal seen here is told to every node at once, and again
- * a little later in case the datagram was lost. A request that was refused at one node is then refused at the next that
- * its caller turns to.
+ * Keeps the quarantine consistent across nodes. Sends each loss and each success that clears a suspected request to
+ * every node at once, and repeats it shortly after in case the datagram was lost. A request that was refused at one
+ * node is then refused at the next one that its caller tries.
  */
 class SuspectNotices
 {
@@ -24,18 +24,18 @@
 
     void setView(MemberViewPointer view);
 
-    /** Other times and sizes of the quarantine from now on. */
+    /** Replaces the durations and sizes of the quarantine. */
     void setOptions(const Quarantine::Options &options);
 
     const Quarantine &quarantine() const;
 
-    /** A request was lost with the endpoint it ran on. */
+    /** Records that a request was lost together with the endpoint that ran it. */
     void lost(ContentFingerprint request, const EndpointLoss &point);
 
-    /** A request ran to its end. */
+    /** Records that a request ran to its end. */
     void succeeded(ContentFingerprint request);
 
-    /** Another node tells. */
+    /** Applies a notice from another node. */
     void receive(const SuspectNotice &notice);
 
 private:
--- a/Tests/ServiceEntry/TestAdmission.cpp
+++ b/Tests/ServiceEntry/TestAdmission.cpp
@@ -19,7 +19,7 @@
     exchange->endStream();
 }
 
-/** One model endpoint with two places that answers when it is told to. */
+/** One model endpoint with two slots whose answers the test sends. */
 struct FullEndpoint
 {
     FullEndpoint()
@@ -32,7 +32,7 @@
         });
     }
 
-    /** Occupy both places. */
+    /** Occupies both slots. */
     void fill()
     {
         for (const char *const prompt : {"a", "b"}) {
@@ -52,8 +52,8 @@
 
 TEST_CASE("a request waits for room, and the most urgent one gets it")
 {
-    // An engine would take a third request and serve all three more slowly. It waits here, and goes when one is done;
-    // the one that came later but has less time goes first.
+    // An engine would accept a third request and serve all three more slowly. The third request waits until one is
+    // done; a later request with an earlier deadline goes first.
     FullEndpoint full;
     full.fill();
     const auto patient = full.bench.complete("patient", deadline("60000"));
@@ -120,7 +120,7 @@
 
 TEST_CASE("a lookup does not wait behind requests for a model that is full")
 {
-    // The clerk's lookup is answered while twenty requests for the model wait in the same node.
+    // The lookup is answered while twenty requests for the model wait at the same node.
     EntryBench bench(1);
     bench.settings.endpoints[0].capacity = 1;
     bench.settings.entry.firstByteTimeout = std::chrono::seconds(10);
@@ -173,7 +173,8 @@
 
 TEST_CASE("when every replica is leaving, a request is refused at once and does not wait for room")
 {
-    // The caller has a minute; nothing will come free in it. Without the rule it would wait for its deadline.
+    // The deadline is a minute away and no slot becomes free within it. The request must be refused at once and not
+    // wait for its deadline.
     EntryBench bench(1);
     bench.settings.entry.firstByteTimeout = std::chrono::seconds(10);
     bench.start();
--- a/Tests/ServiceEntry/TestFleetWatch.cpp
+++ b/Tests/ServiceEntry/TestFleetWatch.cpp
@@ -22,7 +22,7 @@
 const Address anyPort{"127.0.0.1", 0};
 constexpr std::chrono::seconds timeout{20};
 
-/** An endpoint that only reports. */
+/** An endpoint that serves only load reports. */
 struct Endpoint
 {
     explicit Endpoint(EventLoop &loop)
@@ -38,7 +38,7 @@
     HttpServer server;
 };
 
-/** What of a node learns about endpoints. */
+/** The components of a node that collect the state of endpoints. */
 struct Watcher
 {
     Watcher(EventLoop &loop, const Clock &clock, const SettingsHandle &settings, std::uint64_t number)
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Run until something is so for all three watchers. @return whether it was in time */
+    /** Runs the loop until a condition holds for all three watchers. @return whether it held within the timeout */
     bool reached(const std::function<bool(Watcher &)> &isSo)
     {
         const SteadyTime end = this->clock.now() + timeout;
@@ -153,8 +153,8 @@
 
 TEST_CASE("batch items are no load to online requests")
 {
-    // Lanes fill a replica with batch items, which give way at once. If its report of 3 running and 1 waiting counted
-    // them, the replica would look taken, and lookups would queue behind work that is due at dawn.
+    // Lanes fill a replica with batch items, which yield to online requests at once. If its report of 3 running and 1
+    // waiting counted them, the replica would look full and lookups would queue behind less urgent batch work.
     Fixture fixture;
     for (const auto &watcher : fixture.watchers) {
         watcher->watch.setItems(EndpointName("engine"), 2);
@@ -166,8 +166,8 @@
 
 TEST_CASE("an endpoint's word that it leaves, given to one node, is known to all, until its next start")
 {
-    // Only one entry meets the refusal with the leaving header. The others have not sent anything there for a while and
-    // would send it their next request, which it refuses or takes and cuts.
+    // Only one entry receives the refusal with the leaving header. The others have not sent anything to the endpoint
+    // recently and would send it their next request, which it would refuse, or accept and interrupt.
     Fixture fixture;
     REQUIRE(fixture.reached([](Watcher &watcher) {
         return watcher.replica().instance == "first";
--- a/Tests/ServiceEntry/TestOnlineRequest.cpp
+++ b/Tests/ServiceEntry/TestOnlineRequest.cpp
@@ -27,7 +27,7 @@
     return body.contains("resume") ? body["resume"]["tokens"].get<std::uint32_t>() : 0;
 }
 
-/** Answers with tokens 0 to 3, from where a resumed request left off. */
+/** Answers with tokens 0 to 3; a resumed request gets only the tokens that it lacks. */
 void serveFourTokens(const Exchange &exchange)
 {
     exchange->beginStream();
@@ -41,8 +41,8 @@
 
 TEST_CASE("a stream whose endpoint is lost is resumed elsewhere, and the caller sees one unbroken answer")
 {
-    // The caller sees four tokens in order and the end. The first endpoint breaks off after two; the second is asked to
-    // go on behind them; the late tokens of the first find no one.
+    // The caller receives four tokens in order and the end. The first endpoint disconnects after two tokens; the
+    // second is requested to continue after them.
     EntryBench bench(2);
     bench.start();
     std::size_t asked = 0;
@@ -69,7 +69,8 @@
 
 TEST_CASE("the late reply of an abandoned attempt does not reach the caller")
 {
-    // The first endpoint goes silent over a new connection and is given up; it answers while the second one does.
+    // The first endpoint becomes unresponsive over a new connection and its attempt is abandoned; it answers while
+    // the second endpoint does.
     EntryBench bench(2);
     bench.start();
     Exchange first;
@@ -112,8 +113,8 @@
 
 TEST_CASE("a connection that went silent is replaced at the same endpoint, which is not blamed")
 {
-    // The second request goes over the first one's idle connection, which something between the two ends has lost track
-    // of. Its answer comes over a new connection to the same, only endpoint; a third one is not sent over an old one.
+    // The second request reuses the idle connection of the first one, which has become unresponsive. It is answered
+    // over a new connection to the same, only endpoint; the endpoint receives three requests in all.
     EntryBench bench(1);
     bench.start();
     bench.endpoints[0]->setScript([](const Exchange &exchange) {
@@ -131,8 +132,8 @@
 
 TEST_CASE("a connection that went silent is noticed long before an endpoint's time to begin is over")
 {
-    // A new prompt may take long to begin, so that limit is longer than the caller's deadline. An idle connection that
-    // gives no sign is given up sooner, and the new one has the full time.
+    // A new prompt may take long to the first byte, so that limit is longer than the caller's deadline. An
+    // unresponsive idle connection is abandoned sooner, and the new connection has the full time.
     EntryBench bench(1);
     bench.settings.entry.firstByteTimeout = std::chrono::seconds(60);
     bench.start();
@@ -149,8 +150,8 @@
 
 TEST_CASE("an id that may have run before is never refused as not run")
 {
-    // The caller's first sending ran at another node. Its resend meets a node that reaches no owner: had it been told
-    // "not_run", the caller would issue the offer again under another id.
+    // The caller's first request ran at another node. Its resend arrives at a node that reaches no owner. If it were
+    // refused as "not_run", the caller would repeat the work under another id.
     EntryBench bench(1);
     bench.owner.onClaim = [](const auto &, const auto &) {};
     bench.start();
@@ -165,7 +166,7 @@
 
 TEST_CASE("a claim whose answer was lost is given back after the refusal")
 {
-    // The caller is refused in time, and its resend need not wait for the lease of a runner that never was.
+    // The caller is refused in time, and its resend need not wait for the lease of a runner that never existed.
     EntryBench bench(1);
     bench.settings.peers.callTimeout = std::chrono::milliseconds(50);
     bench.owner.onClaim = [](const auto &, const auto &) {};
@@ -184,8 +185,8 @@
 
 TEST_CASE("a non-idempotent claim whose answer was lost is given back, so that a resend runs")
 {
-    // The owner's answer comes after the caller was refused and told when to come back. The request was never sent: were
-    // the refusal kept as its answer, every resend would get it for good. The claim is given back, nothing is committed.
+    // The owner's answer arrives after the caller was refused with Retry-After. The request was never sent: a refusal
+    // stored as its answer would be returned to every resend. The claim is released and nothing is committed.
     EntryBench bench(1);
     bench.settings.peers.callTimeout = std::chrono::milliseconds(50);
     bench.owner.onClaim = [](const auto &, const auto &) {};
@@ -205,8 +206,8 @@
 
 TEST_CASE("a non-idempotent request that no endpoint took is given back, and its caller is told that it did not run")
 {
-    // Every endpoint refuses with 503, which they do before running anything. The caller is told not_run and when to come
-    // back; were the refusal kept as its answer, it would come back to the same refusal for good.
+    // Every endpoint refuses with 503, which means that nothing ran. The caller gets not_run and Retry-After; a
+    // refusal stored as the answer would be returned to every resend.
     EntryBench bench(1);
     bench.start();
     bench.endpoints[0]->setScript([](const Exchange &exchange) {
@@ -224,8 +225,9 @@
 
 TEST_CASE("a claim is given back to its owner, not to the node that no longer owns the shard")
 {
-    // The shard changes hands while the claim is given back. The node asked first says that it is not the owner: were that
-    // taken for the end, the intent would stand at the next owner, and resends would wait for it until the lease ends.
+    // The shard changes its owner while the claim is released. The first node answers that it is not the owner. If
+    // the release stopped there, the intent would remain at the next owner and resends would wait for it until the
+    // lease ends.
     EntryBench bench(1);
     bench.owner.onRelease = [&bench](const ReleaseRequest &, const auto &respond) {
         const bool isOwner = bench.owner.releases.size() > 1;
@@ -244,9 +246,9 @@
 
 TEST_CASE("a non-idempotent claim that could not be recorded in time is given back until an owner has it")
 {
-    // The owner answers that it cannot record the intent now, and the caller is refused. The intent may stand in the journal
-    // all the same, and the owner may die before it withdraws it: the next owner would let resends wait for this claim until
-    // its lease ends.
+    // The owner answers that it cannot record the intent now, and the caller is refused. The intent may still stand
+    // in the journal, and the owner may be lost before it withdraws it: the next owner would let resends wait for
+    // this claim until its lease ends.
     EntryBench bench(1);
     bench.owner.onClaim = [](const ClaimRequest &, const auto &respond) {
         respond({ClaimDecision::Unavailable, {}});
@@ -269,9 +271,9 @@
 
 TEST_CASE("a non-idempotent claim that is told to wait after its request has ended is given back")
 {
-    // The first answer to a claim is lost, and the claim asked again meets its own intent on its way to the journal: it is
-    // told to wait, after its caller has been refused. Left at that, the intent would stand with nobody to run it, and
-    // resends would wait for it until its lease ends.
+    // The first answer to a claim is lost, and the repeated claim meets its own intent on its way to the journal. Its
+    // answer is StillRunning and arrives after the caller was refused. Without a release the intent would remain
+    // without a runner, and resends would wait for it until its lease ends.
     EntryBench bench(1);
     bench.owner.onClaim = [&bench](const ClaimRequest &, const auto &respond) {
         bench.loop.schedule(std::chrono::milliseconds(150), [respond] {
@@ -412,7 +414,8 @@
 
 TEST_CASE("a result that no owner takes is given at the deadline, marked as pending, and handed in later")
 {
-    // The owner is paused when the run ends. The caller has its answer; a resend finds it once the owner is back.
+    // The owner does not answer when the run ends. The caller gets its answer; a resend finds the result once the
+    // owner is back.
     EntryBench bench(1);
     bench.settings.peers.callTimeout = std::chrono::milliseconds(50);
     bench.owner.onCommit = [](const auto &, const auto &) {};
@@ -449,7 +452,7 @@
 
 TEST_CASE("a refusal that supersedes a stream ends the stream")
 {
-    // A resend at another node was refused and that was committed first: the caller must not wait for ever.
+    // A resend at another node was refused and that refusal was committed first: the caller must not wait forever.
     EntryBench bench(1);
     bench.owner.onCommit = [](const CommitRequest &, const auto &respond) {
         respond({CommitDecision::Superseded, {503, "application/json", "{}"}});
--- a/Tests/ServiceEntry/TestQuarantinedRequest.cpp
+++ b/Tests/ServiceEntry/TestQuarantinedRequest.cpp
@@ -7,7 +7,7 @@
 
 using Exchange = std::shared_ptr<ScriptedEndpoint::Exchange>;
 
-/** Breaks off like an endpoint that crashes on "poison", and serves all else. */
+/** Closes the connection on "poison", like an endpoint that crashes, and serves all other requests. */
 void crashOnPoison(const Exchange &exchange)
 {
     if (exchange->body.find("poison") != std::string::npos || exchange->head.find("poison") != std::string::npos) {
@@ -32,8 +32,8 @@
 
 TEST_CASE("a request that crashes endpoints reaches two of them, whatever ids its caller sends it under")
 {
-    // The caller is refused; without the quarantine its six sendings would take down all six endpoints. The first
-    // sending meets two endpoints by its retry; what comes after, under new ids, meets none.
+    // Without the quarantine the six requests would crash all six endpoints. The first request reaches two endpoints
+    // because it is retried; the later ones, under new ids, reach none.
     EntryBench bench(6);
     bench.start();
     for (const auto &endpoint : bench.endpoints) {
@@ -62,7 +62,7 @@
     notice.suspects.push_back({content, EndpointName("m1"), FailureDomain("domain1"), 30, 20});
     DatagramSocket other(bench.loop, {"127.0.0.1", 0}, MessageKey(""), [](const Datagram &) {});
     other.send(bench.entry->fleetAddress(), notice);
-    // The datagram is on its way by the socket; one turn of the loop after it has come, the notice counts.
+    // The datagram travels through the socket; the notice takes effect one turn of the loop after it arrived.
     bench.until([&] {
         return bench.entry->quarantinedRequests() == 1;
     });
