--- a/Services/Entry/Admission.cpp
+++ b/Services/Entry/Admission.cpp
@@ -50,7 +50,7 @@
     return this->pools.try_emplace(serves, this->clock, queueOptions(this->settings->entry)).first->second;
 }
 
-double Admission::countRoom(const std::string &serves) const
+double Admission::countFreeSlots(const std::string &serves) const
 {
     const SteadyTime now = this->clock.now();
     std::vector<Replica *> usable;
@@ -66,22 +66,22 @@
     }
     const FleetSettings &fleet = this->settings->fleet;
     const PoolMeans means = meansOf(usable, now, fleet);
-    double room = 0;
+    double freeSlots = 0;
     for (const Replica *const replica : usable) {
-        room += std::max(0.0,
-                         replica->capacity * this->settings->entry.overcommit - estimatedRequests(*replica, means, now, fleet));
+        freeSlots += std::max(
+            0.0, replica->capacity * this->settings->entry.overcommit - estimatedRequests(*replica, means, now, fleet));
     }
-    return room;
+    return freeSlots;
 }
 
-bool Admission::hasRoom(const std::string &serves, Pool &pool)
+bool Admission::hasCapacity(const std::string &serves, Pool &pool)
 {
     const SteadyTime now = this->clock.now();
-    if (now - pool.counted >= countInterval) {
-        pool.room = this->countRoom(serves);
-        pool.counted = now;
+    if (now - pool.countedAt >= countInterval) {
+        pool.freeSlots = this->countFreeSlots(serves);
+        pool.countedAt = now;
     }
-    return pool.room >= 1;
+    return pool.freeSlots >= 1;
 }
 
 Admission::Ticket Admission::enter(const std::string &serves, SteadyTime deadline, Hooks hooks)
@@ -89,8 +89,8 @@
     Pool &pool = this->poolOf(serves);
     const Ticket ticket = ++this->lastTicket;
     const bool isKnown = !this->replicas.of(serves).empty();
-    if (!isKnown || (pool.queue.size() == 0 && this->hasRoom(serves, pool))) {
-        --pool.room;
+    if (!isKnown || (pool.queue.size() == 0 && this->hasCapacity(serves, pool))) {
+        --pool.freeSlots;
         pool.queue.recordPlacement();
         hooks.run();
         return ticket;
@@ -128,7 +128,7 @@
 void Admission::served(const std::string &serves, std::chrono::microseconds service)
 {
     Pool &pool = this->poolOf(serves);
-    ++pool.room;
+    ++pool.freeSlots;
     pool.queue.recordServiceTime(service);
     if (pool.queue.size() > 0) {
         this->loop.post([this, serves, alive = this->alive] {
@@ -145,9 +145,9 @@
     for (const Ticket ticket : pool.queue.removeInfeasible()) {
         this->refuse(pool, ticket);
     }
-    while (pool.queue.size() > 0 && this->hasRoom(serves, pool)) {
+    while (pool.queue.size() > 0 && this->hasCapacity(serves, pool)) {
         const auto hooks = pool.hooks.extract(*pool.queue.pop());
-        --pool.room;
+        --pool.freeSlots;
         pool.queue.recordPlacement();
         hooks.mapped().run();
     }
--- a/Services/Entry/Admission.h
+++ b/Services/Entry/Admission.h
@@ -68,13 +68,13 @@
         DeadlineQueue queue;
         std::unordered_map<Ticket, Hooks> hooks;
         /** Free slots as last counted, less the requests sent since. */
-        double room = 0;
-        SteadyTime counted{};
+        double freeSlots = 0;
+        SteadyTime countedAt{};
     };
 
     Pool &poolOf(const std::string &serves);
-    bool hasRoom(const std::string &serves, Pool &pool);
-    double countRoom(const std::string &serves) const;
+    bool hasCapacity(const std::string &serves, Pool &pool);
+    double countFreeSlots(const std::string &serves) const;
     void pump(const std::string &serves);
     void refuse(Pool &pool, Ticket ticket);
     void tick();
--- a/Services/Entry/Attempt.cpp
+++ b/Services/Entry/Attempt.cpp
@@ -53,7 +53,7 @@
                         this->end(AttemptEnd::NotConnected);
                         return;
                     case ExchangeEnd::Incomplete:
-                        this->end(AttemptEnd::Broken);
+                        this->end(AttemptEnd::ConnectionLost);
                         return;
                     }
                 });
@@ -62,7 +62,7 @@
     this->exchange = this->http.start(address, request, choice, std::move(exchangeHooks));
     this->lastProgress = this->clock.now();
     this->isConnected = this->http.isReused(this->exchange);
-    this->watch(this->limit());
+    this->scheduleCheck(this->limit());
 }
 
 void Attempt::progress()
@@ -86,7 +86,7 @@
     return isReused ? std::min(this->limits.firstByte, this->limits.between) : this->limits.firstByte;
 }
 
-void Attempt::watch(std::chrono::milliseconds wait)
+void Attempt::scheduleCheck(std::chrono::milliseconds wait)
 {
     this->timer = this->loop.schedule(wait, [this] {
         this->check();
@@ -99,16 +99,16 @@
     if (!this->isConnected && this->http.isConnected(this->exchange)) {
         this->isConnected = true;
     }
-    const auto silent = this->clock.now() - this->lastProgress;
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(this->limit() - silent);
+    const auto elapsed = this->clock.now() - this->lastProgress;
+    const auto left = std::chrono::ceil<std::chrono::milliseconds>(this->limit() - elapsed);
     if (left.count() > 0) {
-        this->watch(left);
+        this->scheduleCheck(left);
         return;
     }
-    this->giveUp();
+    this->endUnresponsive();
 }
 
-void Attempt::giveUp()
+void Attempt::endUnresponsive()
 {
     if (!this->isConnected) {
         this->end(AttemptEnd::NotConnected);
@@ -118,7 +118,7 @@
     // A network device on the path may have dropped its state of connections of this age without notice, and each of
     // them would time out another request. New connections are not affected.
     this->http.closeIdle(this->address);
-    this->end(isReused ? AttemptEnd::SilentReused : AttemptEnd::SilentFresh);
+    this->end(isReused ? AttemptEnd::UnresponsiveReused : AttemptEnd::UnresponsiveFresh);
 }
 
 void Attempt::end(AttemptEnd how)
--- a/Services/Entry/Attempt.h
+++ b/Services/Entry/Attempt.h
@@ -30,11 +30,11 @@
     /** No connection was established, so certainly nothing was sent. */
     NotConnected,
     /** The connection was lost; the request may have run. */
-    Broken,
+    ConnectionLost,
     /** No progress over a connection that had been idle before; new connections may still work. */
-    SilentReused,
+    UnresponsiveReused,
     /** No progress over a connection made for this attempt: the endpoint itself is unresponsive. */
-    SilentFresh,
+    UnresponsiveFresh,
 };
 
 /**
@@ -62,10 +62,10 @@
 
 private:
     void progress();
-    void watch(std::chrono::milliseconds wait);
+    void scheduleCheck(std::chrono::milliseconds wait);
     void check();
     std::chrono::milliseconds limit() const;
-    void giveUp();
+    void endUnresponsive();
     void end(AttemptEnd how);
 
     EventLoop &loop;
--- a/Services/Entry/EndpointReports.cpp
+++ b/Services/Entry/EndpointReports.cpp
@@ -10,8 +10,8 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t mostAdapters = 256;
-constexpr std::size_t longestName = 128;
+constexpr std::size_t maxAdapters = 256;
+constexpr std::size_t maxNameLength = 128;
 
 /**
  * @return the member as a number; 0 if it is missing or not a number, so that invalid input from an endpoint cannot
@@ -24,10 +24,11 @@
     return found != object.end() && found->is_number_unsigned() ? found->get<Number>() : Number(0);
 }
 
-std::string textIn(const Json &object, const char *name, std::size_t longest)
+std::string textIn(const Json &object, const char *name, std::size_t maxLength)
 {
     const auto found = object.find(name);
-    return found != object.end() && found->is_string() ? found->get_ref<const std::string &>().substr(0, longest) : std::string();
+    return found != object.end() && found->is_string() ? found->get_ref<const std::string &>().substr(0, maxLength)
+                                                       : std::string();
 }
 
 bool flagIn(const Json &object, const char *name)
@@ -48,13 +49,13 @@
     report.inFlight = numberIn<std::uint32_t>(json, "running") + numberIn<std::uint32_t>(json, "queued");
     report.ageMilliseconds = numberIn<std::uint32_t>(json, "age_ms");
     report.isLeaving = flagIn(json, "leaving");
-    report.instance = textIn(json, "instance", longestName);
-    report.version = textIn(json, "version", longestName);
+    report.instance = textIn(json, "instance", maxNameLength);
+    report.version = textIn(json, "version", maxNameLength);
     const auto adapters = json.find("adapters");
     if (adapters != json.end() && adapters->is_array()) {
         for (const Json &adapter : *adapters) {
-            if (adapter.is_string() && report.adapters.size() < mostAdapters) {
-                report.adapters.push_back(adapter.get_ref<const std::string &>().substr(0, longestName));
+            if (adapter.is_string() && report.adapters.size() < maxAdapters) {
+                report.adapters.push_back(adapter.get_ref<const std::string &>().substr(0, maxNameLength));
             }
         }
     }
@@ -74,10 +75,10 @@
             continue;
         }
         events.push_back({numberIn<std::uint64_t>(event, "number"),
-                          textIn(event, "kind", longestName) == "stored",
+                          textIn(event, "kind", maxNameLength) == "stored",
                           numberIn<std::uint64_t>(event, "hash"),
                           numberIn<std::uint64_t>(event, "parent"),
-                          textIn(event, "text", longestName)});
+                          textIn(event, "text", maxNameLength)});
     }
     return events;
 }
--- a/Services/Entry/EntryContext.h
+++ b/Services/Entry/EntryContext.h
@@ -41,7 +41,7 @@
     Admission &admission;
     LimitSharing &limits;
     FleetState &fleet;
-    ReplicaSelector &chooser;
+    ReplicaSelector &selector;
     FleetWatch &watch;
     /** Forwards operators' requests to the control task. */
     OperatorGateway operators;
--- a/Services/Entry/EntryTask.cpp
+++ b/Services/Entry/EntryTask.cpp
@@ -43,14 +43,14 @@
                      const SettingsPointer &settings,
                      SessionNumber self,
                      const PeerSecurity &security,
-                     const std::optional<LocalPeer> &ownOwner,
+                     const std::optional<LocalPeer> &localOwner,
                      const PlatformFactory &makePlatform,
                      NodeMetrics &metrics,
                      OperatorGateway operators)
     : loop(loop)
     , settings(settings)
     , platform(makePlatform(loop))
-    , peers(loop, security, ownOwner)
+    , peers(loop, security, localOwner)
     , owners(loop, clock, this->peers, ownerOptions(*settings))
     , http(loop)
     , replicas(settings->endpoints)
@@ -68,7 +68,7 @@
     , limits(loop, clock, this->settings, this->datagrams, self)
     , fleet(clock, this->settings, this->replicas)
     , watch(loop, clock, this->settings, self, this->http, this->datagrams, this->replicas, this->fleet)
-    , chooser(clock, this->settings, this->replicas, this->random)
+    , selector(clock, this->settings, this->replicas, this->random)
     , context{loop,
               clock,
               this->settings,
@@ -85,7 +85,7 @@
               this->admission,
               this->limits,
               this->fleet,
-              this->chooser,
+              this->selector,
               this->watch,
               std::move(operators)}
     , service(this->context)
--- a/Services/Entry/EntryTask.h
+++ b/Services/Entry/EntryTask.h
@@ -36,7 +36,7 @@
               const SettingsPointer &settings,
               SessionNumber self,
               const PeerSecurity &security,
-              const std::optional<LocalPeer> &ownOwner,
+              const std::optional<LocalPeer> &localOwner,
               const PlatformFactory &makePlatform,
               NodeMetrics &metrics,
               OperatorGateway operators);
@@ -105,7 +105,7 @@
     LimitSharing limits;
     FleetState fleet;
     FleetWatch watch;
-    ReplicaSelector chooser;
+    ReplicaSelector selector;
     EntryContext context;
     EntryService service;
     HttpServer server;
--- a/Services/Entry/FleetWatch.cpp
+++ b/Services/Entry/FleetWatch.cpp
@@ -19,10 +19,10 @@
 constexpr std::size_t namesPerDatagram = 32;
 constexpr std::size_t reportsPerDatagram = 16;
 /** A pool counts as in use for this long after its last request. */
-constexpr std::chrono::seconds useMemory{30};
+constexpr std::chrono::seconds poolUseWindow{30};
 /** How often a notice that an endpoint leaves is sent, as a datagram may be lost. */
-constexpr int leavingRepeats = 3;
-constexpr std::chrono::milliseconds leavingRepeat{300};
+constexpr int leavingNoticeCount = 3;
+constexpr std::chrono::milliseconds leavingNoticeInterval{300};
 constexpr const char *leavingHeader = "Dogwoodkeel-Leaving";
 constexpr const char *loadHeader = "Dogwoodkeel-Load";
 
@@ -62,7 +62,7 @@
 {
     this->leaving = std::move(leaving);
     this->poll();
-    this->askForReports();
+    this->requestReports();
 }
 
 void FleetWatch::setView(MemberViewPointer view)
@@ -89,11 +89,11 @@
 
 void FleetWatch::poll()
 {
-    this->renewPolled();
+    this->updatePolledEndpoints();
     for (const EndpointName &name : this->polled) {
         Replica *const replica = this->replicas.find(name);
         if (replica != nullptr && this->asked.insert(name).second) {
-            this->pollOne(*replica);
+            this->pollLoad(*replica);
         }
     }
     this->sendReports();
@@ -104,7 +104,7 @@
     });
 }
 
-void FleetWatch::renewPolled()
+void FleetWatch::updatePolledEndpoints()
 {
     // Views change with each member update, but lane holders change only with the set of members, their leaving state
     // and the replicas. Computing the holder of each of 1,800 replicas among 390 members at each poll took 3.4% of a
@@ -126,7 +126,7 @@
     }
 }
 
-void FleetWatch::pollOne(Replica &replica)
+void FleetWatch::pollLoad(Replica &replica)
 {
     const auto answered = [this, name = replica.name, sent = this->clock.now(), alive = this->alive](
                               ExchangeEnd end, const HttpResponse &response) {
@@ -161,7 +161,7 @@
     }
     this->latest[name] = {*report, asked};
     report->ageMilliseconds += millisecondsSince(asked, this->clock.now());
-    this->learnt(*report);
+    this->applyReport(*report);
     this->pollEvents(*replica);
 }
 
@@ -207,12 +207,12 @@
     }
 }
 
-std::vector<const Replica *> FleetWatch::inUse()
+std::vector<const Replica *> FleetWatch::replicasInUse()
 {
     const SteadyTime now = this->clock.now();
     std::unordered_map<std::string, bool> used;
     for (const Replica &replica : this->replicas.all()) {
-        used[replica.serves] |= now - replica.lastUsed < useMemory;
+        used[replica.serves] |= now - replica.lastUsed < poolUseWindow;
     }
     std::vector<const Replica *> wanted;
     for (const Replica &replica : this->replicas.all()) {
@@ -223,9 +223,9 @@
     return wanted;
 }
 
-void FleetWatch::askForReports()
+void FleetWatch::requestReports()
 {
-    const std::vector<const Replica *> wanted = this->inUse();
+    const std::vector<const Replica *> wanted = this->replicasInUse();
     const FleetSettings &fleet = this->settings->fleet;
     const auto interval
         = ReportSubscriptions::interval(wanted.size(), static_cast<std::size_t>(fleet.loadBytesPerSecond), fleet.loadPoll);
@@ -248,10 +248,10 @@
         interest.intervalMilliseconds = static_cast<std::uint32_t>(interval.count());
         this->datagrams.send(address, interest);
     }
-    const auto again = std::min<std::chrono::milliseconds>(ReportSubscriptions::renewal(interval), useMemory);
+    const auto again = std::min<std::chrono::milliseconds>(ReportSubscriptions::renewal(interval), poolUseWindow);
     this->loop.schedule(again, [this, alive = this->alive] {
         if (*alive) {
-            this->askForReports();
+            this->requestReports();
         }
     });
 }
@@ -288,7 +288,7 @@
 void FleetWatch::receive(const LoadReports &reports)
 {
     for (const ReplicaReport &report : reports.reports) {
-        this->learnt(report);
+        this->applyReport(report);
     }
 }
 
@@ -297,38 +297,38 @@
     for (const ReplicaReport &report : leaving.reports) {
         Replica *const replica = this->replicas.find(report.endpoint);
         if (replica != nullptr && this->state.markLeaving(*replica, report.instance)) {
-            this->tellLeaving(*replica);
-            this->tellChange(*replica);
+            this->announceLeaving(*replica);
+            this->reportLeavingChange(*replica);
         }
     }
 }
 
-void FleetWatch::learnt(const ReplicaReport &report)
+void FleetWatch::applyReport(const ReplicaReport &report)
 {
     if (this->state.observe(report)) {
-        this->tellLeaving(*this->replicas.find(report.endpoint));
+        this->announceLeaving(*this->replicas.find(report.endpoint));
     }
     if (const Replica *const replica = this->replicas.find(report.endpoint)) {
-        this->tellChange(*replica);
+        this->reportLeavingChange(*replica);
     }
 }
 
 void FleetWatch::observe(const std::vector<ListedVm> &vms)
 {
     for (const Replica *const replica : this->state.observe(vms)) {
-        this->tellLeaving(*replica);
+        this->announceLeaving(*replica);
     }
     for (const Replica &replica : this->replicas.all()) {
-        this->tellChange(replica);
+        this->reportLeavingChange(replica);
     }
 }
 
-void FleetWatch::sawHeaders(Replica &replica, const HttpHeaders &headers)
+void FleetWatch::observeHeaders(Replica &replica, const HttpHeaders &headers)
 {
     const auto leaving = headerValue(headers, leavingHeader);
     if (leaving && *leaving == "true" && this->state.markLeaving(replica)) {
-        this->tellLeaving(replica);
-        this->tellChange(replica);
+        this->announceLeaving(replica);
+        this->reportLeavingChange(replica);
     }
     const auto load = headerValue(headers, loadHeader);
     std::uint32_t inFlight = 0;
@@ -337,19 +337,19 @@
     }
 }
 
-void FleetWatch::tellLeaving(const Replica &replica)
+void FleetWatch::announceLeaving(const Replica &replica)
 {
     log(LogLevel::Info,
-        "endpoint leaves",
+        "endpoint is leaving",
         {{"endpoint", replica.name.value()}, {"failure_domain", replica.failureDomain.value()}});
     ReplicaReport report;
     report.endpoint = replica.name;
     report.isLeaving = true;
     report.instance = replica.leavingInstance;
-    this->tellOthers(report, leavingRepeats);
+    this->sendLeavingNotice(report, leavingNoticeCount);
 }
 
-void FleetWatch::tellOthers(const ReplicaReport &report, int times)
+void FleetWatch::sendLeavingNotice(const ReplicaReport &report, int times)
 {
     // The node that polls the endpoint notifies all nodes; any other node notifies only that one. The cost of
     // informing every node thus grows linearly with the number of nodes, not with its square.
@@ -365,15 +365,15 @@
         }
     }
     if (times > 1) {
-        this->loop.schedule(leavingRepeat, [this, report, times, alive = this->alive] {
+        this->loop.schedule(leavingNoticeInterval, [this, report, times, alive = this->alive] {
             if (*alive) {
-                this->tellOthers(report, times - 1);
+                this->sendLeavingNotice(report, times - 1);
             }
         });
     }
 }
 
-void FleetWatch::tellChange(const Replica &replica)
+void FleetWatch::reportLeavingChange(const Replica &replica)
 {
     const bool wasReported = this->reportedLeaving.contains(replica.name);
     if (replica.isLeaving == wasReported) {
--- a/Services/Entry/FleetWatch.h
+++ b/Services/Entry/FleetWatch.h
@@ -64,25 +64,25 @@
     void receive(const Datagram &datagram);
 
     /** Evaluates the headers of an endpoint's answer, which may state that it is leaving or how loaded it is. */
-    void sawHeaders(Replica &replica, const HttpHeaders &headers);
+    void observeHeaders(Replica &replica, const HttpHeaders &headers);
 
 private:
     void poll();
-    void renewPolled();
-    void pollOne(Replica &replica);
+    void updatePolledEndpoints();
+    void pollLoad(Replica &replica);
     void onLoad(const EndpointName &name, SteadyTime asked, const std::string &body);
     void pollEvents(Replica &replica);
     void sendReports();
-    void askForReports();
+    void requestReports();
     void receive(const LoadInterest &interest);
     void receive(const LoadReports &reports);
     void receive(const EndpointLeaving &leaving);
-    void learnt(const ReplicaReport &report);
-    void tellLeaving(const Replica &replica);
-    void tellOthers(const ReplicaReport &report, int times);
-    void tellChange(const Replica &replica);
+    void applyReport(const ReplicaReport &report);
+    void announceLeaving(const Replica &replica);
+    void sendLeavingNotice(const ReplicaReport &report, int times);
+    void reportLeavingChange(const Replica &replica);
     bool isPolledHere(const Replica &replica) const;
-    std::vector<const Replica *> inUse();
+    std::vector<const Replica *> replicasInUse();
 
     EventLoop &loop;
     const Clock &clock;
--- a/Services/Entry/LimitSharing.cpp
+++ b/Services/Entry/LimitSharing.cpp
@@ -13,15 +13,15 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds tellInterval{500};
+constexpr std::chrono::milliseconds demandInterval{500};
 /** How long a share is valid without being renewed; it covers the loss of a few datagrams. */
-constexpr std::chrono::milliseconds grantLife{3000};
+constexpr std::chrono::milliseconds grantLifetime{3000};
 /** How long a node's demand counts at the member that splits the limits. */
-constexpr std::chrono::milliseconds demandLife{2000};
+constexpr std::chrono::milliseconds demandLifetime{2000};
 /** Tenants in one datagram. */
-constexpr std::size_t perDatagram = 24;
+constexpr std::size_t tenantsPerDatagram = 24;
 
-std::uint32_t whole(double value)
+std::uint32_t roundUp(double value)
 {
     return static_cast<std::uint32_t>(std::clamp(std::ceil(value), 0.0, 4e9));
 }
@@ -35,14 +35,14 @@
     , socket(socket)
     , self(self)
     , view(std::make_shared<MemberView>(std::vector<Member>()))
-    , splitter(clock, demandLife)
-    , limits(std::make_shared<TenantLimits>(clock, grantLife, [this](const WorkspaceName &tenant, LimitClass kind) {
+    , splitter(clock, demandLifetime)
+    , limits(std::make_shared<TenantLimits>(clock, grantLifetime, [this](const WorkspaceName &tenant, LimitClass kind) {
         return this->limitOf(tenant, kind);
     }))
 {
     this->settingsChanged();
-    this->loop.schedule(tellInterval, [this] {
-        this->tell();
+    this->loop.schedule(demandInterval, [this] {
+        this->sendDemands();
     });
 }
 
@@ -89,21 +89,21 @@
     return {Hold(this, release), {}};
 }
 
-void LimitSharing::tell()
+void LimitSharing::sendDemands()
 {
     std::map<SessionNumber, std::vector<LimitAmount>> byMember;
     for (const TenantDemand &demand : this->limits->demands()) {
         if (const Member *const member = this->view->ownerOf(stableHash(demand.tenant.value()))) {
             byMember[member->session].push_back({demand.tenant,
                                                  demand.kind == LimitClass::Lookup,
-                                                 whole(demand.wanted.perSecond),
-                                                 whole(demand.wanted.concurrency)});
+                                                 roundUp(demand.wanted.perSecond),
+                                                 roundUp(demand.wanted.concurrency)});
         }
     }
     for (auto &[session, amounts] : byMember) {
-        for (std::size_t from = 0; from < amounts.size(); from += perDatagram) {
+        for (std::size_t from = 0; from < amounts.size(); from += tenantsPerDatagram) {
             const auto first = amounts.begin() + static_cast<std::ptrdiff_t>(from);
-            const auto last = amounts.begin() + static_cast<std::ptrdiff_t>(std::min(from + perDatagram, amounts.size()));
+            const auto last = amounts.begin() + static_cast<std::ptrdiff_t>(std::min(from + tenantsPerDatagram, amounts.size()));
             const LimitDemands demands{this->self, {first, last}};
             if (session == this->self) {
                 this->receive(this->split(demands));
@@ -112,8 +112,8 @@
             }
         }
     }
-    this->loop.schedule(tellInterval, [this] {
-        this->tell();
+    this->loop.schedule(demandInterval, [this] {
+        this->sendDemands();
     });
 }
 
@@ -125,7 +125,7 @@
         if (const auto limit = this->limitOf(amount.tenant, kind)) {
             const RequestLimit wanted{static_cast<double>(amount.perSecond), static_cast<double>(amount.concurrency)};
             const RequestLimit part = this->splitter.split(demands.from, {amount.tenant, kind, wanted}, *limit);
-            shares.amounts.push_back({amount.tenant, amount.isLookup, whole(part.perSecond), whole(part.concurrency)});
+            shares.amounts.push_back({amount.tenant, amount.isLookup, roundUp(part.perSecond), roundUp(part.concurrency)});
         }
     }
     return shares;
--- a/Services/Entry/LimitSharing.h
+++ b/Services/Entry/LimitSharing.h
@@ -48,7 +48,7 @@
     void receive(const LimitShares &shares);
 
 private:
-    void tell();
+    void sendDemands();
     std::optional<RequestLimit> limitOf(const WorkspaceName &tenant, LimitClass kind) const;
     LimitShares split(const LimitDemands &demands);
 
--- a/Services/Entry/OnlineRequest.cpp
+++ b/Services/Entry/OnlineRequest.cpp
@@ -25,7 +25,7 @@
 /** How long an owner may hold a commit before it answers Held. */
 constexpr std::chrono::milliseconds commitWait{500};
 constexpr std::chrono::milliseconds firstCommitPause{500};
-constexpr std::chrono::milliseconds longestCommitPause{10000};
+constexpr std::chrono::milliseconds maxCommitPause{10000};
 /** How long a caller waits for a durable result when no owner answers. */
 constexpr std::chrono::milliseconds pendingAfter{5000};
 /** How long a runner keeps a result that its owner has not stored durably. */
@@ -119,21 +119,21 @@
     const Refusal noOwner{statusUnavailable, "no_owner", "no node can take the request now", this->runState(), usualRetryAfter};
     if (!response) {
         this->refuse(noOwner);
-        this->settleClaim();
+        this->repeatUncertainClaim();
         return;
     }
     this->hasClaim = response->decision == ClaimDecision::Run;
-    const bool isLeftWaiting = this->phase == Phase::Ended && response->decision == ClaimDecision::StillRunning;
-    if (response->decision == ClaimDecision::Unavailable || (isLeftWaiting && this->request.isNonIdempotent)) {
+    const bool isStillPending = this->phase == Phase::Ended && response->decision == ClaimDecision::StillRunning;
+    if (response->decision == ClaimDecision::Unavailable || (isStillPending && this->request.isNonIdempotent)) {
         this->release();
     }
     if (this->phase == Phase::Ended) {
-        this->giveBack(noOwner);
+        this->closeClaim(noOwner);
         return;
     }
     switch (response->decision) {
     case ClaimDecision::Run:
-        this->waitForRoom();
+        this->waitForCapacity();
         return;
     case ClaimDecision::Done:
         this->finish(response->answer, "committed");
@@ -167,7 +167,7 @@
     }
 }
 
-void OnlineRequest::settleClaim()
+void OnlineRequest::repeatUncertainClaim()
 {
     if (!this->request.isNamedByCaller) {
         return;
@@ -196,7 +196,7 @@
         });
 }
 
-void OnlineRequest::giveBack(const Refusal &refusal)
+void OnlineRequest::closeClaim(const Refusal &refusal)
 {
     if (!std::exchange(this->hasClaim, false)) {
         return;
@@ -225,7 +225,7 @@
         [](const std::optional<ReleaseResponse> &) {});
 }
 
-void OnlineRequest::waitForRoom()
+void OnlineRequest::waitForCapacity()
 {
     this->phase = Phase::Waiting;
     const auto self = this->shared_from_this();
@@ -257,24 +257,24 @@
     }
     SelectionQuery query{FailureDomain(this->context.settings->node.failureDomain), this->tried, this->failedDomain};
     query.prefix = this->request.prefix;
-    Replica *const chosen = this->context.chooser.select(this->request.serves, query);
+    Replica *const selected = this->context.selector.select(this->request.serves, query);
     const bool isExhausted = this->attempts >= static_cast<std::uint32_t>(this->context.settings->entry.attempts);
-    if (chosen == nullptr || isExhausted) {
+    if (selected == nullptr || isExhausted) {
         this->refuse(
             {statusUnavailable, "no_endpoint", "no endpoint can serve the request now", this->runState(), usualRetryAfter});
         return;
     }
-    if (this->attempts > 0 && !this->mayRetryAt(*chosen)) {
+    if (this->attempts > 0 && !this->mayRetryAt(*selected)) {
         return;
     }
     // A non-idempotent call gets a new connection. A reused one may have become unresponsive unnoticed, and the call
     // could then neither be known to have run nor be sent again.
-    this->sendTo(*chosen, this->request.isNonIdempotent ? ConnectionChoice::Fresh : ConnectionChoice::Pooled);
+    this->sendTo(*selected, this->request.isNonIdempotent ? ConnectionChoice::Fresh : ConnectionChoice::Pooled);
 }
 
-bool OnlineRequest::mayRetryAt(const Replica &chosen)
+bool OnlineRequest::mayRetryAt(const Replica &selected)
 {
-    if (this->context.retries.tryConsume(this->request.tenant, chosen.name)) {
+    if (this->context.retries.tryConsume(this->request.tenant, selected.name)) {
         this->context.metrics.countRetry(this->lastFailure);
         return true;
     }
@@ -292,7 +292,7 @@
     this->tried.push_back(replica.name);
     this->status = 0;
     this->body.clear();
-    this->sawEnd = false;
+    this->isStreamEnded = false;
     this->events = ServerSentEvents(eventLimit);
     this->sent = this->context.clock.now();
     if (this->attempts == 1) {
@@ -328,7 +328,7 @@
 void OnlineRequest::onHeaders(int status, const HttpHeaders &headers)
 {
     this->status = status;
-    this->context.watch.sawHeaders(*this->replica, headers);
+    this->context.watch.observeHeaders(*this->replica, headers);
     this->contentType = headerValue(headers, "Content-Type").value_or("application/octet-stream");
 }
 
@@ -346,7 +346,7 @@
 void OnlineRequest::onEvent(const std::string &data)
 {
     if (data == streamEnd) {
-        this->sawEnd = true;
+        this->isStreamEnded = true;
         return;
     }
     const auto delta = CompletionDelta::parse(data);
@@ -369,33 +369,34 @@
     this->reply.write(delta->text);
 }
 
-bool OnlineRequest::isWhole() const
+bool OnlineRequest::isComplete() const
 {
     // An engine may be lost between its last token and the end of its stream; nothing remains to resume then.
-    return this->request.completion && this->status == statusOk && (this->sawEnd || !this->completion.finishReason.empty());
+    return this->request.completion && this->status == statusOk
+        && (this->isStreamEnded || !this->completion.finishReason.empty());
 }
 
 void OnlineRequest::onEnd(AttemptEnd end)
 {
     this->attempt = nullptr;
-    if (end != AttemptEnd::Complete && this->isWhole()) {
+    if (end != AttemptEnd::Complete && this->isComplete()) {
         end = AttemptEnd::Complete;
     }
     switch (end) {
     case AttemptEnd::Complete:
-        this->attemptDone();
+        this->attemptCompleted();
         return;
     case AttemptEnd::NotConnected:
         this->attemptFailed(AttemptOutcome::NotConnected, RunState::NotRun, "not_connected");
         return;
-    case AttemptEnd::Broken:
-        this->lostWithEndpoint();
+    case AttemptEnd::ConnectionLost:
+        this->recordEndpointLoss();
         this->attemptFailed(AttemptOutcome::Failed, RunState::Unknown, "broken");
         return;
-    case AttemptEnd::SilentFresh:
+    case AttemptEnd::UnresponsiveFresh:
         this->attemptFailed(AttemptOutcome::Unresponsive, RunState::Unknown, "silent");
         return;
-    case AttemptEnd::SilentReused: {
+    case AttemptEnd::UnresponsiveReused: {
         // The connection is assumed to have failed, not the endpoint; the stream is resumed at the same endpoint over
         // a new one.
         this->lastFailure = "silent_connection";
@@ -410,20 +411,21 @@
     }
 }
 
-void OnlineRequest::lostWithEndpoint()
+void OnlineRequest::recordEndpointLoss()
 {
     const SteadyTime now = this->context.clock.now();
-    this->context.suspects.lost(this->request.content, {this->replica->name, this->replica->failureDomain, this->sent, now});
+    this->context.suspects.recordLoss(this->request.content,
+                                      {this->replica->name, this->replica->failureDomain, this->sent, now});
 }
 
-void OnlineRequest::attemptDone()
+void OnlineRequest::attemptCompleted()
 {
     if (this->status == statusUnavailable) {
         // By the endpoints' contract (docs/operators/endpoints.md) a 503 is sent before anything runs.
         this->attemptFailed(AttemptOutcome::Refused, RunState::NotRun, "refused");
         return;
     }
-    const bool isCutShort = this->request.completion && this->status == statusOk && !this->isWhole();
+    const bool isCutShort = this->request.completion && this->status == statusOk && !this->isComplete();
     // Another endpoint may serve the request when this one is full or fails, so such an answer is not stored as the
     // result.
     const bool isEndpointError = this->status >= statusServerError || this->status == statusTooManyRequests;
@@ -431,7 +433,7 @@
         this->attemptFailed(AttemptOutcome::Failed, RunState::Unknown, isCutShort ? "cut_short" : "endpoint_error");
         return;
     }
-    this->context.suspects.succeeded(this->request.content);
+    this->context.suspects.recordSuccess(this->request.content);
     this->context.retries.recordSuccess(this->request.tenant, this->replica->name);
     this->leaveReplica({AttemptOutcome::Succeeded, this->serviceTime()});
     if (this->request.completion && this->status == statusOk) {
@@ -516,7 +518,7 @@
 void OnlineRequest::onCommit(const std::optional<CommitResponse> &response)
 {
     if (!response) {
-        log(LogLevel::Error, "result was not taken by any owner", {{"request", this->request.id.value()}});
+        log(LogLevel::Error, "result dropped: no owner accepted it in time", {{"request", this->request.id.value()}});
         return;
     }
     switch (response->decision) {
@@ -533,7 +535,7 @@
         this->context.loop.schedule(this->commitPause, [self = this->shared_from_this()] {
             self->sendCommit();
         });
-        this->commitPause = std::min(this->commitPause * 2, longestCommitPause);
+        this->commitPause = std::min(this->commitPause * 2, maxCommitPause);
         return;
     case CommitDecision::NotOwner:
     case CommitDecision::Unavailable:
@@ -606,7 +608,7 @@
         this->reply.refuse(refusal);
         this->request.hold = nullptr;
     }
-    this->giveBack(refusal);
+    this->closeClaim(refusal);
 }
 
 } // namespace Dogwoodkeel
--- a/Services/Entry/OnlineRequest.h
+++ b/Services/Entry/OnlineRequest.h
@@ -73,8 +73,8 @@
     void armDeadline(std::chrono::milliseconds wait);
     void claim();
     void onClaim(const std::optional<ClaimResponse> &response);
-    void settleClaim();
-    void giveBack(const Refusal &refusal);
+    void repeatUncertainClaim();
+    void closeClaim(const Refusal &refusal);
     /**
      * Releases the claim at its owner, which withdraws a durable intent by a record. A claim may stand in the journal
      * as an intent even if its owner could not record it in time, or if the repeated claim met its own intent, and
@@ -84,20 +84,20 @@
      */
     void release();
 
-    void waitForRoom();
+    void waitForCapacity();
     void dispatch();
-    bool mayRetryAt(const Replica &chosen);
+    bool mayRetryAt(const Replica &selected);
     void sendTo(Replica &replica, ConnectionChoice choice);
     void onHeaders(int status, const HttpHeaders &headers);
     void onData(std::string_view data);
     void onEvent(const std::string &data);
     void onEnd(AttemptEnd end);
-    void attemptDone();
+    void attemptCompleted();
     void attemptFailed(AttemptOutcome outcome, RunState run, std::string_view reason);
-    void lostWithEndpoint();
+    void recordEndpointLoss();
     void leaveReplica(const AttemptResult &result);
     std::optional<std::chrono::microseconds> serviceTime() const;
-    bool isWhole() const;
+    bool isComplete() const;
 
     void commit(const Answer &answer);
     void sendCommit();
@@ -139,7 +139,7 @@
     std::string body;
     ServerSentEvents events;
     CompletionText completion;
-    bool sawEnd = false;
+    bool isStreamEnded = false;
     bool mayHaveRun = false;
 
     Answer result;
--- a/Services/Entry/PlainCall.cpp
+++ b/Services/Entry/PlainCall.cpp
@@ -42,10 +42,10 @@
         self->deadlineTimer = 0;
         self->onDeadline();
     });
-    this->waitForRoom();
+    this->waitForCapacity();
 }
 
-void PlainCall::waitForRoom()
+void PlainCall::waitForCapacity()
 {
     const auto self = this->shared_from_this();
     this->ticket = this->context.admission.enter(
@@ -73,21 +73,21 @@
         return;
     }
     const SelectionQuery query{FailureDomain(this->context.settings->node.failureDomain), this->tried, this->failedDomain};
-    Replica *const chosen = this->context.chooser.select(this->service.name, query);
+    Replica *const selected = this->context.selector.select(this->service.name, query);
     const bool isExhausted = this->tried.size() >= static_cast<std::size_t>(this->context.settings->entry.attempts);
-    if (chosen == nullptr || isExhausted) {
+    if (selected == nullptr || isExhausted) {
         this->refuse(statusUnavailable, "no_endpoint", "no endpoint can serve the request now", usualRetryAfter);
         return;
     }
-    if (!this->tried.empty() && !this->mayRetryAt(*chosen)) {
+    if (!this->tried.empty() && !this->mayRetryAt(*selected)) {
         return;
     }
-    this->sendTo(*chosen, ConnectionChoice::Pooled);
+    this->sendTo(*selected, ConnectionChoice::Pooled);
 }
 
-bool PlainCall::mayRetryAt(const Replica &chosen)
+bool PlainCall::mayRetryAt(const Replica &selected)
 {
-    if (this->context.retries.tryConsume(this->tenant, chosen.name)) {
+    if (this->context.retries.tryConsume(this->tenant, selected.name)) {
         this->context.metrics.countRetry(this->lastFailure);
         return true;
     }
@@ -110,7 +110,7 @@
     Attempt::Hooks hooks{
         .onHeaders =
             [this](int status, const HttpHeaders &headers) {
-                this->context.watch.sawHeaders(*this->replica, headers);
+                this->context.watch.observeHeaders(*this->replica, headers);
                 this->response.status = status;
                 this->response.headers = forwardedHeaders(headers);
                 this->response.headers.try_emplace("Content-Type", "application/octet-stream");
@@ -144,15 +144,15 @@
     case AttemptEnd::NotConnected:
         this->failed(AttemptOutcome::NotConnected, RunState::NotRun, "not_connected");
         return;
-    case AttemptEnd::Broken:
-        this->context.suspects.lost(this->content,
-                                    {this->replica->name, this->replica->failureDomain, this->sent, this->context.clock.now()});
+    case AttemptEnd::ConnectionLost:
+        this->context.suspects.recordLoss(
+            this->content, {this->replica->name, this->replica->failureDomain, this->sent, this->context.clock.now()});
         this->failed(AttemptOutcome::Failed, RunState::Unknown, "broken");
         return;
-    case AttemptEnd::SilentFresh:
+    case AttemptEnd::UnresponsiveFresh:
         this->failed(AttemptOutcome::Unresponsive, RunState::Unknown, "silent");
         return;
-    case AttemptEnd::SilentReused: {
+    case AttemptEnd::UnresponsiveReused: {
         // The connection is assumed to have failed, not the endpoint; the call is repeated at the same endpoint over
         // a new one.
         this->lastFailure = "silent_connection";
@@ -186,7 +186,7 @@
 
 void PlainCall::answer()
 {
-    this->context.suspects.succeeded(this->content);
+    this->context.suspects.recordSuccess(this->content);
     this->context.retries.recordSuccess(this->tenant, this->replica->name);
     const auto taken = std::chrono::duration_cast<std::chrono::microseconds>(this->context.clock.now() - this->sent);
     this->leaveReplica({AttemptOutcome::Succeeded, taken});
--- a/Services/Entry/PlainCall.h
+++ b/Services/Entry/PlainCall.h
@@ -36,9 +36,9 @@
     void start();
 
 private:
-    void waitForRoom();
+    void waitForCapacity();
     void dispatch();
-    bool mayRetryAt(const Replica &chosen);
+    bool mayRetryAt(const Replica &selected);
     void sendTo(Replica &replica, ConnectionChoice choice);
     void onEnd(AttemptEnd end);
     void leaveReplica(const AttemptResult &result);
--- a/Services/Entry/SuspectNotices.cpp
+++ b/Services/Entry/SuspectNotices.cpp
@@ -12,12 +12,12 @@
 {
 
 /** Entries in one notice. A datagram larger than a packet is more likely to be lost. */
-constexpr std::size_t perNotice = 16;
+constexpr std::size_t maxNoticeEntries = 16;
 /**
  * Delays after which a notice is repeated. Three losses in a row on one path within a second indicate a partition
  * rather than random loss.
  */
-constexpr std::chrono::milliseconds repeats[] = {std::chrono::milliseconds(50), std::chrono::milliseconds(1000)};
+constexpr std::chrono::milliseconds repeatDelays[] = {std::chrono::milliseconds(50), std::chrono::milliseconds(1000)};
 
 std::uint32_t millisecondsSince(SteadyTime then, SteadyTime now)
 {
@@ -26,12 +26,12 @@
 }
 
 template <typename T>
-std::vector<T> takeSome(std::vector<T> &from)
+std::vector<T> removeBatch(std::vector<T> &from)
 {
-    const auto count = static_cast<std::ptrdiff_t>(std::min(perNotice, from.size()));
-    std::vector<T> taken(from.begin(), from.begin() + count);
+    const auto count = static_cast<std::ptrdiff_t>(std::min(maxNoticeEntries, from.size()));
+    std::vector<T> removed(from.begin(), from.begin() + count);
     from.erase(from.begin(), from.begin() + count);
-    return taken;
+    return removed;
 }
 
 } // namespace
@@ -42,7 +42,7 @@
     , clock(clock)
     , socket(socket)
     , self(self)
-    , held(clock, options)
+    , requestQuarantine(clock, options)
     , view(std::make_shared<MemberView>(std::vector<Member>()))
 {
 }
@@ -54,54 +54,54 @@
 
 const Quarantine &SuspectNotices::quarantine() const
 {
-    return this->held;
+    return this->requestQuarantine;
 }
 
 void SuspectNotices::setOptions(const Quarantine::Options &options)
 {
-    this->held.setOptions(options);
+    this->requestQuarantine.setOptions(options);
 }
 
-void SuspectNotices::lost(ContentFingerprint request, const EndpointLoss &point)
+void SuspectNotices::recordLoss(ContentFingerprint request, const EndpointLoss &point)
 {
-    if (this->held.recordLoss(request, point) == QuarantineStatus::Quarantined) {
+    if (this->requestQuarantine.recordLoss(request, point) == QuarantineStatus::Quarantined) {
         log(LogLevel::Warning,
             "request quarantined",
             {{"fingerprint", static_cast<std::int64_t>(request.value())}, {"endpoint", point.endpoint.value()}});
     }
     this->newLosses.push_back({request, point});
-    this->tellSoon();
+    this->scheduleSend();
 }
 
-void SuspectNotices::succeeded(ContentFingerprint request)
+void SuspectNotices::recordSuccess(ContentFingerprint request)
 {
-    if (this->held.recordSuccess(request)) {
+    if (this->requestQuarantine.recordSuccess(request)) {
         this->newCleared.push_back(request.value());
-        this->tellSoon();
+        this->scheduleSend();
     }
 }
 
-void SuspectNotices::tellSoon()
+void SuspectNotices::scheduleSend()
 {
-    if (std::exchange(this->isTelling, true)) {
+    if (std::exchange(this->isSendScheduled, true)) {
         return;
     }
     this->loop.post([this] {
-        this->isTelling = false;
+        this->isSendScheduled = false;
         while (!this->newLosses.empty() || !this->newCleared.empty()) {
-            const std::vector<Loss> losses = takeSome(this->newLosses);
-            const std::vector<std::uint64_t> cleared = takeSome(this->newCleared);
-            this->tell(losses, cleared);
-            for (const std::chrono::milliseconds delay : repeats) {
+            const std::vector<Loss> losses = removeBatch(this->newLosses);
+            const std::vector<std::uint64_t> cleared = removeBatch(this->newCleared);
+            this->sendToMembers(losses, cleared);
+            for (const std::chrono::milliseconds delay : repeatDelays) {
                 this->loop.schedule(delay, [this, losses, cleared] {
-                    this->tell(losses, cleared);
+                    this->sendToMembers(losses, cleared);
                 });
             }
         }
     });
 }
 
-void SuspectNotices::tell(const std::vector<Loss> &losses, const std::vector<std::uint64_t> &cleared)
+void SuspectNotices::sendToMembers(const std::vector<Loss> &losses, const std::vector<std::uint64_t> &cleared)
 {
     const SuspectNotice message = this->notice(losses, cleared);
     for (const Member &member : this->view->members()) {
@@ -117,7 +117,7 @@
     SuspectNotice message{this->self, {}, cleared};
     for (const Loss &loss : losses) {
         // A repeated notice does not report a request that has succeeded in the meantime.
-        if (this->held.status(loss.request) != QuarantineStatus::Clear) {
+        if (this->requestQuarantine.status(loss.request) != QuarantineStatus::Clear) {
             message.suspects.push_back({loss.request.value(),
                                         loss.point.endpoint,
                                         loss.point.failureDomain,
@@ -132,14 +132,14 @@
 {
     const SteadyTime now = this->clock.now();
     for (const Suspect &suspect : notice.suspects) {
-        this->held.recordLoss(ContentFingerprint(suspect.fingerprint),
-                              {suspect.endpoint,
-                               suspect.failureDomain,
-                               now - std::chrono::milliseconds(suspect.sentMillisecondsAgo),
-                               now - std::chrono::milliseconds(suspect.lostMillisecondsAgo)});
+        this->requestQuarantine.recordLoss(ContentFingerprint(suspect.fingerprint),
+                                           {suspect.endpoint,
+                                            suspect.failureDomain,
+                                            now - std::chrono::milliseconds(suspect.sentMillisecondsAgo),
+                                            now - std::chrono::milliseconds(suspect.lostMillisecondsAgo)});
     }
     for (const std::uint64_t cleared : notice.cleared) {
-        this->held.recordSuccess(ContentFingerprint(cleared));
+        this->requestQuarantine.recordSuccess(ContentFingerprint(cleared));
     }
 }
 
--- a/Services/Entry/SuspectNotices.h
+++ b/Services/Entry/SuspectNotices.h
@@ -30,10 +30,10 @@
     const Quarantine &quarantine() const;
 
     /** Records that a request was lost together with the endpoint that ran it. */
-    void lost(ContentFingerprint request, const EndpointLoss &point);
+    void recordLoss(ContentFingerprint request, const EndpointLoss &point);
 
     /** Records that a request ran to its end. */
-    void succeeded(ContentFingerprint request);
+    void recordSuccess(ContentFingerprint request);
 
     /** Applies a notice from another node. */
     void receive(const SuspectNotice &notice);
@@ -45,19 +45,19 @@
         EndpointLoss point;
     };
 
-    void tellSoon();
-    void tell(const std::vector<Loss> &losses, const std::vector<std::uint64_t> &cleared);
+    void scheduleSend();
+    void sendToMembers(const std::vector<Loss> &losses, const std::vector<std::uint64_t> &cleared);
     SuspectNotice notice(const std::vector<Loss> &losses, const std::vector<std::uint64_t> &cleared) const;
 
     EventLoop &loop;
     const Clock &clock;
     DatagramSocket &socket;
     SessionNumber self;
-    Quarantine held;
+    Quarantine requestQuarantine;
     MemberViewPointer view;
     std::vector<Loss> newLosses;
     std::vector<std::uint64_t> newCleared;
-    bool isTelling = false;
+    bool isSendScheduled = false;
 };
 
 } // namespace Dogwoodkeel
--- a/Tests/ServiceEntry/TestAdmission.cpp
+++ b/Tests/ServiceEntry/TestAdmission.cpp
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("a request waits for room, and the most urgent one gets it")
+TEST_CASE("requests wait for a free slot, and the one with the earliest deadline gets it")
 {
     // An engine would accept a third request and serve all three more slowly. The third request waits until one is
     // done; a later request with an earlier deadline goes first.
@@ -77,7 +77,7 @@
     CHECK(urgent->text() == "x");
 }
 
-TEST_CASE("a request that finds the queue full is refused at once, never run, and told when to come back")
+TEST_CASE("a request that finds the queue full is refused at once as not run, with Retry-After")
 {
     EntryBench bench(1);
     bench.settings.endpoints[0].capacity = 1;
@@ -105,7 +105,7 @@
     });
 }
 
-TEST_CASE("a request whose deadline passes while it waits was not run")
+TEST_CASE("a request whose deadline passes in the queue is refused as not run")
 {
     FullEndpoint full;
     full.fill();
@@ -140,7 +140,7 @@
     CHECK(bench.endpoints[0]->requests() == 1);
 }
 
-TEST_CASE("a tenant at its limit is refused at once, and gets room when a request of its is answered")
+TEST_CASE("a tenant at its limit is refused at once, and admitted again when one of its requests is answered")
 {
     EntryBench bench(1);
     bench.settings.tenants[0] = {.name = "default", .concurrency = 2};
@@ -171,7 +171,7 @@
     });
 }
 
-TEST_CASE("when every replica is leaving, a request is refused at once and does not wait for room")
+TEST_CASE("when every replica is leaving, a request is refused at once and does not wait for a slot")
 {
     // The deadline is a minute away and no slot becomes free within it. The request must be refused at once and not
     // wait for its deadline.
--- a/Tests/ServiceEntry/TestFleetWatch.cpp
+++ b/Tests/ServiceEntry/TestFleetWatch.cpp
@@ -109,21 +109,21 @@
     }
 
     /** Runs the loop until a condition holds for all three watchers. @return whether it held within the timeout */
-    bool reached(const std::function<bool(Watcher &)> &isSo)
+    bool reachedByAll(const std::function<bool(Watcher &)> &condition)
     {
         const SteadyTime end = this->clock.now() + timeout;
         bool isReached = false;
-        std::function<void()> look = [&] {
-            isReached = std::ranges::all_of(this->watchers, [&isSo](const auto &watcher) {
-                return isSo(*watcher);
+        std::function<void()> check = [&] {
+            isReached = std::ranges::all_of(this->watchers, [&condition](const auto &watcher) {
+                return condition(*watcher);
             });
             if (isReached || this->clock.now() >= end) {
                 this->loop.stop();
                 return;
             }
-            this->loop.schedule(2ms, look);
+            this->loop.schedule(2ms, check);
         };
-        look();
+        check();
         if (!isReached) {
             this->loop.run();
         }
@@ -139,10 +139,10 @@
 
 } // namespace
 
-TEST_CASE("one node polls an endpoint, and all that use it learn what it says")
+TEST_CASE("one node polls an endpoint, and all nodes that use it receive its report")
 {
     Fixture fixture;
-    CHECK(fixture.reached([](Watcher &watcher) {
+    CHECK(fixture.reachedByAll([](Watcher &watcher) {
         return watcher.replica().version == "7" && watcher.replica().otherNodes.inFlight > 0;
     }));
     for (const auto &watcher : fixture.watchers) {
@@ -151,7 +151,7 @@
     }
 }
 
-TEST_CASE("batch items are no load to online requests")
+TEST_CASE("batch items do not count as load for online requests")
 {
     // Lanes fill a replica with batch items, which yield to online requests at once. If its report of 3 running and 1
     // waiting counted them, the replica would look full and lookups would queue behind less urgent batch work.
@@ -159,37 +159,37 @@
     for (const auto &watcher : fixture.watchers) {
         watcher->watch.setItems(EndpointName("engine"), 2);
     }
-    CHECK(fixture.reached([](Watcher &watcher) {
+    CHECK(fixture.reachedByAll([](Watcher &watcher) {
         return watcher.replica().otherNodes.at > SteadyTime() && watcher.replica().otherNodes.inFlight < 1.5;
     }));
 }
 
-TEST_CASE("an endpoint's word that it leaves, given to one node, is known to all, until its next start")
+TEST_CASE("a leaving header received by one node marks the endpoint as leaving at all nodes, until it restarts")
 {
     // Only one entry receives the refusal with the leaving header. The others have not sent anything to the endpoint
     // recently and would send it their next request, which it would refuse, or accept and interrupt.
     Fixture fixture;
-    REQUIRE(fixture.reached([](Watcher &watcher) {
+    REQUIRE(fixture.reachedByAll([](Watcher &watcher) {
         return watcher.replica().instance == "first";
     }));
     Watcher &witness = *fixture.watchers[1];
-    witness.watch.sawHeaders(witness.replica(), {{"dogwoodkeel-leaving", "true"}});
-    CHECK(fixture.reached([](Watcher &watcher) {
+    witness.watch.observeHeaders(witness.replica(), {{"dogwoodkeel-leaving", "true"}});
+    CHECK(fixture.reachedByAll([](Watcher &watcher) {
         return watcher.replica().isLeaving && watcher.reported == std::vector<bool>{true};
     }));
     fixture.endpoint.report = R"({"running":0,"instance":"second"})";
-    CHECK(fixture.reached([](Watcher &watcher) {
+    CHECK(fixture.reachedByAll([](Watcher &watcher) {
         return !watcher.replica().isLeaving && watcher.reported == std::vector<bool>{true, false};
     }));
 }
 
-TEST_CASE("an endpoint that leaves by its load report, or by one node's VM list, is known to all")
+TEST_CASE("an endpoint that leaves according to its load report or to one node's VM list is marked at all nodes")
 {
     SUBCASE("load report")
     {
         Fixture fixture;
         fixture.endpoint.report = R"({"running":3,"leaving":true})";
-        CHECK(fixture.reached([](Watcher &watcher) {
+        CHECK(fixture.reachedByAll([](Watcher &watcher) {
             return watcher.replica().isLeaving;
         }));
     }
@@ -197,13 +197,13 @@
     {
         Fixture fixture;
         fixture.watchers[2]->watch.observe({{VmName("vm-engine"), true}});
-        CHECK(fixture.reached([](Watcher &watcher) {
+        CHECK(fixture.reachedByAll([](Watcher &watcher) {
             return watcher.replica().isLeaving;
         }));
     }
 }
 
-TEST_CASE("whatever an endpoint sends in place of a report is met without harm")
+TEST_CASE("malformed load reports and cache events are ignored or read with defaults")
 {
     for (const char *const body : {"",
                                    "[]",
--- a/Tests/ServiceEntry/TestOnlineRequest.cpp
+++ b/Tests/ServiceEntry/TestOnlineRequest.cpp
@@ -39,15 +39,15 @@
 
 } // namespace
 
-TEST_CASE("a stream whose endpoint is lost is resumed elsewhere, and the caller sees one unbroken answer")
+TEST_CASE("a stream whose endpoint is lost is resumed at another one, and the caller gets one continuous answer")
 {
     // The caller receives four tokens in order and the end. The first endpoint disconnects after two tokens; the
     // second is requested to continue after them.
     EntryBench bench(2);
     bench.start();
-    std::size_t asked = 0;
+    std::size_t requestCount = 0;
     const auto script = [&](const Exchange &exchange) {
-        if (++asked > 1) {
+        if (++requestCount > 1) {
             CHECK(resumedTokens(exchange) == 2);
             serveFourTokens(exchange);
             return;
@@ -94,7 +94,7 @@
     CHECK(answer->text() == "0123");
 }
 
-TEST_CASE("a stream that was lost between its last token and its end is whole: nothing runs again")
+TEST_CASE("a stream that was lost between its last token and its end is complete and does not run again")
 {
     EntryBench bench(2);
     bench.start();
@@ -111,7 +111,7 @@
     CHECK(bench.endpoints[0]->requests() + bench.endpoints[1]->requests() == 1);
 }
 
-TEST_CASE("a connection that went silent is replaced at the same endpoint, which is not blamed")
+TEST_CASE("an unresponsive reused connection is replaced at the same endpoint, without counting a failure of the endpoint")
 {
     // The second request reuses the idle connection of the first one, which has become unresponsive. It is answered
     // over a new connection to the same, only endpoint; the endpoint receives three requests in all.
@@ -130,7 +130,7 @@
     CHECK(bench.endpoints[0]->requests() == 3);
 }
 
-TEST_CASE("a connection that went silent is noticed long before an endpoint's time to begin is over")
+TEST_CASE("an unresponsive reused connection is detected well before the first byte timeout")
 {
     // A new prompt may take long to the first byte, so that limit is longer than the caller's deadline. An
     // unresponsive idle connection is abandoned sooner, and the new connection has the full time.
@@ -164,7 +164,7 @@
     CHECK(bench.endpoints[0]->requests() == 0);
 }
 
-TEST_CASE("a claim whose answer was lost is given back after the refusal")
+TEST_CASE("a claim whose answer was lost is released after the refusal")
 {
     // The caller is refused in time, and its resend need not wait for the lease of a runner that never existed.
     EntryBench bench(1);
@@ -183,7 +183,7 @@
     CHECK(bench.endpoints[0]->requests() == 0);
 }
 
-TEST_CASE("a non-idempotent claim whose answer was lost is given back, so that a resend runs")
+TEST_CASE("a non-idempotent claim whose answer was lost is released, so that a resend runs")
 {
     // The owner's answer arrives after the caller was refused with Retry-After. The request was never sent: a refusal
     // stored as its answer would be returned to every resend. The claim is released and nothing is committed.
@@ -204,7 +204,7 @@
     CHECK(bench.endpoints[0]->requests() == 0);
 }
 
-TEST_CASE("a non-idempotent request that no endpoint took is given back, and its caller is told that it did not run")
+TEST_CASE("the claim of a non-idempotent request that no endpoint accepted is released, and the request is refused as not run")
 {
     // Every endpoint refuses with 503, which means that nothing ran. The caller gets not_run and Retry-After; a
     // refusal stored as the answer would be returned to every resend.
@@ -223,7 +223,7 @@
     CHECK(bench.owner.commits.empty());
 }
 
-TEST_CASE("a claim is given back to its owner, not to the node that no longer owns the shard")
+TEST_CASE("the release of a claim is repeated until it reaches the shard's new owner")
 {
     // The shard changes its owner while the claim is released. The first node answers that it is not the owner. If
     // the release stopped there, the intent would remain at the next owner and resends would wait for it until the
@@ -244,7 +244,7 @@
     CHECK(bench.owner.releases[0].claim == bench.owner.releases[1].claim);
 }
 
-TEST_CASE("a non-idempotent claim that could not be recorded in time is given back until an owner has it")
+TEST_CASE("the release of a non-idempotent claim that could not be recorded in time is repeated until an owner accepts it")
 {
     // The owner answers that it cannot record the intent now, and the caller is refused. The intent may still stand
     // in the journal, and the owner may be lost before it withdraws it: the next owner would let resends wait for
@@ -269,7 +269,7 @@
     CHECK(bench.owner.releases[1].claim == bench.owner.claims[0].claim);
 }
 
-TEST_CASE("a non-idempotent claim that is told to wait after its request has ended is given back")
+TEST_CASE("a non-idempotent claim that is answered StillRunning after its request has ended is released")
 {
     // The first answer to a claim is lost, and the repeated claim meets its own intent on its way to the journal. Its
     // answer is StillRunning and arrives after the caller was refused. Without a release the intent would remain
@@ -290,7 +290,7 @@
     CHECK(bench.owner.releases[0].claim == bench.owner.claims[0].claim);
 }
 
-TEST_CASE("a caller whose deadline passes in the middle of a stream is told so, and the endpoint is not blamed")
+TEST_CASE("a deadline that passes during a stream ends it with deadline_exceeded, and it is not sent to another endpoint")
 {
     EntryBench bench(2);
     bench.start();
@@ -320,7 +320,7 @@
     CHECK(bench.owner.commits.empty());
 }
 
-TEST_CASE("a non-idempotent run that outlasts its caller's deadline is kept for the resend")
+TEST_CASE("the result of a non-idempotent run that ends after its caller's deadline is stored for the resend")
 {
     EntryBench bench(2);
     bench.start();
@@ -342,7 +342,7 @@
     CHECK(bench.endpoints[0]->requests() + bench.endpoints[1]->requests() == 1);
 }
 
-TEST_CASE("a non-idempotent run that is lost is not run again, and its resends are told unknown")
+TEST_CASE("a non-idempotent run that is lost is not repeated, and its resends are refused with run state unknown")
 {
     EntryBench bench(2);
     bench.start();
@@ -361,7 +361,7 @@
     CHECK(bench.owner.commits[0].answer.body.find("\"unknown\"") != std::string::npos);
 }
 
-TEST_CASE("a non-idempotent run that the endpoint answers with an error is not run again")
+TEST_CASE("a non-idempotent run that the endpoint answers with an error is not repeated")
 {
     EntryBench bench(2);
     bench.start();
@@ -376,13 +376,13 @@
     CHECK(bench.endpoints[0]->requests() + bench.endpoints[1]->requests() == 1);
 }
 
-TEST_CASE("an endpoint's 429 is no answer to be kept: another endpoint serves")
+TEST_CASE("an endpoint's 429 is not stored as the answer: another endpoint serves the request")
 {
     EntryBench bench(2);
     bench.start();
-    std::size_t asked = 0;
+    std::size_t requestCount = 0;
     const auto script = [&](const Exchange &exchange) {
-        if (++asked == 1) {
+        if (++requestCount == 1) {
             exchange->answer(429, "{}");
         } else {
             serveFourTokens(exchange);
@@ -395,7 +395,7 @@
     CHECK(answer->text() == "0123");
 }
 
-TEST_CASE("a caller that hangs up leaves a run that is finished and kept")
+TEST_CASE("a run whose caller disconnects is finished and its result stored")
 {
     EntryBench bench(1);
     bench.start();
@@ -412,7 +412,7 @@
     CHECK(bench.owner.commits[0].answer.body.find("0123") != std::string::npos);
 }
 
-TEST_CASE("a result that no owner takes is given at the deadline, marked as pending, and handed in later")
+TEST_CASE("a result that no owner accepts is sent at the deadline, marked as pending, and committed later")
 {
     // The owner does not answer when the run ends. The caller gets its answer; a resend finds the result once the
     // owner is back.
@@ -465,7 +465,7 @@
     CHECK(answer->body.find("superseded") != std::string::npos);
 }
 
-TEST_CASE("a deadline that is no number of milliseconds is refused")
+TEST_CASE("a deadline that is not a positive number of milliseconds is refused")
 {
     EntryBench bench(1);
     bench.start();
@@ -476,7 +476,7 @@
     }
 }
 
-TEST_CASE("in a total outage the attempts stay near the number of requests")
+TEST_CASE("in a total outage the retry budget keeps the attempts near the number of requests")
 {
     EntryBench bench(3);
     bench.settings.retries.burst = 2;
--- a/Tests/ServiceEntry/TestQuarantinedRequest.cpp
+++ b/Tests/ServiceEntry/TestQuarantinedRequest.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("a request that crashes endpoints reaches two of them, whatever ids its caller sends it under")
+TEST_CASE("a request that crashes endpoints reaches two of them, whatever ids its caller uses")
 {
     // Without the quarantine the six requests would crash all six endpoints. The first request reaches two endpoints
     // because it is retried; the later ones, under new ids, reach none.
@@ -51,7 +51,7 @@
     CHECK(other->text() == "fine");
 }
 
-TEST_CASE("a node that heard of two losses from others sends the request nowhere")
+TEST_CASE("a node that received notices of two losses from other nodes refuses the request")
 {
     EntryBench bench(3);
     bench.start();
@@ -102,7 +102,7 @@
     CHECK(requestsOf(bench) == 2);
 }
 
-TEST_CASE("a lookup whose connection went silent is answered over a new one by the same endpoint")
+TEST_CASE("a lookup over an unresponsive reused connection is answered over a new one by the same endpoint")
 {
     EntryBench bench(0);
     bench.addEndpoint("s-a", "a", false).setScript([](const Exchange &exchange) {
@@ -119,7 +119,7 @@
     CHECK(bench.endpoints[0]->requests() == 3);
 }
 
-TEST_CASE("a lookup that cannot be answered by its deadline is refused then, with when to come back")
+TEST_CASE("a lookup that is not answered by its deadline is refused then, with Retry-After")
 {
     EntryBench bench(0);
     bench.addEndpoint("s-a", "a", false);
