--- a/Programs/dogwoodkeel/Node.cpp
+++ b/Programs/dogwoodkeel/Node.cpp
@@ -448,7 +448,7 @@
         });
     });
     this->entry->post([](EntryTask &task) {
-        task.sendCallersAway();
+        task.closeCallerConnections();
     });
     const auto spread = this->control->ask<std::chrono::milliseconds>([](ControlTask &control) {
         return control.spreadTime();
--- a/Services/Entry/EntryTask.cpp
+++ b/Services/Entry/EntryTask.cpp
@@ -123,7 +123,7 @@
     this->service.setWaitingFor(std::move(waitingFor));
 }
 
-void EntryTask::sendCallersAway()
+void EntryTask::closeCallerConnections()
 {
     this->server.closeAfterAnswers();
 }
--- a/Services/Entry/EntryTask.h
+++ b/Services/Entry/EntryTask.h
@@ -66,7 +66,7 @@
     void setVms(const ListedVmsPointer &vms);
 
     /** Closes each caller's connection after its next answer; new connections are accepted as before. */
-    void sendCallersAway();
+    void closeCallerConnections();
 
     /** Sets how many batch items this node's lanes run on each replica. */
     void setItems(const std::map<EndpointName, std::uint32_t> &items);
