--- a/Services/Entry/Attempt.cpp
+++ b/Services/Entry/Attempt.cpp
@@ -100,9 +100,9 @@
         this->isConnected = true;
     }
     const auto elapsed = this->clock.now() - this->lastProgress;
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(this->limit() - elapsed);
-    if (left.count() > 0) {
-        this->scheduleCheck(left);
+    const auto remainingTime = std::chrono::ceil<std::chrono::milliseconds>(this->limit() - elapsed);
+    if (remainingTime.count() > 0) {
+        this->scheduleCheck(remainingTime);
         return;
     }
     this->endUnresponsive();
--- a/Services/Entry/FleetWatch.cpp
+++ b/Services/Entry/FleetWatch.cpp
@@ -92,7 +92,7 @@
     this->updatePolledEndpoints();
     for (const EndpointName &name : this->polled) {
         Replica *const replica = this->replicas.find(name);
-        if (replica != nullptr && this->asked.insert(name).second) {
+        if (replica != nullptr && this->pendingPolls.insert(name).second) {
             this->pollLoad(*replica);
         }
     }
@@ -133,7 +133,7 @@
         if (!*alive) {
             return;
         }
-        this->asked.erase(name);
+        this->pendingPolls.erase(name);
         if (end == ExchangeEnd::Complete && response.status == statusOk) {
             this->onLoad(name, sent, response.body);
         }
@@ -141,7 +141,7 @@
     this->http.fetch(replica.address, {.method = "GET", .path = "/load"}, this->settings->fleet.loadPoll * 2, answered);
 }
 
-void FleetWatch::onLoad(const EndpointName &name, SteadyTime asked, const std::string &body)
+void FleetWatch::onLoad(const EndpointName &name, SteadyTime requestedAt, const std::string &body)
 {
     std::optional<ReplicaReport> report = parseLoadReport(body);
     Replica *const replica = this->replicas.find(name);
@@ -156,11 +156,11 @@
     if (items != this->items.end()) {
         // Batch items yield to online requests within milliseconds. Counted as load, they would make a replica with
         // free slots look full, and requests would wait behind batch work.
-        const std::uint32_t running = items->second.at(asked - std::chrono::milliseconds(report->ageMilliseconds));
+        const std::uint32_t running = items->second.at(requestedAt - std::chrono::milliseconds(report->ageMilliseconds));
         report->inFlight -= std::min(report->inFlight, running);
     }
-    this->latest[name] = {*report, asked};
-    report->ageMilliseconds += millisecondsSince(asked, this->clock.now());
+    this->latest[name] = {*report, requestedAt};
+    report->ageMilliseconds += millisecondsSince(requestedAt, this->clock.now());
     this->applyReport(*report);
     this->pollEvents(*replica);
 }
@@ -171,9 +171,9 @@
     const auto answered = [this, name = replica.name, instance = replica.instance, alive = this->alive](
                               ExchangeEnd end, const HttpResponse &response) {
         const bool isAnswer = *alive && end == ExchangeEnd::Complete && response.status == statusOk;
-        Replica *const asked = isAnswer ? this->replicas.find(name) : nullptr;
-        if (asked != nullptr && instance == asked->instance) {
-            FleetState::observe(*asked, parseCacheEvents(response.body));
+        Replica *const polled = isAnswer ? this->replicas.find(name) : nullptr;
+        if (polled != nullptr && instance == polled->instance) {
+            FleetState::observe(*polled, parseCacheEvents(response.body));
         }
     };
     this->http.fetch(
--- a/Services/Entry/FleetWatch.h
+++ b/Services/Entry/FleetWatch.h
@@ -70,7 +70,7 @@
     void poll();
     void updatePolledEndpoints();
     void pollLoad(Replica &replica);
-    void onLoad(const EndpointName &name, SteadyTime asked, const std::string &body);
+    void onLoad(const EndpointName &name, SteadyTime requestedAt, const std::string &body);
     void pollEvents(Replica &replica);
     void sendReports();
     void requestReports();
@@ -111,7 +111,7 @@
     std::vector<EndpointName> polled;
     std::uint64_t polledBasis = 0;
     /** Endpoints with a poll that is not yet answered. */
-    std::set<EndpointName> asked;
+    std::set<EndpointName> pendingPolls;
     std::set<EndpointName> reportedLeaving;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/Services/Entry/OnlineRequest.cpp
+++ b/Services/Entry/OnlineRequest.cpp
@@ -91,13 +91,13 @@
 void OnlineRequest::claim()
 {
     const SteadyTime now = this->context.clock.now();
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(this->deadline - now);
+    const auto remainingTime = std::chrono::ceil<std::chrono::milliseconds>(this->deadline - now);
     const ClaimRequest claim{this->request.id,
                              this->request.fingerprint,
                              this->request.isNonIdempotent,
                              this->runner,
                              this->claimNumber,
-                             std::min(joinWait, left)};
+                             std::min(joinWait, remainingTime)};
     this->context.owners.call<ClaimRequest>(
         this->request.id.value(),
         claim,
@@ -251,8 +251,10 @@
 {
     const SuspectNotices &suspects = this->context.suspects;
     if (suspects.quarantine().status(this->request.content) == QuarantineStatus::Quarantined) {
-        const auto left = std::chrono::ceil<std::chrono::seconds>(suspects.quarantine().remaining(this->request.content));
-        this->refuse({statusUnprocessable, "quarantined", "endpoints were lost while they ran it", this->runState(), left});
+        const auto remainingTime
+            = std::chrono::ceil<std::chrono::seconds>(suspects.quarantine().remaining(this->request.content));
+        this->refuse(
+            {statusUnprocessable, "quarantined", "endpoints were lost while they ran it", this->runState(), remainingTime});
         return;
     }
     SelectionQuery query{FailureDomain(this->context.settings->node.failureDomain), this->tried, this->failedDomain};
@@ -457,10 +459,10 @@
 
 void OnlineRequest::leaveReplica(const AttemptResult &result)
 {
-    Replica &left = *std::exchange(this->replica, nullptr);
-    this->context.fleet.end(left, result);
+    Replica &previous = *std::exchange(this->replica, nullptr);
+    this->context.fleet.end(previous, result);
     this->context.admission.served(this->request.serves, since(this->sent, this->context.clock.now()));
-    this->context.notices.changed(left);
+    this->context.notices.changed(previous);
 }
 
 void OnlineRequest::attemptFailed(AttemptOutcome outcome, RunState run, std::string_view reason)
@@ -495,8 +497,8 @@
     this->result = answer;
     this->sendCommit();
     if (this->reply.isOpen()) {
-        const auto left = std::chrono::ceil<std::chrono::milliseconds>(this->deadline - this->context.clock.now());
-        this->armDeadline(std::clamp(left, std::chrono::milliseconds(0), pendingAfter));
+        const auto remainingTime = std::chrono::ceil<std::chrono::milliseconds>(this->deadline - this->context.clock.now());
+        this->armDeadline(std::clamp(remainingTime, std::chrono::milliseconds(0), pendingAfter));
     }
 }
 
--- a/Services/Entry/PlainCall.cpp
+++ b/Services/Entry/PlainCall.cpp
@@ -68,8 +68,8 @@
 {
     const Quarantine &quarantine = this->context.suspects.quarantine();
     if (quarantine.status(this->content) == QuarantineStatus::Quarantined) {
-        const auto left = std::chrono::ceil<std::chrono::seconds>(quarantine.remaining(this->content));
-        this->refuse(statusUnprocessable, "quarantined", "endpoints were lost while they ran it", left);
+        const auto remainingTime = std::chrono::ceil<std::chrono::seconds>(quarantine.remaining(this->content));
+        this->refuse(statusUnprocessable, "quarantined", "endpoints were lost while they ran it", remainingTime);
         return;
     }
     const SelectionQuery query{FailureDomain(this->context.settings->node.failureDomain), this->tried, this->failedDomain};
@@ -169,8 +169,8 @@
 
 void PlainCall::leaveReplica(const AttemptResult &result)
 {
-    Replica &left = *std::exchange(this->replica, nullptr);
-    this->context.fleet.end(left, result);
+    Replica &previous = *std::exchange(this->replica, nullptr);
+    this->context.fleet.end(previous, result);
     const auto taken = std::chrono::duration_cast<std::chrono::microseconds>(this->context.clock.now() - this->sent);
     this->context.admission.served(this->service.name, taken);
 }
--- a/Tests/ServiceEntry/TestAdmission.cpp
+++ b/Tests/ServiceEntry/TestAdmission.cpp
@@ -56,7 +56,7 @@
     // done; a later request with an earlier deadline goes first.
     FullEndpoint full;
     full.fill();
-    const auto patient = full.bench.complete("patient", deadline("60000"));
+    const auto lessUrgent = full.bench.complete("patient", deadline("60000"));
     const auto urgent = full.bench.complete("urgent", deadline("30000"));
     full.bench.until([&] {
         return full.bench.owner.claims.size() == 4;
@@ -72,8 +72,8 @@
         return full.running.size() == 4;
     });
     serve(full.running[3]);
-    full.bench.untilEnd(patient);
-    CHECK(patient->text() == "x");
+    full.bench.untilEnd(lessUrgent);
+    CHECK(lessUrgent->text() == "x");
     CHECK(urgent->text() == "x");
 }
 
