--- a/Programs/dogwoodkeel/Node.cpp
+++ b/Programs/dogwoodkeel/Node.cpp
@@ -450,7 +450,7 @@
         });
     });
     this->entry->post([](EntryTask &task) {
-        task.sendCallersAway();
+        task.closeCallerConnections();
     });
     const auto propagationTime = this->control->ask<std::chrono::milliseconds>([](ControlTask &control) {
         return control.spreadTime();
--- a/Services/Entry/EntryContext.h
+++ b/Services/Entry/EntryContext.h
@@ -22,7 +22,7 @@
 namespace Dogwoodkeel
 {
 
-/** What the handlers of one entry task share; all of it lives on that task. */
+/** Holds the services that the handlers of one entry task share; all of them live on that task. */
 struct EntryContext
 {
     EventLoop &loop;
@@ -41,9 +41,9 @@
     Admission &admission;
     LimitSharing &limits;
     FleetState &fleet;
-    ReplicaSelector &chooser;
+    ReplicaSelector &selector;
     FleetWatch &watch;
-    /** Takes operators' requests to the control task. */
+    /** Forwards operators' requests to the control task. */
     OperatorGateway operators;
 };
 
--- a/Services/Entry/EntryTask.cpp
+++ b/Services/Entry/EntryTask.cpp
@@ -43,14 +43,14 @@
                      const SettingsPointer &settings,
                      SessionNumber self,
                      const PeerSecurity &security,
-                     const std::optional<LocalPeer> &ownOwner,
+                     const std::optional<LocalPeer> &localOwner,
                      const PlatformFactory &makePlatform,
                      NodeMetrics &metrics,
                      OperatorGateway operators)
     : loop(loop)
     , settings(settings)
     , platform(makePlatform(loop))
-    , peers(loop, security, ownOwner)
+    , peers(loop, security, localOwner)
     , owners(loop, clock, this->peers, ownerOptions(*settings))
     , http(loop)
     , replicas(settings->endpoints)
@@ -68,7 +68,7 @@
     , limits(loop, clock, this->settings, this->datagrams, self)
     , fleet(clock, this->settings, this->replicas)
     , watch(loop, clock, this->settings, self, this->http, this->datagrams, this->replicas, this->fleet)
-    , chooser(clock, this->settings, this->replicas, this->random)
+    , selector(clock, this->settings, this->replicas, this->random)
     , context{loop,
               clock,
               this->settings,
@@ -85,7 +85,7 @@
               this->admission,
               this->limits,
               this->fleet,
-              this->chooser,
+              this->selector,
               this->watch,
               std::move(operators)}
     , service(this->context)
@@ -123,7 +123,7 @@
     this->service.setWaitingFor(std::move(waitingFor));
 }
 
-void EntryTask::sendCallersAway()
+void EntryTask::closeCallerConnections()
 {
     this->server.closeAfterAnswers();
 }
@@ -167,7 +167,7 @@
 void EntryTask::putInForce(const SettingsPointer &settings)
 {
     this->settings.replace(settings);
-    // A replica that is taken out without requests is gone at once; a notice of its last one must not point to it.
+    // A removed replica without requests is deleted at once; a pending notice must not point to it.
     this->notices.flush();
     this->replicas.update(settings->endpoints);
     this->limits.settingsChanged();
--- a/Services/Entry/OnlineRequest.cpp
+++ b/Services/Entry/OnlineRequest.cpp
@@ -14,18 +14,21 @@
 constexpr std::string_view streamEnd = "[DONE]";
 constexpr std::size_t eventLimit = 1048576;
 constexpr std::chrono::milliseconds joinWait{2000};
-/** How long to look for an owner that can decide, before the caller is refused. */
+/** How long to retry the claim until an owner can decide, before the caller is refused. */
 constexpr std::chrono::milliseconds claimTimeout{5000};
-/** An owner answers a claim that may be repeated from memory. What takes longer has been lost with its connection. */
+/**
+ * Timeout of one claim call for a request that may be repeated. The owner decides such a claim from memory, so a
+ * longer wait means that the call was lost with its connection.
+ */
 constexpr std::chrono::milliseconds claimAnswerTimeout{1000};
 constexpr std::chrono::seconds usualRetryAfter{1};
 /** How long an owner may hold a commit before it answers Held. */
 constexpr std::chrono::milliseconds commitWait{500};
 constexpr std::chrono::milliseconds firstCommitPause{500};
-constexpr std::chrono::milliseconds longestCommitPause{10000};
-/** How long a caller waits for a result to be durable when no owner answers at all. */
+constexpr std::chrono::milliseconds maxCommitPause{10000};
+/** How long a caller waits for a durable result when no owner answers. */
 constexpr std::chrono::milliseconds pendingAfter{5000};
-/** How long a runner keeps a result that its owner does not have durably. */
+/** How long a runner keeps a result that its owner has not stored durably. */
 constexpr std::chrono::minutes commitTimeout{30};
 
 constexpr int statusOk = 200;
@@ -88,20 +91,20 @@
 void OnlineRequest::claim()
 {
     const SteadyTime now = this->context.clock.now();
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(this->deadline - now);
+    const auto remainingTime = std::chrono::ceil<std::chrono::milliseconds>(this->deadline - now);
     const ClaimRequest claim{this->request.id,
                              this->request.fingerprint,
                              this->request.isNonIdempotent,
                              this->runner,
                              this->claimNumber,
-                             std::min(joinWait, left)};
+                             std::min(joinWait, remainingTime)};
     this->context.owners.call<ClaimRequest>(
         this->request.id.value(),
         claim,
         claim.wait,
         std::min(this->deadline, now + claimTimeout),
         [isNonIdempotent = this->request.isNonIdempotent](const ClaimResponse &response) {
-            // Without the platform a non-idempotent request cannot run for now: its caller is told at once.
+            // Without the platform a non-idempotent request cannot run, so its caller is refused at once.
             const bool isUndecided = response.decision == ClaimDecision::Unavailable && !isNonIdempotent;
             return response.decision != ClaimDecision::NotOwner && !isUndecided;
         },
@@ -116,21 +119,21 @@
     const Refusal noOwner{statusUnavailable, "no_owner", "no node can take the request now", this->runState(), usualRetryAfter};
     if (!response) {
         this->refuse(noOwner);
-        this->settleClaim();
+        this->repeatUncertainClaim();
         return;
     }
     this->hasClaim = response->decision == ClaimDecision::Run;
-    const bool isLeftWaiting = this->phase == Phase::Ended && response->decision == ClaimDecision::StillRunning;
-    if (response->decision == ClaimDecision::Unavailable || (isLeftWaiting && this->request.isNonIdempotent)) {
+    const bool isStillPending = this->phase == Phase::Ended && response->decision == ClaimDecision::StillRunning;
+    if (response->decision == ClaimDecision::Unavailable || (isStillPending && this->request.isNonIdempotent)) {
         this->release();
     }
     if (this->phase == Phase::Ended) {
-        this->giveBack(noOwner);
+        this->closeClaim(noOwner);
         return;
     }
     switch (response->decision) {
     case ClaimDecision::Run:
-        this->waitForRoom();
+        this->waitForCapacity();
         return;
     case ClaimDecision::Done:
         this->finish(response->answer, "committed");
@@ -164,13 +167,14 @@
     }
 }
 
-void OnlineRequest::settleClaim()
+void OnlineRequest::repeatUncertainClaim()
 {
     if (!this->request.isNamedByCaller) {
         return;
     }
-    // The claim may have been given, and its answer lost: every resend would then wait for a runner that does not exist,
-    // until the lease ends, and for a non-idempotent request for good. The same claim is asked again until it is known.
+    // The claim may have been granted and the answer lost. Every resend would then wait for a runner that does not
+    // exist until the lease ends, and for a non-idempotent request forever. The same claim is repeated until its
+    // state is known.
     const ClaimRequest claim{this->request.id,
                              this->request.fingerprint,
                              this->request.isNonIdempotent,
@@ -192,19 +196,19 @@
         });
 }
 
-void OnlineRequest::giveBack(const Refusal &refusal)
+void OnlineRequest::closeClaim(const Refusal &refusal)
 {
     if (!std::exchange(this->hasClaim, false)) {
         return;
     }
     if (this->request.isNonIdempotent && this->mayHaveRun) {
-        // It must not run again: the refusal becomes its answer, and every resend gets it.
+        // The request must not run again, so the refusal is committed as its answer and every resend gets it.
         const HttpResponse response = refusalResponse(refusal);
         this->commit({static_cast<std::uint16_t>(response.status), "application/json", response.body});
         return;
     }
-    // It was not sent and will not be. Kept as an answer, the refusal would meet its caller at each resend, though
-    // Retry-After had told it to come back: given back, a resend runs.
+    // The request was not sent and will not be. A stored refusal would be returned to every resend, although
+    // Retry-After invites the caller to retry; with the claim released, a resend runs.
     this->release();
 }
 
@@ -221,7 +225,7 @@
         [](const std::optional<ReleaseResponse> &) {});
 }
 
-void OnlineRequest::waitForRoom()
+void OnlineRequest::waitForCapacity()
 {
     this->phase = Phase::Waiting;
     const auto self = this->shared_from_this();
@@ -247,30 +251,32 @@
 {
     const SuspectNotices &suspects = this->context.suspects;
     if (suspects.quarantine().status(this->request.content) == QuarantineStatus::Quarantined) {
-        const auto left = std::chrono::ceil<std::chrono::seconds>(suspects.quarantine().remaining(this->request.content));
-        this->refuse({statusUnprocessable, "quarantined", "endpoints were lost while they ran it", this->runState(), left});
+        const auto remainingTime
+            = std::chrono::ceil<std::chrono::seconds>(suspects.quarantine().remaining(this->request.content));
+        this->refuse(
+            {statusUnprocessable, "quarantined", "endpoints were lost while they ran it", this->runState(), remainingTime});
         return;
     }
     SelectionQuery query{FailureDomain(this->context.settings->node.failureDomain), this->tried, this->failedDomain};
     query.prefix = this->request.prefix;
-    Replica *const chosen = this->context.chooser.select(this->request.serves, query);
+    Replica *const selected = this->context.selector.select(this->request.serves, query);
     const bool isExhausted = this->attempts >= static_cast<std::uint32_t>(this->context.settings->entry.attempts);
-    if (chosen == nullptr || isExhausted) {
+    if (selected == nullptr || isExhausted) {
         this->refuse(
             {statusUnavailable, "no_endpoint", "no endpoint can serve the request now", this->runState(), usualRetryAfter});
         return;
     }
-    if (this->attempts > 0 && !this->mayRetryAt(*chosen)) {
+    if (this->attempts > 0 && !this->mayRetryAt(*selected)) {
         return;
     }
-    // A non-idempotent call gets a connection of its own: an idle one may have gone silent unnoticed, and the call could
-    // then neither be known to have run nor be sent again.
-    this->sendTo(*chosen, this->request.isNonIdempotent ? ConnectionChoice::Fresh : ConnectionChoice::Pooled);
+    // A non-idempotent call gets a new connection. A reused one may have become unresponsive unnoticed, and the call
+    // could then neither be known to have run nor be sent again.
+    this->sendTo(*selected, this->request.isNonIdempotent ? ConnectionChoice::Fresh : ConnectionChoice::Pooled);
 }
 
-bool OnlineRequest::mayRetryAt(const Replica &chosen)
+bool OnlineRequest::mayRetryAt(const Replica &selected)
 {
-    if (this->context.retries.tryConsume(this->request.tenant, chosen.name)) {
+    if (this->context.retries.tryConsume(this->request.tenant, selected.name)) {
         this->context.metrics.countRetry(this->lastFailure);
         return true;
     }
@@ -288,7 +294,7 @@
     this->tried.push_back(replica.name);
     this->status = 0;
     this->body.clear();
-    this->sawEnd = false;
+    this->isStreamEnded = false;
     this->events = ServerSentEvents(eventLimit);
     this->sent = this->context.clock.now();
     if (this->attempts == 1) {
@@ -300,7 +306,8 @@
     if (this->request.completion) {
         message.body = this->request.completion->engineBody(this->completion.text, this->completion.tokens);
     }
-    // NOTE: The attempt lives no longer than this request and tells nothing after its end, so its hooks hold no owner.
+    // NOTE: The attempt does not outlive this request and calls no hook after its end, so its hooks hold no shared
+    // pointer, except onEnd.
     Attempt::Hooks hooks{
         .onHeaders =
             [this](int status, const HttpHeaders &headers) {
@@ -323,7 +330,7 @@
 void OnlineRequest::onHeaders(int status, const HttpHeaders &headers)
 {
     this->status = status;
-    this->context.watch.sawHeaders(*this->replica, headers);
+    this->context.watch.observeHeaders(*this->replica, headers);
     this->contentType = headerValue(headers, "Content-Type").value_or("application/octet-stream");
 }
 
@@ -341,7 +348,7 @@
 void OnlineRequest::onEvent(const std::string &data)
 {
     if (data == streamEnd) {
-        this->sawEnd = true;
+        this->isStreamEnded = true;
         return;
     }
     const auto delta = CompletionDelta::parse(data);
@@ -364,34 +371,36 @@
     this->reply.write(delta->text);
 }
 
-bool OnlineRequest::isWhole() const
+bool OnlineRequest::isComplete() const
 {
-    // An engine may be lost between its last token and the end of its stream: there is nothing left to resume.
-    return this->request.completion && this->status == statusOk && (this->sawEnd || !this->completion.finishReason.empty());
+    // An engine may be lost between its last token and the end of its stream; nothing remains to resume then.
+    return this->request.completion && this->status == statusOk
+        && (this->isStreamEnded || !this->completion.finishReason.empty());
 }
 
 void OnlineRequest::onEnd(AttemptEnd end)
 {
     this->attempt = nullptr;
-    if (end != AttemptEnd::Complete && this->isWhole()) {
+    if (end != AttemptEnd::Complete && this->isComplete()) {
         end = AttemptEnd::Complete;
     }
     switch (end) {
     case AttemptEnd::Complete:
-        this->attemptDone();
+        this->attemptCompleted();
         return;
     case AttemptEnd::NotConnected:
         this->attemptFailed(AttemptOutcome::NotConnected, RunState::NotRun, "not_connected");
         return;
-    case AttemptEnd::Broken:
-        this->lostWithEndpoint();
+    case AttemptEnd::ConnectionLost:
+        this->recordEndpointLoss();
         this->attemptFailed(AttemptOutcome::Failed, RunState::Unknown, "broken");
         return;
-    case AttemptEnd::SilentFresh:
+    case AttemptEnd::UnresponsiveFresh:
         this->attemptFailed(AttemptOutcome::Unresponsive, RunState::Unknown, "silent");
         return;
-    case AttemptEnd::SilentReused: {
-        // The connection is blamed first, not the endpoint: its place in the stream is resumed there over a new one.
+    case AttemptEnd::UnresponsiveReused: {
+        // The connection is assumed to have failed, not the endpoint; the stream is resumed at the same endpoint over
+        // a new one.
         this->lastFailure = "silent_connection";
         Replica &same = *this->replica;
         this->mayHaveRun = true;
@@ -404,27 +413,29 @@
     }
 }
 
-void OnlineRequest::lostWithEndpoint()
+void OnlineRequest::recordEndpointLoss()
 {
     const SteadyTime now = this->context.clock.now();
-    this->context.suspects.lost(this->request.content, {this->replica->name, this->replica->failureDomain, this->sent, now});
+    this->context.suspects.recordLoss(this->request.content,
+                                      {this->replica->name, this->replica->failureDomain, this->sent, now});
 }
 
-void OnlineRequest::attemptDone()
+void OnlineRequest::attemptCompleted()
 {
     if (this->status == statusUnavailable) {
-        // By the endpoints' contract (docs/operators/endpoints.md) a 503 is given before anything is run.
+        // By the endpoints' contract (docs/operators/endpoints.md) a 503 is sent before anything runs.
         this->attemptFailed(AttemptOutcome::Refused, RunState::NotRun, "refused");
         return;
     }
-    const bool isCutShort = this->request.completion && this->status == statusOk && !this->isWhole();
-    // An endpoint that has no room or fails may be followed by one that serves: its answer is no result to be kept.
+    const bool isCutShort = this->request.completion && this->status == statusOk && !this->isComplete();
+    // Another endpoint may serve the request when this one is full or fails, so such an answer is not stored as the
+    // result.
     const bool isEndpointError = this->status >= statusServerError || this->status == statusTooManyRequests;
     if (isCutShort || (isEndpointError && !this->request.isNonIdempotent)) {
         this->attemptFailed(AttemptOutcome::Failed, RunState::Unknown, isCutShort ? "cut_short" : "endpoint_error");
         return;
     }
-    this->context.suspects.succeeded(this->request.content);
+    this->context.suspects.recordSuccess(this->request.content);
     this->context.retries.recordSuccess(this->request.tenant, this->replica->name);
     this->leaveReplica({AttemptOutcome::Succeeded, this->serviceTime()});
     if (this->request.completion && this->status == statusOk) {
@@ -448,10 +459,10 @@
 
 void OnlineRequest::leaveReplica(const AttemptResult &result)
 {
-    Replica &left = *std::exchange(this->replica, nullptr);
-    this->context.fleet.end(left, result);
+    Replica &previous = *std::exchange(this->replica, nullptr);
+    this->context.fleet.end(previous, result);
     this->context.admission.served(this->request.serves, since(this->sent, this->context.clock.now()));
-    this->context.notices.changed(left);
+    this->context.notices.changed(previous);
 }
 
 void OnlineRequest::attemptFailed(AttemptOutcome outcome, RunState run, std::string_view reason)
@@ -466,7 +477,8 @@
     this->leaveReplica({outcome, {}});
     this->mayHaveRun = this->mayHaveRun || run == RunState::Unknown;
     if (this->request.isNonIdempotent && run == RunState::Unknown) {
-        // It may have run, so it must not run again. This is committed as its answer: every resend gets the same.
+        // The request may have run, so it must not run again. This refusal is committed as its answer and every
+        // resend gets it.
         this->refuse({statusBadGateway,
                       "outcome_unknown",
                       "the endpoint was lost while it ran; it will not run again",
@@ -485,8 +497,8 @@
     this->result = answer;
     this->sendCommit();
     if (this->reply.isOpen()) {
-        const auto left = std::chrono::ceil<std::chrono::milliseconds>(this->deadline - this->context.clock.now());
-        this->armDeadline(std::clamp(left, std::chrono::milliseconds(0), pendingAfter));
+        const auto remainingTime = std::chrono::ceil<std::chrono::milliseconds>(this->deadline - this->context.clock.now());
+        this->armDeadline(std::clamp(remainingTime, std::chrono::milliseconds(0), pendingAfter));
     }
 }
 
@@ -508,7 +520,7 @@
 void OnlineRequest::onCommit(const std::optional<CommitResponse> &response)
 {
     if (!response) {
-        log(LogLevel::Error, "result was not taken by any owner", {{"request", this->request.id.value()}});
+        log(LogLevel::Error, "result dropped: no owner accepted it in time", {{"request", this->request.id.value()}});
         return;
     }
     switch (response->decision) {
@@ -519,12 +531,13 @@
         this->finish(response->answer, "committed");
         return;
     case CommitDecision::Held:
-        // This node and the owner both hold the result until the platform is back: one of them may be lost.
+        // Both this node and the owner hold the result until the platform is available again, as either of them may
+        // be lost.
         this->finish(this->result, "pending");
         this->context.loop.schedule(this->commitPause, [self = this->shared_from_this()] {
             self->sendCommit();
         });
-        this->commitPause = std::min(this->commitPause * 2, longestCommitPause);
+        this->commitPause = std::min(this->commitPause * 2, maxCommitPause);
         return;
     case CommitDecision::NotOwner:
     case CommitDecision::Unavailable:
@@ -563,13 +576,14 @@
     Refusal running = refusal;
     running.run = RunState::Unknown;
     if (this->request.isNonIdempotent) {
-        // It is running, and can neither be stopped for certain nor run again. The caller is told at once; its resend
-        // gets the endpoint's answer, if that still comes.
+        // The request is running and can neither be reliably stopped nor run again. The caller is refused at once; a
+        // resend gets the endpoint's answer if it still arrives.
         this->context.metrics.countAnswer(this->kind(), std::string(running.reason));
         this->reply.refuse(running);
         return;
     }
-    // The endpoint did nothing wrong. What it would still make is of use to nobody.
+    // The caller's deadline has passed, which is not counted as a failure of the endpoint; the remaining output is
+    // not needed.
     this->attempt = nullptr;
     this->leaveReplica({AttemptOutcome::Abandoned, {}});
     this->refuse(running);
@@ -577,8 +591,9 @@
 
 RunState OnlineRequest::runState() const
 {
-    // An id that the caller chose may have come before, here or at another node, and that sending may have run. Only the
-    // durable intent of a non-idempotent request proves that none has: it is written once, before any attempt.
+    // A request with an id chosen by the caller may have been sent before, here or to another node, and may have run.
+    // Only the durable intent of a non-idempotent request proves that none has: it is written once, before any
+    // attempt.
     const bool hasProof = !this->request.isNamedByCaller || (this->hasClaim && this->request.isNonIdempotent);
     return this->mayHaveRun || !hasProof ? RunState::Unknown : RunState::NotRun;
 }
@@ -595,7 +610,7 @@
         this->reply.refuse(refusal);
         this->request.hold = nullptr;
     }
-    this->giveBack(refusal);
+    this->closeClaim(refusal);
 }
 
 } // namespace Dogwoodkeel
--- a/Tests/ServiceEntry/TestAdmission.cpp
+++ b/Tests/ServiceEntry/TestAdmission.cpp
@@ -19,7 +19,7 @@
     exchange->endStream();
 }
 
-/** One model endpoint with two places that answers when it is told to. */
+/** One model endpoint with two slots whose answers the test sends. */
 struct FullEndpoint
 {
     FullEndpoint()
@@ -32,7 +32,7 @@
         });
     }
 
-    /** Occupy both places. */
+    /** Occupies both slots. */
     void fill()
     {
         for (const char *const prompt : {"a", "b"}) {
@@ -50,13 +50,13 @@
 
 } // namespace
 
-TEST_CASE("a request waits for room, and the most urgent one gets it")
+TEST_CASE("requests wait for a free slot, and the one with the earliest deadline gets it")
 {
-    // An engine would take a third request and serve all three more slowly. It waits here, and goes when one is done;
-    // the one that came later but has less time goes first.
+    // An engine would accept a third request and serve all three more slowly. The third request waits until one is
+    // done; a later request with an earlier deadline goes first.
     FullEndpoint full;
     full.fill();
-    const auto patient = full.bench.complete("patient", deadline("60000"));
+    const auto lessUrgent = full.bench.complete("patient", deadline("60000"));
     const auto urgent = full.bench.complete("urgent", deadline("30000"));
     full.bench.until([&] {
         return full.bench.owner.claims.size() == 4;
@@ -72,12 +72,12 @@
         return full.running.size() == 4;
     });
     serve(full.running[3]);
-    full.bench.untilEnd(patient);
-    CHECK(patient->text() == "x");
+    full.bench.untilEnd(lessUrgent);
+    CHECK(lessUrgent->text() == "x");
     CHECK(urgent->text() == "x");
 }
 
-TEST_CASE("a request that finds the queue full is refused at once, never run, and told when to come back")
+TEST_CASE("a request that finds the queue full is refused at once as not run, with Retry-After")
 {
     EntryBench bench(1);
     bench.settings.endpoints[0].capacity = 1;
@@ -105,7 +105,7 @@
     });
 }
 
-TEST_CASE("a request whose deadline passes while it waits was not run")
+TEST_CASE("a request whose deadline passes in the queue is refused as not run")
 {
     FullEndpoint full;
     full.fill();
@@ -120,7 +120,7 @@
 
 TEST_CASE("a lookup does not wait behind requests for a model that is full")
 {
-    // The clerk's lookup is answered while twenty requests for the model wait in the same node.
+    // The lookup is answered while twenty requests for the model wait at the same node.
     EntryBench bench(1);
     bench.settings.endpoints[0].capacity = 1;
     bench.settings.entry.firstByteTimeout = std::chrono::seconds(10);
@@ -140,7 +140,7 @@
     CHECK(bench.endpoints[0]->requests() == 1);
 }
 
-TEST_CASE("a tenant at its limit is refused at once, and gets room when a request of its is answered")
+TEST_CASE("a tenant at its limit is refused at once, and admitted again when one of its requests is answered")
 {
     EntryBench bench(1);
     bench.settings.tenants[0] = {.name = "default", .concurrency = 2};
@@ -171,9 +171,10 @@
     });
 }
 
-TEST_CASE("when every replica is leaving, a request is refused at once and does not wait for room")
+TEST_CASE("when every replica is leaving, a request is refused at once and does not wait for a slot")
 {
-    // The caller has a minute; nothing will come free in it. Without the rule it would wait for its deadline.
+    // The deadline is a minute away and no slot becomes free within it. The request must be refused at once and not
+    // wait for its deadline.
     EntryBench bench(1);
     bench.settings.entry.firstByteTimeout = std::chrono::seconds(10);
     bench.start();
--- a/Tests/ServiceEntry/TestQuarantinedRequest.cpp
+++ b/Tests/ServiceEntry/TestQuarantinedRequest.cpp
@@ -7,7 +7,7 @@
 
 using Exchange = std::shared_ptr<ScriptedEndpoint::Exchange>;
 
-/** Breaks off like an endpoint that crashes on "poison", and serves all else. */
+/** Closes the connection on "poison", like an endpoint that crashes, and serves all other requests. */
 void crashOnPoison(const Exchange &exchange)
 {
     if (exchange->body.find("poison") != std::string::npos || exchange->head.find("poison") != std::string::npos) {
@@ -30,10 +30,10 @@
 
 } // namespace
 
-TEST_CASE("a request that crashes endpoints reaches two of them, whatever ids its caller sends it under")
+TEST_CASE("a request that crashes endpoints reaches two of them, whatever ids its caller uses")
 {
-    // The caller is refused; without the quarantine its six sendings would take down all six endpoints. The first
-    // sending meets two endpoints by its retry; what comes after, under new ids, meets none.
+    // Without the quarantine the six requests would crash all six endpoints. The first request reaches two endpoints
+    // because it is retried; the later ones, under new ids, reach none.
     EntryBench bench(6);
     bench.start();
     for (const auto &endpoint : bench.endpoints) {
@@ -51,7 +51,7 @@
     CHECK(other->text() == "fine");
 }
 
-TEST_CASE("a node that heard of two losses from others sends the request nowhere")
+TEST_CASE("a node that received notices of two losses from other nodes refuses the request")
 {
     EntryBench bench(3);
     bench.start();
@@ -62,7 +62,7 @@
     notice.suspects.push_back({content, EndpointName("m1"), FailureDomain("domain1"), 30, 20});
     DatagramSocket other(bench.loop, {"127.0.0.1", 0}, MessageKey(""), [](const Datagram &) {});
     other.send(bench.entry->fleetAddress(), notice);
-    // The datagram is on its way by the socket; one turn of the loop after it has come, the notice counts.
+    // The datagram travels through the socket; the notice takes effect one turn of the loop after it arrived.
     bench.until([&] {
         return bench.entry->quarantinedRequests() == 1;
     });
@@ -102,7 +102,7 @@
     CHECK(requestsOf(bench) == 2);
 }
 
-TEST_CASE("a lookup whose connection went silent is answered over a new one by the same endpoint")
+TEST_CASE("a lookup over an unresponsive reused connection is answered over a new one by the same endpoint")
 {
     EntryBench bench(0);
     bench.addEndpoint("s-a", "a", false).setScript([](const Exchange &exchange) {
@@ -119,7 +119,7 @@
     CHECK(bench.endpoints[0]->requests() == 3);
 }
 
-TEST_CASE("a lookup that cannot be answered by its deadline is refused then, with when to come back")
+TEST_CASE("a lookup that is not answered by its deadline is refused then, with Retry-After")
 {
     EntryBench bench(0);
     bench.addEndpoint("s-a", "a", false);
