--- a/Services/Gateway/ItemAttempt.cpp
+++ b/Services/Gateway/ItemAttempt.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t maxAvoided = 2;
 /** Interval between checks of an item that is held because the replicas that run it crash. */
 constexpr std::chrono::milliseconds crashCheckInterval{2000};
-constexpr std::chrono::milliseconds longestIdle{10000};
+constexpr std::chrono::milliseconds maxIdleTime{10000};
 
 } // namespace
 
@@ -121,7 +121,7 @@
     query.due = this->due - this->context.itemEstimates[this->target.service].remaining(this->lastEvent.value_or(0));
     query.deadline = query.arrived + std::chrono::hours(1);
     query.avoided = this->avoided;
-    query.connected = connectedReplicas(this->context, query.service, longestIdle);
+    query.connected = connectedReplicas(this->context, query.service, maxIdleTime);
     query.version = this->version;
     this->ticket = this->context.placements.requestSlot(query, [self = this->shared_from_this()](const Placement &placement) {
         self->handlePlacement(placement);
@@ -257,7 +257,7 @@
     outbound.address = replica.address;
     outbound.head = encodeItemRequest(this->item, this->origin.host, this->origin.workspace, replica, this->lastEvent);
     outbound.body = this->item.body;
-    outbound.maxIdleTime = longestIdle;
+    outbound.maxIdleTime = maxIdleTime;
     outbound.isAnswer = isAnswerTo(this->item.id.value());
     log(LogLevel::Info,
         "batch item sent",
--- a/Services/Gateway/PeerNetwork.h
+++ b/Services/Gateway/PeerNetwork.h
@@ -52,7 +52,7 @@
 
     /**
      * @return the members by which roles are assigned. A member's loss of the store counts there only once it has lasted for some
-     * time while most members reach the store, see StoreReach.
+     * time while most members reach the store, see StoreReachability.
      */
     MemberViewPointer roleView() const;
 
--- a/Services/Gateway/ReplicaCall.h
+++ b/Services/Gateway/ReplicaCall.h
@@ -39,7 +39,7 @@
 
 /**
  * @param maxIdle how long a connection may have been idle to be usable for the request
- * @return the marks of the replicas of a service to which this node has a usable open connection, see markOf()
+ * @return the name hashes of the replicas of a service to which this node has a usable open connection, see nameHashOf()
  */
 std::vector<std::uint32_t>
 connectedReplicas(const GatewayContext &context, const ServiceName &service, std::chrono::milliseconds maxIdle);
--- a/Tests/ServiceGateway/TestGateway.cpp
+++ b/Tests/ServiceGateway/TestGateway.cpp
@@ -214,9 +214,9 @@
         bench.settings.gateway.lapsedKept = std::chrono::seconds(5);
         bench.addReplica("i-1", "api", answerWhole);
     });
-    const auto setResponseMode = [&running](StandInStore::ResponseMode mood) {
-        running.host.ask<bool>([mood](GatewayBench &bench) {
-            bench.store.setResponseMode(mood);
+    const auto setResponseMode = [&running](StandInStore::ResponseMode responseMode) {
+        running.host.ask<bool>([responseMode](GatewayBench &bench) {
+            bench.store.setResponseMode(responseMode);
             return true;
         });
     };
