--- a/Services/Gateway/QuotaService.h
+++ b/Services/Gateway/QuotaService.h
@@ -33,7 +33,7 @@
     /** Starts to take part in counting; called when workspaces are configured. */
     void start();
 
-    /** See QuotaClient::request(). @param version version of the configuration that names the workspace */
+    /** See QuotaClient::query(). @param version version of the configuration that names the workspace */
     QuotaClient::Ticket request(const Workspace &workspace, std::uint64_t version, QuotaClient::DecisionHandler decided);
 
     /** Cancels a request; its callback is not called any more. */
