--- a/Benchmarks/Days/ceiling.py
+++ b/Benchmarks/Days/ceiling.py
@@ -1,18 +1,18 @@
 #!/usr/bin/env python3
-"""What nobody could have earned on a day: ceiling.py SITE DAY[:SEED]... [--kit FOLDER] [--jobs N]
-
-SITE: such as further/innbytte-takst. Run in the repository. Plays each day once with logs and a report, and prints for each its worth
-beside a bound from above: the whole day, the two worst windows, and what remains between the two.
-
-The bound takes for lost only what no system without a memory of its own outside the platform's store could have served:
-- While all nodes are without power or killed, nobody answers. Streams that run when that begins pause for longer than they may (a stream
-  that may be resumed is late, another one is lost), and who comes before the end of it, less the objective, is late.
-- Nodes that start while the store is away know neither routes nor replicas: the time until it is back counts as dark.
-- A job that is sent while the store is away, and could not be accepted within its objective, is late, or lost if the store is back
-  only after its caller's deadline; nothing may be promised that the store does not hold.
-- A result that is due while the store is away, or that was generated while it was away before all nodes were lost, is not counted as
-  lost: it could have been earlier. So the bound is generous for batch jobs.
-Left out as well: slots of replicas, and time on the network.
+"""Upper bound of the worth that a system could earn on a day: ceiling.py SITE DAY[:SEED]... [--kit FOLDER] [--jobs N]
+
+SITE: such as further/innbytte-takst. Run in the repository. Runs each day once with logs and a report, and prints for each its worth
+and an upper bound: of the whole day, and of the two worst windows.
+
+The bound counts as lost only what no system that keeps its state in the platform's store alone could have served:
+- While all nodes are without power or killed, no request is answered. Streams that run at its start pause for longer than allowed (a
+  stream that may be resumed is late, another one is lost), and a request that arrives before its end, less the objective, is late.
+- Nodes that start while the store is unavailable know neither routes nor replicas: the time until its return counts as an outage of all nodes.
+- A job that is sent while the store is unavailable, and could not be accepted within its objective, is late, or lost if the store
+  returns only after the caller's deadline; a job may be accepted only once the store holds it.
+- A result that is due while the store is unavailable, or that was generated while it was unavailable before all nodes were lost, is not counted as
+  lost: it could have been generated earlier. So the bound is generous for batch jobs.
+The bound also ignores the slots of replicas and the time on the network.
 """
 import argparse
 import json
@@ -49,7 +49,7 @@
 
 
 def job_arrivals(lines):
-    """First submission and number of items of each job, as the nodes saw them."""
+    """First submission and number of items of each job, from the logs of the nodes."""
     first, items = {}, {}
     for time, _, line in lines:
         if line["event"] == "job submission decided":
@@ -59,13 +59,13 @@
 
 
 def outages(report):
-    """When the whole store is away."""
+    """The times when the whole store is unavailable."""
     return [(e["at_s"], e["to_s"]) for e in report["events"]
             if e["kind"].startswith("platform_down") and "nodes" not in e["kind"] and e["share"] == 0]
 
 
 def dark_times(lines, report):
-    """When no node can answer: from a loss of all of them until the first could know routes and replicas again."""
+    """The times when no node can answer: from the loss of all nodes until the first can have routes and replicas again."""
     started = sorted(time for time, _, line in lines if line["event"] == "started")
     dark = []
     for event in report["events"]:
@@ -89,7 +89,7 @@
 
 
 def online_loss(cls, time, dark):
-    """The share of its worth that a request of this kind loses if it comes at a moment."""
+    """The share of its worth that a request of this kind loses if it arrives at this time."""
     late = 1 - cls["late_worth"] / cls["worth"]
     stream = cls.get("stream")
     length = 0.75 if stream else cls.get("work_ms", {"mean": 30})["mean"] / 1000
@@ -111,7 +111,7 @@
 
 
 def mark_shares(day, events):
-    """Note with each event what share of its targets the day's fault hits; 0: all."""
+    """Records in each event the share of its targets that the day's fault affects; 0: all."""
     shares = [(fault["kind"], float(fault["at"]), fault.get("share", 0)) for fault in day["faults"]]
     for event in events:
         event["share"] = next((share for kind, at, share in shares
@@ -119,7 +119,7 @@
 
 
 def online_balance(classes, day, begin, dark):
-    """What the requests that come in a window are expected to be worth, their share that is lost, and how many they are."""
+    """The expected number of requests in a window, their worth, and the part of it that is lost."""
     count, worth, lost = 0.0, 0.0, 0.0
     for traffic in day["traffic"]:
         total = sum(traffic["mix"].values())
@@ -136,7 +136,7 @@
 
 
 def ceiling(site, report, output):
-    """The bound of the whole day, of its two worst windows, and which these are."""
+    """The bound of the whole day, of its two worst windows, and these windows."""
     classes = {cls["name"]: cls for cls in site["classes"]}
     name, _, _ = report["day"].partition(":")
     day = next(day for day in site["day"] if day["name"] == name)
--- a/Benchmarks/Measure/Peers.cpp
+++ b/Benchmarks/Measure/Peers.cpp
@@ -1,4 +1,4 @@
-// A call to an owner: through a socket, and to the one in the same process.
+// Measures the latency and processor time of a call to an owner: through a socket, and within the same process.
 #include <Benchmarks/Support/Figures.h>
 
 #include <LibTask/TaskHost.h>
@@ -13,7 +13,7 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "not used");
-DEFINE_uint64(calls, 20000, "calls of each kind");
+DEFINE_uint64(calls, 20000, "number of calls of each kind");
 
 namespace
 {
@@ -45,7 +45,7 @@
 
     PeerClient peers;
     Durations durations;
-    std::uint64_t left = 0;
+    std::uint64_t remaining = 0;
 };
 
 double processSeconds()
@@ -58,7 +58,7 @@
 
 void callNext(Client &client, const Address &address, std::promise<void> &done)
 {
-    if (client.left-- == 0) {
+    if (client.remaining-- == 0) {
         done.set_value();
         return;
     }
@@ -76,18 +76,18 @@
     std::promise<void> done;
     const double before = processSeconds();
     host.post([&](Client &client) {
-        client.left = FLAGS_calls;
+        client.remaining = FLAGS_calls;
         callNext(client, address, done);
     });
     done.get_future().wait();
-    const double taken = processSeconds() - before;
+    const double spent = processSeconds() - before;
     auto durations = host.ask<Durations>([](Client &client) {
         return client.durations;
     });
     constexpr double microseconds = 1000;
     printFigure("peers." + name + ".p50", durations.percentile(0.5) * microseconds, "us");
     printFigure("peers." + name + ".p99", durations.percentile(0.99) * microseconds, "us");
-    printFigure("peers." + name + ".cpu", taken / static_cast<double>(FLAGS_calls) * 1e6, "us per call");
+    printFigure("peers." + name + ".cpu", spent / static_cast<double>(FLAGS_calls) * 1e6, "us per call");
 }
 
 } // namespace
--- a/Benchmarks/Measure/Placing.cpp
+++ b/Benchmarks/Measure/Placing.cpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-// What a dispatcher's processor spends on one online request: its ask, the load that its replica states, and its end, which gives
-// the slot to one that waits. Arguments: replicas, and requests that wait.
+// Measures the processor time that a dispatcher spends on one online request: the request for a slot, the load report of its
+// replica, and its end, which passes the slot to a waiting request. Arguments: numbers of replicas and of waiting requests.
 
 using namespace Dogwoodkeel;
 
@@ -18,10 +18,10 @@
 {
 
 constexpr std::uint32_t slots = 7;
-/** Replicas to which an asking node has an open connection. */
+/** Number of replicas to which a requesting node has an open connection. */
 constexpr std::size_t connectedCount = 8;
 
-/** A dispatcher whose slots are all taken if anybody waits, else all but one. */
+/** A dispatcher whose slots are all in use if requests wait, and all but one otherwise. */
 class FullService
 {
 public:
@@ -38,13 +38,13 @@
         this->dispatcher.setReplicas(this->replicas);
         const std::size_t running = replicaCount * slots - (waiting == 0 ? 1 : 0);
         for (std::size_t number = 0; number < running + waiting; ++number) {
-            this->ask();
+            this->submitRequest();
         }
     }
 
     void serveOne()
     {
-        this->ask();
+        this->submitRequest();
         const auto [id, replica] = this->placed.front();
         this->placed.pop_front();
         this->dispatcher.recordLoad(replica, {slots, 0});
@@ -57,7 +57,7 @@
     }
 
 private:
-    void ask()
+    void submitRequest()
     {
         PlacementRequest request;
         request.id = {SessionNumber(1), ++this->last};
--- a/Benchmarks/Measure/Replace.cpp
+++ b/Benchmarks/Measure/Replace.cpp
@@ -1,5 +1,5 @@
-// What callers feel while the nodes are replaced one after another, then two at once while a third is killed: cut, retried
-// and refused requests, the 99th percentile against steady state in the same run, and what ran twice.
+// Measures the effect on callers while the nodes are replaced one after another, and then two at once while a third is killed:
+// interrupted, retried and refused requests, the 99th percentile compared with steady state in the same run, and duplicate runs.
 #include <Benchmarks/Support/FollowingCallers.h>
 #include <Benchmarks/Support/LocalFleet.h>
 
@@ -13,9 +13,9 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "folder with the programs");
-DEFINE_int32(nodes, 11, "nodes, all of them replaced");
-DEFINE_int32(steady, 10, "seconds of steady state before");
-DEFINE_int32(items, 3000, "items of the batch job");
+DEFINE_int32(nodes, 11, "number of nodes, all of which are replaced");
+DEFINE_int32(steady, 10, "seconds of steady state before the replacement");
+DEFINE_int32(items, 3000, "number of items of the batch job");
 
 namespace
 {
@@ -69,7 +69,7 @@
     return false;
 }
 
-/** The nodes that run, oldest first, and how they are replaced. */
+/** Starts and stops the nodes; keeps the running ones, oldest first. */
 struct Fleet
 {
     explicit Fleet(const std::string &programs) : fleet(programs)
@@ -88,18 +88,18 @@
         return node;
     }
 
-    std::size_t takeOldest()
+    std::size_t removeOldest()
     {
         const std::size_t node = this->running.front();
         this->running.pop_front();
         return node;
     }
 
-    /** Waits for a node that was told to stop. */
-    void awaitEnd(std::size_t node)
+    /** Waits for the exit of a node that was signalled to stop. */
+    void awaitExit(std::size_t node)
     {
         const auto begin = std::chrono::steady_clock::now();
-        this->badEnds += this->fleet.waitEnd(node, 60s) == 0 ? 0 : 1;
+        this->failedStops += this->fleet.waitEnd(node, 60s) == 0 ? 0 : 1;
         this->stops.add(std::chrono::steady_clock::now() - begin);
     }
 
@@ -108,7 +108,7 @@
     std::vector<std::size_t> engines;
     std::vector<std::size_t> services;
     std::size_t started = 0;
-    int badEnds = 0;
+    int failedStops = 0;
     Durations ready;
     Durations stops;
 };
@@ -152,17 +152,17 @@
 {
     for (int i = 0; i < FLAGS_nodes; ++i) {
         fleet.startNode();
-        const std::size_t old = fleet.takeOldest();
+        const std::size_t old = fleet.removeOldest();
         fleet.fleet.signal(old, SIGTERM);
-        fleet.awaitEnd(old);
+        fleet.awaitExit(old);
     }
 }
 
 void replaceTwoAndKillOne(Fleet &fleet)
 {
-    const std::size_t first = fleet.takeOldest();
-    const std::size_t second = fleet.takeOldest();
-    const std::size_t third = fleet.takeOldest();
+    const std::size_t first = fleet.removeOldest();
+    const std::size_t second = fleet.removeOldest();
+    const std::size_t third = fleet.removeOldest();
     fleet.startNode();
     fleet.startNode();
     fleet.fleet.signal(first, SIGTERM);
@@ -170,8 +170,8 @@
     std::this_thread::sleep_for(500ms);
     fleet.fleet.signal(third, SIGKILL);
     fleet.startNode();
-    fleet.awaitEnd(first);
-    fleet.awaitEnd(second);
+    fleet.awaitExit(first);
+    fleet.awaitExit(second);
     std::this_thread::sleep_for(3s);
 }
 
@@ -197,8 +197,8 @@
     }
 }
 
-/** Calls of the plain services and starts of batch items beyond the first of each. */
-void printDoubles(Fleet &fleet)
+/** Prints how many calls of the plain services and starts of batch items came after the first of each. */
+void printDuplicates(Fleet &fleet)
 {
     double offers = 0;
     for (const std::size_t service : fleet.services) {
@@ -216,12 +216,12 @@
             starts[prompt] += prompt.find("lot item") != std::string::npos ? count.get<double>() : 0;
         }
     }
-    double more = 0;
+    double repeated = 0;
     for (const auto &[prompt, count] : starts) {
-        more += count > 1 ? count - 1 : 0;
+        repeated += count > 1 ? count - 1 : 0;
     }
     printFigure("replace.offers_run_twice", offers, "calls");
-    printFigure("replace.items_started_again", more, "starts");
+    printFigure("replace.items_started_again", repeated, "starts");
 }
 
 } // namespace
@@ -235,7 +235,7 @@
         fleet.startNode();
     }
     if (!fleet.fleet.waitReady(20s)) {
-        std::puts("the nodes did not meet");
+        std::puts("the nodes did not all become ready");
         return 1;
     }
     std::vector<Address> bootstrap;
@@ -260,11 +260,11 @@
     }
     std::printf("note job in the end: %s\n", jobStatus(fleet, job).dump().c_str());
     printTallies(callers);
-    printDoubles(fleet);
+    printDuplicates(fleet);
     printFigure("replace.start_to_ready_p50", fleet.ready.percentile(0.5), "ms");
     printFigure("replace.start_to_ready_worst", fleet.ready.percentile(1), "ms");
     printFigure("replace.stop_p50", fleet.stops.percentile(0.5), "ms");
     printFigure("replace.stop_worst", fleet.stops.percentile(1), "ms");
-    printFigure("replace.bad_ends", fleet.badEnds, "nodes");
+    printFigure("replace.bad_ends", fleet.failedStops, "nodes");
     return 0;
 }
--- a/Benchmarks/Measure/Reports.cpp
+++ b/Benchmarks/Measure/Reports.cpp
@@ -1,5 +1,6 @@
-// What a node spends on learning about endpoints, by numbers of nodes and replicas: polls of those it holds, and asking
-// for the reports of all others. One node's watch is the real one; endpoints answer from another thread.
+// Measures what a node spends to learn the state of endpoints, by numbers of nodes and replicas: it polls the endpoints
+// that are assigned to it and requests the reports of all others. The FleetWatch of one node is the real one; the endpoints
+// answer from another thread.
 #include <Benchmarks/Support/Figures.h>
 
 #include <LibBase/SystemClock.h>
@@ -28,7 +29,7 @@
 
 std::atomic<int> polls = 0;
 
-/** All endpoints in one. */
+/** One server that stands in for all endpoints. */
 struct Endpoints
 {
     explicit Endpoints(EventLoop &loop)
--- a/Benchmarks/Measure/Routing.cpp
+++ b/Benchmarks/Measure/Routing.cpp
@@ -1,5 +1,5 @@
-// How ways of choosing a replica compare, in virtual time: nodes before replicas of two hardware generations, with the
-// costs of the stand-in engine (docs/design/engine-stand-in.md). Only the decisions are the real ones.
+// Compares policies that select a replica, in virtual time: several nodes use replicas of two hardware generations, with the
+// costs of the stand-in engine (docs/design/engine-stand-in.md). Only the decisions run the real code.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/VirtualTime.h>
 
@@ -17,9 +17,9 @@
 
 DEFINE_string(programs, "build", "not used: nothing is started");
 DEFINE_int32(seconds, 40, "virtual time of each run");
-DEFINE_int32(nodes, 11, "nodes that choose, each by what it knows");
-DEFINE_int32(replicas, 9, "replicas; every third is of an old generation that takes twice as long");
-DEFINE_uint64(seed, 1, "of the arrivals and the draws");
+DEFINE_int32(nodes, 11, "number of nodes; each selects replicas by its own state");
+DEFINE_int32(replicas, 9, "number of replicas; every third is of an old generation that takes twice as long");
+DEFINE_uint64(seed, 1, "seed of the arrivals and of the random selections");
 
 namespace
 {
@@ -29,11 +29,11 @@
 using Micros = std::chrono::microseconds;
 using Seconds = std::chrono::duration<double>;
 
-constexpr std::size_t places = 8;
+constexpr std::size_t slots = 8;
 constexpr Micros stepCost{2000};
 constexpr Micros perStream{100};
 constexpr Micros prefillCost{5000};
-/** Of a prompt's first 4 KB, unless they are cached. */
+/** Prefill cost of the first 4 KB of a prompt, unless they are cached. */
 constexpr Micros prefixCost{8000};
 constexpr Micros prefillChunk{4000};
 constexpr std::uint64_t templates = 60;
@@ -45,12 +45,12 @@
 {
     std::uint64_t prefix = 0;
     int tokens = 0;
-    /** Told of each token, with how many are left. */
+    /** Called for each token with the number of remaining tokens. */
     std::function<void(int)> onToken;
     Micros prefill{0};
 };
 
-/** Continuous batching with chunked prefill, and a prefix cache that drops what was unused for longest. */
+/** Simulates continuous batching with chunked prefill, and a prefix cache that evicts the least recently used prefix. */
 class Engine
 {
 public:
@@ -77,7 +77,7 @@
 private:
     void admit()
     {
-        for (; this->running.size() < places && !this->queue.empty(); this->queue.pop_front()) {
+        for (; this->running.size() < slots && !this->queue.empty(); this->queue.pop_front()) {
             Stream &stream = this->running.emplace_back(std::move(this->queue.front()));
             const bool isHit = std::erase(this->cache, stream.prefix) > 0;
             stream.prefill = prefillCost + (isHit ? Micros(0) : prefixCost);
@@ -128,40 +128,40 @@
     bool isStepping = false;
 };
 
-/** What one node knows, and how it chooses. */
+/** The state of one node, and its replica selector. */
 struct Node
 {
     Node(const Clock &clock, const SettingsHandle &settings, std::uint64_t seed)
         : random(seed)
         , table(settings->endpoints)
         , state(clock, settings, this->table)
-        , chooser(clock, settings, this->table, this->random)
+        , selector(clock, settings, this->table, this->random)
     {
     }
 
     std::mt19937_64 random;
     ReplicaTable table;
     FleetState state;
-    ReplicaSelector chooser;
+    ReplicaSelector selector;
 };
 
-using Choose = std::function<Replica *(Node &node, std::uint64_t prefix)>;
+using SelectReplica = std::function<Replica *(Node &node, std::uint64_t prefix)>;
 
 double reportedLoad(const Replica *replica)
 {
     return replica->inFlight + replica->otherNodes.inFlight;
 }
 
-Replica *drawOne(Node &node)
+Replica *randomReplica(Node &node)
 {
     const std::vector<Replica *> &all = node.table.of(model);
     return all[node.random() % all.size()];
 }
 
-const std::array<std::pair<const char *, Choose>, 5> ways{{
+const std::array<std::pair<const char *, SelectReplica>, 5> policies{{
     {"random",
      [](Node &node, std::uint64_t) {
-         return drawOne(node);
+         return randomReplica(node);
      }},
     {"least_in_flight",
      [](Node &node, std::uint64_t) {
@@ -169,17 +169,17 @@
      }},
     {"two_choices",
      [](Node &node, std::uint64_t) {
-         return std::min(drawOne(node), drawOne(node), [](const Replica *left, const Replica *right) {
+         return std::min(randomReplica(node), randomReplica(node), [](const Replica *left, const Replica *right) {
              return reportedLoad(left) < reportedLoad(right);
          });
      }},
     {"ours_without_prefix",
      [](Node &node, std::uint64_t) {
-         return node.chooser.select(model, {});
+         return node.selector.select(model, {});
      }},
     {"ours",
      [](Node &node, std::uint64_t prefix) {
-         return node.chooser.select(model, {.prefix = prefix});
+         return node.selector.select(model, {.prefix = prefix});
      }},
 }};
 
@@ -188,8 +188,12 @@
     return replica % 3 == 2 ? 2 : 1;
 }
 
-/** Runs one way at one load, and prints its figures. @param percent of what the replicas finish without a cached prefix */
-void measure(const Choose &choose, const std::string &name, int percent, std::chrono::milliseconds lag)
+/**
+ * Runs one policy at one load, and prints its figures.
+ * @param percent load, in percent of the rate that the replicas complete without a cached prefix
+ * @param lag age of the load reports when the nodes receive them
+ */
+void measure(const SelectReplica &selectReplica, const std::string &name, int percent, std::chrono::milliseconds lag)
 {
     VirtualTime time;
     Settings base;
@@ -197,8 +201,8 @@
     double rate = 0;
     for (int i = 0; i < FLAGS_replicas; ++i) {
         engines.push_back(std::make_unique<Engine>(time, slownessOf(i)));
-        base.endpoints.push_back({.name = std::to_string(i), .model = model, .capacity = places});
-        const Seconds decode = (stepCost + perStream * places) * meanTokens / places;
+        base.endpoints.push_back({.name = std::to_string(i), .model = model, .capacity = slots});
+        const Seconds decode = (stepCost + perStream * slots) * meanTokens / slots;
         rate += 1 / (Seconds(decode + prefillCost + prefixCost).count() * slownessOf(i));
     }
     const SettingsHandle settings(std::make_shared<Settings>(base));
@@ -226,27 +230,27 @@
         return 1 / ++rank;
     });
     std::discrete_distribution<std::uint64_t> popular(popularity.begin(), popularity.end());
-    const SteadyTime warm = time.now() + std::chrono::seconds(FLAGS_seconds) / 4;
+    const SteadyTime measuredFrom = time.now() + std::chrono::seconds(FLAGS_seconds) / 4;
     Durations first;
     Durations total;
     const std::function<void()> arrive = [&] {
         Node &node = nodes[random() % nodes.size()];
         const std::uint64_t prefix = rendezvousWeight(1, 1 + popular(random));
-        Replica *const replica = choose(node, prefix);
+        Replica *const replica = selectReplica(node, prefix);
         node.state.begin(*replica);
         const int wanted = 1 + tokens(random);
-        const auto onToken = [&, replica, wanted, asked = time.now(), begun = SteadyTime()](int left) mutable {
-            begun = left == wanted - 1 ? time.now() : begun;
-            if (left == wanted - 1 && asked >= warm) {
-                first.add(time.now() - asked);
+        const auto onToken = [&, replica, wanted, requested = time.now(), started = SteadyTime()](int remaining) mutable {
+            started = remaining == wanted - 1 ? time.now() : started;
+            if (remaining == wanted - 1 && requested >= measuredFrom) {
+                first.add(time.now() - requested);
             }
-            if (left > 0) {
+            if (remaining > 0) {
                 return;
             }
-            const auto perToken = std::chrono::duration_cast<Micros>(time.now() - begun) / std::max(1, wanted - 1);
+            const auto perToken = std::chrono::duration_cast<Micros>(time.now() - started) / std::max(1, wanted - 1);
             node.state.end(*replica, {AttemptOutcome::Succeeded, wanted > 1 ? std::optional(perToken) : std::nullopt});
-            if (asked >= warm) {
-                total.add(time.now() - asked);
+            if (requested >= measuredFrom) {
+                total.add(time.now() - requested);
             }
         };
         engines[std::stoul(replica->name.value())]->add({prefix, wanted, onToken});
@@ -274,9 +278,9 @@
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     for (const int percent : {60, 75, 85, 95}) {
         for (const std::chrono::milliseconds lag : {0ms, 2000ms}) {
-            for (const auto &[way, choose] : ways) {
+            for (const auto &[policy, selectReplica] : policies) {
                 const std::string reports = lag.count() > 0 ? ".old." : ".fresh.";
-                measure(choose, "routing.load_" + std::to_string(percent) + reports + way, percent, lag);
+                measure(selectReplica, "routing.load_" + std::to_string(percent) + reports + policy, percent, lag);
             }
         }
     }
--- a/Benchmarks/Measure/Submission.cpp
+++ b/Benchmarks/Measure/Submission.cpp
@@ -1,4 +1,4 @@
-// What the submission of a large batch job costs the node that takes it: its memory's peak by the job's size, and the time.
+// Measures what the submission of a large batch job costs the node that accepts it: peak memory and time, by the job's size.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 
@@ -18,7 +18,7 @@
 using namespace Dogwoodkeel;
 using Clock = std::chrono::steady_clock;
 
-/** @return the most memory the process has used, in megabytes. */
+/** @return the peak resident memory of the process, in megabytes. */
 double peakMegabytes(pid_t pid)
 {
     std::ifstream status("/proc/" + std::to_string(pid) + "/status");
@@ -42,7 +42,7 @@
     return body;
 }
 
-/** One job on a fleet of its own, so that each peak is of that job alone. */
+/** Submits one job to a fleet of its own, so that the peak is due to that job alone. */
 bool measure(std::size_t items)
 {
     LocalFleet fleet(FLAGS_programs);
@@ -56,12 +56,12 @@
     const std::string body = bodyOf(items);
     const auto start = Clock::now();
     const auto answer = LocalFleet::call(fleet.process(node).address, "POST", "/v1/batches?due_in=86400", body);
-    const std::chrono::duration<double> taken = Clock::now() - start;
+    const std::chrono::duration<double> elapsed = Clock::now() - start;
     const std::string name = "submission." + std::to_string(items);
     printFigure(name + ".status", answer.status, "");
     printFigure(name + ".body", static_cast<double>(body.size()) / 1e6, "MB");
     printFigure(name + ".peak_memory_added", peakMegabytes(fleet.process(node).pid) - before, "MB");
-    printFigure(name + ".time", taken.count(), "s");
+    printFigure(name + ".time", elapsed.count(), "s");
     return true;
 }
 
--- a/Benchmarks/Measure/Takeover.cpp
+++ b/Benchmarks/Measure/Takeover.cpp
@@ -1,5 +1,5 @@
-// From the loss of an owner to the first answer for its shards, and to the last, by the number of records it had; and
-// from a paused node's waking to its taking shards again as another session.
+// Measures the time from the loss of an owner to the first and the last answer for its shards, by its number of records, and
+// the time from the resumption of a paused node until it has a new session and owns shards again.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 
@@ -15,7 +15,7 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "folder with the programs");
-DEFINE_int32(probes, 128, "ids asked for after the loss");
+DEFINE_int32(probes, 128, "number of ids that are requested after the loss");
 DEFINE_int32(callers, 32, "requests in flight while records are written");
 DEFINE_int32(largest, 10000, "largest number of records");
 
@@ -26,7 +26,7 @@
 using Clock = std::chrono::steady_clock;
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
-/** What answers sooner was not at the lost owner. */
+/** Results that are answered sooner did not belong to the lost owner. */
 constexpr Milliseconds unaffected{150};
 constexpr std::chrono::seconds callTimeout{20};
 
@@ -35,7 +35,7 @@
     return "record-" + std::to_string(number);
 }
 
-/** Have records written, by lookups that carry an id. @return how many were answered with 200 */
+/** Has records written, by lookups that carry an id. @return the number of lookups that were answered with 200 */
 int writeRecords(const Address &node, int count)
 {
     EventLoop loop;
@@ -59,7 +59,7 @@
                          const bool isDone = end == ExchangeEnd::Complete && response.status == 200;
                          done += isDone ? 1 : 0;
                          if (!isDone) {
-                             std::fprintf(stderr, "not written: %d %s\n", response.status, response.body.c_str());
+                             std::fprintf(stderr, "record not written: %d %s\n", response.status, response.body.c_str());
                          }
                          --open;
                          send();
@@ -72,7 +72,7 @@
     return done;
 }
 
-/** How long until each of the probed ids is answered for; those unanswered or wrong are counted. */
+/** Delays of the answers for the probed ids, and the number of ids without an answer of status 200. */
 struct Reads
 {
     std::vector<Milliseconds> delayed;
@@ -106,7 +106,7 @@
     return reads;
 }
 
-bool logHas(const LocalFleet::Process &process, const std::string &text)
+bool logContains(const LocalFleet::Process &process, const std::string &text)
 {
     std::ifstream file(process.logFile);
     for (std::string line; std::getline(file, line);) {
@@ -165,12 +165,12 @@
     fleet.signal(nodes[2], SIGSTOP);
     Reads reads = readAll(fleet.process(nodes[0]).address, records);
     fleet.signal(nodes[2], SIGCONT);
-    const auto woken = Clock::now();
-    while (!logHas(paused, "session renewed") && Clock::now() - woken < std::chrono::seconds(15)) {
+    const auto resumed = Clock::now();
+    while (!logContains(paused, "session renewed") && Clock::now() - resumed < std::chrono::seconds(15)) {
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
-    const bool isRenewed = logHas(paused, "session renewed");
-    printFigure("takeover.pause_to_new_session", Milliseconds(Clock::now() - woken).count(), "ms");
+    const bool isRenewed = logContains(paused, "session renewed");
+    printFigure("takeover.pause_to_new_session", Milliseconds(Clock::now() - resumed).count(), "ms");
     reads.missing += readAll(paused.address, records).missing;
     printFigure("takeover.pause_missing", reads.missing, "results");
     printFigure("takeover.pause_renewed", isRenewed ? 1 : 0, "yes");
--- a/Benchmarks/Measure/TokenPath.cpp
+++ b/Benchmarks/Measure/TokenPath.cpp
@@ -1,5 +1,5 @@
-// What one token costs an entry in processor time, without sockets: splitting the engine's stream into events, reading
-// an event, and writing the caller's.
+// Measures the processor time that one token costs an entry, without sockets: splitting the engine's stream into events,
+// parsing an event, and formatting the event for the caller.
 #include <Benchmarks/Support/Figures.h>
 
 #include <LibHttp/ServerSentEvents.h>
@@ -10,18 +10,18 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "not used");
-DEFINE_int32(tokens, 200000, "how many");
+DEFINE_int32(tokens, 200000, "number of tokens");
 
 namespace
 {
 
 using namespace Dogwoodkeel;
-using Watch = std::chrono::steady_clock;
+using SteadyClock = std::chrono::steady_clock;
 
 constexpr const char *engineEvent
     = R"({"id":"cmpl-12","object":"chat.completion.chunk","model":"appraisal","choices":[{"index":0,"delta":{"content":"t873 "},"finish_reason":null}]})";
 
-double nanosecondsEach(Watch::duration all)
+double nanosecondsPerToken(SteadyClock::duration all)
 {
     return std::chrono::duration<double, std::nano>(all).count() / FLAGS_tokens;
 }
@@ -34,24 +34,24 @@
     const std::string chunk = ServerSentEvents::format(engineEvent);
     ServerSentEvents events(1048576);
     std::size_t bytes = 0;
-    const auto start = Watch::now();
+    const auto start = SteadyClock::now();
     for (int i = 0; i < FLAGS_tokens; ++i) {
         bytes += events.feed(chunk).front().size();
     }
-    const auto split = Watch::now();
+    const auto split = SteadyClock::now();
     for (int i = 0; i < FLAGS_tokens; ++i) {
         bytes += CompletionDelta::parse(engineEvent)->text.size();
     }
-    const auto parsed = Watch::now();
+    const auto parsed = SteadyClock::now();
     const CompletionDelta delta{"t873 ", {}};
     const RequestId id("default/note-1");
     for (int i = 0; i < FLAGS_tokens; ++i) {
         bytes += ServerSentEvents::format(delta.format(CompletionForm::Chat, id, "appraisal")).size();
     }
-    const auto formatted = Watch::now();
-    printFigure("token.split", nanosecondsEach(split - start), "ns");
-    printFigure("token.parse", nanosecondsEach(parsed - split), "ns");
-    printFigure("token.format", nanosecondsEach(formatted - parsed), "ns");
+    const auto formatted = SteadyClock::now();
+    printFigure("token.split", nanosecondsPerToken(split - start), "ns");
+    printFigure("token.parse", nanosecondsPerToken(parsed - split), "ns");
+    printFigure("token.format", nanosecondsPerToken(formatted - parsed), "ns");
     printFigure("token.bytes", static_cast<double>(bytes) / FLAGS_tokens, "B");
     return 0;
 }
--- a/Benchmarks/Measure/Yield.cpp
+++ b/Benchmarks/Measure/Yield.cpp
@@ -1,5 +1,5 @@
-// From the first online request of a burst at a full engine to the cancellation of batch items there, by the engines' own
-// notes: entry, lane holder and engine are processes of their own.
+// Measures the time from the first online request of a burst at a full engine to the cancellation of batch items there,
+// from the event records of the engines. Nodes and engines are separate processes.
 #include <Benchmarks/Support/Figures.h>
 #include <Benchmarks/Support/LocalFleet.h>
 #include <Benchmarks/Support/OnlineLoad.h>
@@ -14,10 +14,10 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(programs, "build", "folder with the programs");
-DEFINE_int32(nodes, 4, "nodes");
-DEFINE_int32(engines, 6, "engines");
-DEFINE_int32(bursts, 30, "bursts");
-DEFINE_int32(requests, 12, "requests of a burst");
+DEFINE_int32(nodes, 4, "number of nodes");
+DEFINE_int32(engines, 6, "number of engines");
+DEFINE_int32(bursts, 30, "number of bursts");
+DEFINE_int32(requests, 12, "requests in each burst");
 
 namespace
 {
@@ -28,54 +28,54 @@
 constexpr int capacity = 8;
 const std::vector<std::string> domains{"one", "two", "three"};
 
-struct Note
+struct EngineEvent
 {
     std::chrono::microseconds at{0};
-    std::string what;
-    /** Streams running or queueing at that moment. */
-    int present = 0;
+    std::string kind;
+    /** Streams that ran or queued at that moment. */
+    int streams = 0;
     bool isBatch = false;
 };
 
-std::vector<Note> notesOf(const Address &engine, std::chrono::microseconds after)
+std::vector<EngineEvent> eventsOf(const Address &engine, std::chrono::microseconds after)
 {
-    std::vector<Note> notes;
+    std::vector<EngineEvent> events;
     std::istringstream lines(LocalFleet::call(engine, "GET", "/notes").body);
     for (std::string line; std::getline(lines, line);) {
         std::istringstream words(line);
         long long at = 0;
         std::string id;
-        Note note;
-        words >> at >> note.what >> note.present >> id;
-        note.at = std::chrono::microseconds(at);
-        note.isBatch = id.starts_with("batch-");
-        if (note.at > after) {
-            notes.push_back(note);
+        EngineEvent event;
+        words >> at >> event.kind >> event.streams >> id;
+        event.at = std::chrono::microseconds(at);
+        event.isBatch = id.starts_with("batch-");
+        if (event.at > after) {
+            events.push_back(event);
         }
     }
-    return notes;
+    return events;
 }
 
-/** What bursts did at the engines. */
+/** How the engines reacted to bursts. */
 struct Reactions
 {
-    /** From a request that found every place taken to the next cancellation of a batch item. */
+    /** From a request that found no free slot to the next cancellation of a batch item. */
     Durations toCancel;
-    std::uint64_t foundPlace = 0;
-    std::uint64_t foundNone = 0;
+    std::uint64_t foundSlot = 0;
+    std::uint64_t foundNoSlot = 0;
 };
 
-void take(const std::vector<Note> &notes, Reactions &reactions)
+void recordReactions(const std::vector<EngineEvent> &events, Reactions &reactions)
 {
     std::optional<std::chrono::microseconds> waiting;
-    for (const Note &note : notes) {
-        if (note.what == "start" && !note.isBatch) {
-            const bool isFull = note.present >= capacity;
-            ++(isFull ? reactions.foundNone : reactions.foundPlace);
-            waiting = isFull && !waiting ? note.at : waiting;
+    for (const EngineEvent &event : events) {
+        if (event.kind == "start" && !event.isBatch) {
+            const bool isFull = event.streams >= capacity;
+            ++(isFull ? reactions.foundNoSlot : reactions.foundSlot);
+            waiting = isFull && !waiting ? event.at : waiting;
         }
-        if (note.what == "cancel" && note.isBatch && waiting) {
-            reactions.toCancel.add(note.at - *waiting);
+        if (event.kind == "cancel" && event.isBatch && waiting) {
+            reactions.toCancel.add(event.at - *waiting);
             waiting.reset();
         }
     }
@@ -97,7 +97,7 @@
                                               {"--capacity=8", "--step_us=10000"},
                                               "capacity = 8"));
     }
-    // A small headroom, so that each burst has to stop items.
+    // With a small headroom, each burst has to stop items.
     fleet.addSettings("[batch]\nheadroom = 1\n");
     std::vector<Address> entries;
     entries.reserve(static_cast<std::size_t>(FLAGS_nodes));
@@ -128,14 +128,14 @@
         mix.tokens = 8;
         OnlineLoad(entries, mix, static_cast<std::uint64_t>(burst)).run(20ms);
         for (const std::size_t engine : engines) {
-            take(notesOf(fleet.process(engine).address, begin), reactions);
+            recordReactions(eventsOf(fleet.process(engine).address, begin), reactions);
         }
         std::this_thread::sleep_for(300ms);
     }
-    const auto requests = static_cast<double>(reactions.foundPlace + reactions.foundNone);
+    const auto requests = static_cast<double>(reactions.foundSlot + reactions.foundNoSlot);
     printFigure("yield.to_cancel_p50", reactions.toCancel.percentile(0.5), "ms");
     printFigure("yield.to_cancel_p99", reactions.toCancel.percentile(0.99), "ms");
     printFigure("yield.measured", static_cast<double>(reactions.toCancel.count()), "reactions");
-    printFigure("yield.found_place", static_cast<double>(reactions.foundPlace) / requests, "share of requests");
+    printFigure("yield.found_place", static_cast<double>(reactions.foundSlot) / requests, "share of requests");
     return 0;
 }
--- a/Benchmarks/Support/FaultSchedule.cpp
+++ b/Benchmarks/Support/FaultSchedule.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr std::chrono::milliseconds stepTime{10};
-constexpr std::chrono::seconds longestStop{20};
+constexpr std::chrono::seconds maxStopTime{20};
 constexpr int kinds = 10;
 
 } // namespace
@@ -27,9 +27,9 @@
     return this->counts;
 }
 
-std::chrono::milliseconds FaultSchedule::between(int least, int most)
+std::chrono::milliseconds FaultSchedule::between(int min, int max)
 {
-    return std::chrono::milliseconds(std::uniform_int_distribution(least, most)(this->random));
+    return std::chrono::milliseconds(std::uniform_int_distribution(min, max)(this->random));
 }
 
 void FaultSchedule::run(std::chrono::seconds duration, std::size_t overlap)
@@ -61,7 +61,7 @@
     }
 }
 
-bool FaultSchedule::isHit(const std::string &name) const
+bool FaultSchedule::isActive(const std::string &name) const
 {
     return std::ranges::any_of(this->active, [&name](const Active &fault) {
         return fault.name == name;
@@ -72,11 +72,11 @@
 {
     std::vector<std::size_t> found;
     for (const std::size_t index : among) {
-        // Two repairs of one process would start it twice.
-        const bool isHit = std::ranges::any_of(this->active, [index](const Active &fault) {
-            return std::ranges::find(fault.hit, index) != fault.hit.end();
+        // Two overlapping faults of one process would restart it twice.
+        const bool isAffected = std::ranges::any_of(this->active, [index](const Active &fault) {
+            return std::ranges::find(fault.affected, index) != fault.affected.end();
         });
-        if (!isHit) {
+        if (!isAffected) {
             found.push_back(index);
         }
     }
@@ -106,7 +106,7 @@
                             R"({"delay_ms":0,"silent":false})");
         return;
     case 7:
-        this->stopAsPlanned();
+        this->stopGracefully();
         return;
     case 8:
         this->loseDomain();
@@ -119,7 +119,7 @@
 void FaultSchedule::kill(const std::string &name, const std::vector<std::size_t> &among)
 {
     const std::vector<std::size_t> candidates = this->running(among);
-    // One process of a kind stays up: with none, only the time to the repair would be measured.
+    // One process of each kind keeps running: without any, only the time to the repair would be measured.
     if (candidates.size() < 2) {
         return;
     }
@@ -151,7 +151,7 @@
                             {index}});
 }
 
-void FaultSchedule::stopAsPlanned()
+void FaultSchedule::stopGracefully()
 {
     const std::vector<std::size_t> candidates = this->running(this->targets.nodes);
     if (candidates.size() < 2) {
@@ -163,7 +163,7 @@
     this->active.push_back({"node_stopped",
                             std::chrono::steady_clock::now() + this->between(2000, 4000),
                             [this, index] {
-                                if (this->fleet.waitEnd(index, longestStop) != 0) {
+                                if (this->fleet.waitEnd(index, maxStopTime) != 0) {
                                     this->fleet.signal(index, SIGKILL);
                                     ++this->counts["node_stop_too_slow"];
                                 }
@@ -174,11 +174,11 @@
 
 void FaultSchedule::loseDomain()
 {
-    const bool isAnyProcessHit = std::ranges::any_of(this->active, [](const Active &fault) {
+    const bool isAnyProcessAffected = std::ranges::any_of(this->active, [](const Active &fault) {
         return !fault.name.starts_with("platform");
     });
-    // Only from a whole fleet: with another process gone as well, no domain might be left.
-    if (this->targets.domains.empty() || isAnyProcessHit) {
+    // Only if no other process is affected: otherwise no failure domain might be left.
+    if (this->targets.domains.empty() || isAnyProcessAffected) {
         return;
     }
     const std::vector<std::size_t> lost = this->targets.domains[this->random() % this->targets.domains.size()];
@@ -198,7 +198,7 @@
 
 void FaultSchedule::breakPlatform(const std::string &name, const std::string &faults, const std::string &repaired)
 {
-    if (this->isHit(name)) {
+    if (this->isActive(name)) {
         return;
     }
     LocalFleet::call(this->fleet.platform(), "POST", "/faults", faults);
--- a/Benchmarks/Support/FaultSchedule.h
+++ b/Benchmarks/Support/FaultSchedule.h
@@ -12,11 +12,11 @@
 namespace Dogwoodkeel
 {
 
-/** Injects faults into a fleet by a seeded schedule, and ends them all. */
+/** Injects faults into a fleet by a seeded random schedule, and repairs all of them at the end. */
 class FaultSchedule
 {
 public:
-    /** What may be hit. */
+    /** The processes that faults may affect, by their index in the fleet. */
     struct Targets
     {
         std::vector<std::size_t> nodes;
@@ -28,8 +28,8 @@
     FaultSchedule(LocalFleet &fleet, Targets targets, std::uint64_t seed);
 
     /**
-     * Inject faults for a time, then end them.
-     * @param overlap how many faults may be in force at once
+     * Injects faults for a time, then repairs them.
+     * @param overlap max number of faults that are active at once
      */
     void run(std::chrono::seconds duration, std::size_t overlap);
 
@@ -39,25 +39,25 @@
 private:
     using Time = std::chrono::steady_clock::time_point;
 
-    /** A fault in force. */
+    /** A fault that has not been repaired yet. */
     struct Active
     {
         std::string name;
         Time end;
         std::function<void()> repair;
-        /** The processes it is in force on: no second fault hits them meanwhile. */
-        std::vector<std::size_t> hit;
+        /** The processes it affects; no second fault is injected into them meanwhile. */
+        std::vector<std::size_t> affected;
     };
 
-    std::chrono::milliseconds between(int least, int most);
+    std::chrono::milliseconds between(int min, int max);
     void inject();
     void kill(const std::string &name, const std::vector<std::size_t> &among);
     void pause();
-    void stopAsPlanned();
+    void stopGracefully();
     void loseDomain();
     void breakPlatform(const std::string &name, const std::string &faults, const std::string &repaired);
     void repairUntil(Time now);
-    bool isHit(const std::string &name) const;
+    bool isActive(const std::string &name) const;
     std::vector<std::size_t> running(const std::vector<std::size_t> &among) const;
 
     LocalFleet &fleet;
--- a/Benchmarks/Support/Figures.h
+++ b/Benchmarks/Support/Figures.h
@@ -7,10 +7,10 @@
 namespace Dogwoodkeel
 {
 
-/** Print one measured figure as a line "figure <name> <value> <unit>". */
+/** Prints one measured figure as a line "figure <name> <value> <unit>". */
 void printFigure(const std::string &name, double value, const std::string &unit);
 
-/** Durations that were measured, and what they come to. */
+/** Collects measured durations and computes their percentiles. */
 class Durations
 {
 public:
--- a/Benchmarks/Support/FollowingCallers.cpp
+++ b/Benchmarks/Support/FollowingCallers.cpp
@@ -12,8 +12,8 @@
 
 constexpr int statusOk = 200;
 constexpr std::chrono::seconds requestTimeout{20};
-constexpr std::chrono::seconds askTimeout{2};
-constexpr std::chrono::milliseconds askAgain{100};
+constexpr std::chrono::seconds entriesTimeout{2};
+constexpr std::chrono::milliseconds entriesRetryDelay{100};
 
 std::string reasonOf(const HttpResponse &response)
 {
@@ -24,7 +24,7 @@
 
 } // namespace
 
-/** One caller, with the answer it holds. */
+/** One caller, with its latest entry list. */
 struct FollowingCallers::Caller
 {
     std::string name;
@@ -99,25 +99,25 @@
         return;
     }
     if (std::chrono::steady_clock::now() >= caller->expires) {
-        this->ask(caller, 0);
+        this->fetchEntries(caller, 0);
         return;
     }
     caller->sent = std::chrono::steady_clock::now();
     this->send(caller, this->kinds[caller->kind].make(++this->lastNumber), 0);
 }
 
-void FollowingCallers::ask(const std::shared_ptr<Caller> &caller, std::size_t address)
+void FollowingCallers::fetchEntries(const std::shared_ptr<Caller> &caller, std::size_t address)
 {
     const Address target = caller->addresses[address % caller->addresses.size()];
     const std::string query = "caller=" + caller->name + "&failure_domain=" + caller->failureDomain + "&count=3";
     this->client->fetch(target,
                         {.method = "GET", .path = "/v1/entries", .query = query},
-                        askTimeout,
+                        entriesTimeout,
                         [this, caller, address](ExchangeEnd end, const HttpResponse &response) {
                             const auto body = nlohmann::json::parse(response.body, nullptr, false);
                             if (end != ExchangeEnd::Complete || response.status != statusOk || !body.is_object()) {
-                                this->loop.schedule(askAgain, [this, caller, address] {
-                                    this->ask(caller, address + 1);
+                                this->loop.schedule(entriesRetryDelay, [this, caller, address] {
+                                    this->fetchEntries(caller, address + 1);
                                 });
                                 return;
                             }
--- a/Benchmarks/Support/FollowingCallers.h
+++ b/Benchmarks/Support/FollowingCallers.h
@@ -17,40 +17,40 @@
 namespace Dogwoodkeel
 {
 
-/** What callers of one kind met in one phase. */
+/** Results of the requests of one kind of caller in one phase. */
 struct CallerTally
 {
     Durations answered;
     /** Answers other than 200, by status and reason. */
     std::map<std::string, std::uint64_t> refused;
-    /** Requests whose connection broke after they were sent, or whose answer was not whole. */
+    /** Requests whose connection was lost after they were sent, or whose answer was incomplete. */
     std::uint64_t cut = 0;
-    /** Requests that met no listener and went to the next address of the answer. */
+    /** Requests whose connection was refused and that were sent to the next address of the answer. */
     std::uint64_t retried = 0;
 };
 
 /**
- * Callers that do as they are told: they ask GET /v1/entries which addresses to use, keep the answer for its time to live,
- * and send to the first address, or to the next one if nobody listens there. They run on a thread of their own.
+ * Callers that follow the entry list: they fetch the addresses to use from GET /v1/entries, keep the answer for its time to
+ * live, and send to the first address, or to the next one if nothing listens there. They run on a thread of their own.
  */
 class FollowingCallers
 {
 public:
-    /** What a kind of caller sends. */
+    /** What callers of one kind send. */
     struct Kind
     {
         std::string name;
         std::size_t callers = 1;
         std::chrono::milliseconds pause{10};
-        /** The request with this number. */
+        /** Makes the request with this number. */
         std::function<HttpRequest(std::uint64_t number)> make;
-        /** Whether an answer with status 200 is whole. */
+        /** Returns whether an answer with status 200 is complete. */
         std::function<bool(const HttpResponse &)> isWhole;
     };
 
     /**
-     * @param bootstrap addresses to ask first
-     * @param failureDomains that the callers are near to, in turn
+     * @param bootstrap addresses from which the entry list is fetched first
+     * @param failureDomains failure domains that are assigned to the callers in turn
      */
     FollowingCallers(std::vector<Address> bootstrap, std::vector<std::string> failureDomains);
     ~FollowingCallers();
@@ -59,20 +59,20 @@
 
     void start(std::vector<Kind> kinds);
 
-    /** What happens from now on is counted under this name. */
+    /** Starts a phase: later results are counted under this name. */
     void enterPhase(const std::string &phase);
 
-    /** Finish what runs and stop. */
+    /** Waits for the requests in flight, then stops. */
     void stop();
 
-    /** @return by phase and kind; call after stop(). */
+    /** @return the results by phase and kind; to be called after stop(). */
     std::map<std::string, std::map<std::string, CallerTally>> &tallies();
 
 private:
     struct Caller;
 
     void next(const std::shared_ptr<Caller> &caller);
-    void ask(const std::shared_ptr<Caller> &caller, std::size_t address);
+    void fetchEntries(const std::shared_ptr<Caller> &caller, std::size_t address);
     void send(const std::shared_ptr<Caller> &caller, const HttpRequest &request, std::size_t address);
     void pause(const std::shared_ptr<Caller> &caller);
 
--- a/Benchmarks/Support/HistoryCaller.cpp
+++ b/Benchmarks/Support/HistoryCaller.cpp
@@ -19,11 +19,11 @@
 constexpr int statusRunning = 202;
 constexpr int statusNotFound = 404;
 
-std::string refusalWord(const HttpResponse &response, const char *word)
+std::string refusalField(const HttpResponse &response, const char *field)
 {
     const Json body = Json::parse(response.body, nullptr, false);
     const bool hasError = body.is_object() && body.contains("error") && body["error"].is_object();
-    return hasError ? body["error"].value(word, std::string()) : std::string();
+    return hasError ? body["error"].value(field, std::string()) : std::string();
 }
 
 std::string textOf(const HttpResponse &response, bool isCompletion)
@@ -106,10 +106,10 @@
     if (response.status == statusNotFound) {
         return CallOutcome::Absent;
     }
-    if (refusalWord(response, "run") == "not_run") {
+    if (refusalField(response, "run") == "not_run") {
         return CallOutcome::NotRun;
     }
-    return refusalWord(response, "reason") == "outcome_unknown" ? CallOutcome::OutcomeUnknown : CallOutcome::Refused;
+    return refusalField(response, "reason") == "outcome_unknown" ? CallOutcome::OutcomeUnknown : CallOutcome::Refused;
 }
 
 CallOutcome HistoryCaller::record(CallKind kind,
@@ -129,7 +129,7 @@
     if (call.outcome == CallOutcome::Answered || call.outcome == CallOutcome::Pending) {
         call.text = textOf(response, isCompletion);
     } else if (call.outcome != CallOutcome::Lost) {
-        call.text = refusalWord(response, "reason");
+        call.text = refusalField(response, "reason");
     }
     if (kind == CallKind::JobSubmission && response.status == statusRunning) {
         call.outcome = CallOutcome::Answered;
--- a/Benchmarks/Support/HistoryCaller.h
+++ b/Benchmarks/Support/HistoryCaller.h
@@ -14,16 +14,16 @@
 namespace Dogwoodkeel
 {
 
-/** Ids that callers share, so that one resends what another has sent, also while that still runs. */
+/** Ids that callers share, so that one resends the request of another, also while that is still in flight. */
 class SharedIds
 {
 public:
     void add(const std::string &id);
 
-    /** @param choice any number, for the choice @return one of the latest ids, or nothing if there is none */
+    /** @param choice any number; selects one of the ids @return one of the latest ids, or nothing if there is none */
     std::optional<std::string> recent(std::uint64_t choice);
 
-    /** The id is never sent again: its last refusal said that it did not run. */
+    /** Removes an id, so that it is not sent again: its last refusal stated that it did not run. */
     void retire(const std::string &id);
     std::vector<std::string> live();
 
@@ -32,16 +32,16 @@
     std::vector<std::string> ids;
 };
 
-/** Makes calls to nodes on a loop of its own, and records each as its caller sees it. */
+/** Makes calls to nodes on an event loop of its own, and records the outcome of each as the caller observes it. */
 class HistoryCaller
 {
 public:
     using Time = std::chrono::steady_clock::time_point;
 
-    /** @param start of the run, which the recorded times count from */
+    /** @param start start of the run, from which the recorded times count */
     HistoryCaller(std::vector<Address> nodes, Time start);
 
-    /** The request that an id stands for is made from the id, so that each resend is the same. */
+    /** @return the prompt of an id. It depends on the id alone, so that each resend is the same. */
     static std::string promptOf(const std::string &id);
     static std::string offerOf(const std::string &id);
     static constexpr std::uint32_t tokens = 12;
@@ -52,7 +52,7 @@
     CallOutcome submitJob(const std::string &id, std::uint32_t items, std::size_t node, std::chrono::milliseconds timeout);
     CallOutcome cancelJob(const std::string &id, std::size_t node, std::chrono::milliseconds timeout);
 
-    /** @return a job's state as its status tells, with its finished items; nothing if it could not be read. */
+    /** A job's status and the number of its finished items, as jobStatus() reads them from a node. */
     struct JobStatus
     {
         std::string status;
--- a/Benchmarks/Support/LocalFleet.cpp
+++ b/Benchmarks/Support/LocalFleet.cpp
@@ -29,9 +29,9 @@
 constexpr std::uint16_t port = 7600;
 constexpr std::chrono::milliseconds pollInterval{20};
 constexpr std::chrono::seconds callTimeout{10};
-constexpr int exitNoProgram = 127;
-/** Bytes at the end of a log that tell why a process ended. */
-constexpr std::size_t shownLog = 4000;
+constexpr int exitCommandNotFound = 127;
+/** Number of bytes at the end of a log that are shown to explain why a process exited. */
+constexpr std::size_t shownLogBytes = 4000;
 
 } // namespace
 
@@ -39,7 +39,7 @@
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "dogwoodkeel-fleet-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr) {
-        throw std::runtime_error("no folder for the fleet's files could be made");
+        throw std::runtime_error("cannot create a temporary folder for the files of the fleet");
     }
     this->folder = pattern;
 }
@@ -62,7 +62,7 @@
 {
     const auto pid = static_cast<unsigned>(getpid());
     const unsigned host = ++LocalFleet::addresses;
-    // 127.x.y.z: 14 bits of the process id and 9 bits of the process in the fleet, none of them on 127.0.0.x.
+    // 127.x.y.z: 14 bits of the process id and 9 bits of the counter of addresses; never in 127.0.0.x.
     const unsigned number = ((pid & 0x3FFFU) << 9U) | (host & 0x1FFU);
     const unsigned high = 1 + ((number >> 16U) & 0x7FU);
     return {"127." + std::to_string(high) + '.' + std::to_string((number >> 8U) & 0xFFU) + '.' + std::to_string(number & 0xFFU),
@@ -101,12 +101,12 @@
     dup2(log, STDOUT_FILENO);
     dup2(log, STDERR_FILENO);
     std::vector<char *> arguments;
-    for (std::string &word : process.command) {
-        arguments.push_back(word.data());
+    for (std::string &argument : process.command) {
+        arguments.push_back(argument.data());
     }
     arguments.push_back(nullptr);
     execv(arguments.front(), arguments.data());
-    _exit(exitNoProgram);
+    _exit(exitCommandNotFound);
 }
 
 std::size_t LocalFleet::startPlatform(const std::vector<std::string> &flags)
@@ -140,15 +140,15 @@
     this->sharedSettings += toml;
 }
 
-std::size_t LocalFleet::startNode(const NodePlace &place)
+std::size_t LocalFleet::startNode(const NodeOptions &options)
 {
     const Address address = this->nextAddress();
     const std::string name = "node-" + std::to_string(this->nodeIndexes.size() + 1);
     const std::string any = "\"" + address.ip + ":0\"";
-    const std::string own = "[node]\nvm = \"" + name + "\"\nfailure_domain = \"" + place.failureDomain + "\"\n[listen]\nhttp = \""
-        + address.toString() + "\"\nowner = " + any + "\ngossip = " + any + "\nlane = " + any + "\n";
+    const std::string own = "[node]\nvm = \"" + name + "\"\nfailure_domain = \"" + options.failureDomain
+        + "\"\n[listen]\nhttp = \"" + address.toString() + "\"\nowner = " + any + "\ngossip = " + any + "\nlane = " + any + "\n";
     const std::string files = this->writeFile(name + "-base.toml", this->sharedSettings) + ','
-        + this->writeFile(name + ".toml", own) + ',' + this->writeFile(name + "-overlay.toml", place.overlay);
+        + this->writeFile(name + ".toml", own) + ',' + this->writeFile(name + "-overlay.toml", options.overlay);
     const std::size_t index
         = this->start(name, {this->programs + "/Programs/dogwoodkeel", "serve", "--settings=" + files}, address);
     this->nodeIndexes.push_back(index);
@@ -165,7 +165,8 @@
         process.pid = 0;
         std::ifstream log(process.logFile);
         const std::string text{std::istreambuf_iterator<char>(log), std::istreambuf_iterator<char>()};
-        ended.push_back(process.name + " ended by itself: " + text.substr(text.size() - std::min(text.size(), shownLog)));
+        ended.push_back(process.name
+                        + " exited unexpectedly: " + text.substr(text.size() - std::min(text.size(), shownLogBytes)));
     }
     return ended;
 }
@@ -187,9 +188,9 @@
             const Answer ready = call(this->processes[index].address, "GET", "/readyz");
             const Answer entries = call(this->processes[index].address, "GET", "/v1/entries?count=100000");
             const auto parsed = nlohmann::json::parse(entries.body, nullptr, false);
-            const bool knowsAll
+            const bool isComplete
                 = parsed.is_object() && parsed.contains("entries") && parsed["entries"].size() >= this->nodeIndexes.size();
-            if (ready.status == 200 && knowsAll) {
+            if (ready.status == 200 && isComplete) {
                 break;
             }
             if (std::chrono::steady_clock::now() >= deadline || this->reportEnded()) {
--- a/Benchmarks/Support/LocalFleet.h
+++ b/Benchmarks/Support/LocalFleet.h
@@ -12,8 +12,9 @@
 {
 
 /**
- * Real processes on loopback for measurements and history checks: the stand-ins and the nodes. Each fleet uses loopback
- * addresses of its own, made from the driver's process id, so that fleets never meet. All processes are ended with it.
+ * Runs real processes on loopback for measurements and history checks: the stand-ins and the nodes. Each fleet uses loopback
+ * addresses of its own, derived from the driver's process id, so that fleets do not interfere with each other. The destructor
+ * kills all processes.
  */
 class LocalFleet
 {
@@ -27,15 +28,15 @@
         pid_t pid = 0;
         Address address;
         bool isPaused = false;
-        /** Whether it was told to end. */
+        /** Whether it was sent SIGTERM or SIGKILL. */
         bool isStopping = false;
     };
 
-    /** A node's place. */
-    struct NodePlace
+    /** Options of a node. */
+    struct NodeOptions
     {
         std::string failureDomain;
-        /** Settings of this node alone, as TOML. */
+        /** Settings of this node only, as TOML. */
         std::string overlay;
     };
 
@@ -45,11 +46,11 @@
     LocalFleet(const LocalFleet &) = delete;
     LocalFleet &operator=(const LocalFleet &) = delete;
 
-    /** Start the stand-in for the platform. @return its index */
+    /** Starts the stand-in for the platform. @return its index */
     std::size_t startPlatform(const std::vector<std::string> &flags = {});
 
     /**
-     * Start a stand-in endpoint. Do so before the nodes, which learn of it by their settings.
+     * Starts a stand-in endpoint. To be called before the nodes start, because they read the endpoints from their settings.
      * @param kind engine or service
      * @param serves the model or plain service
      * @param settings further lines of its [[endpoint]] table
@@ -60,44 +61,44 @@
                               const std::vector<std::string> &flags = {},
                               const std::string &settings = {});
 
-    /** Add settings that all nodes share, as TOML. */
+    /** Adds settings that all nodes share, as TOML. */
     void addSettings(const std::string &toml);
 
-    /** Start a node. @return its index */
-    std::size_t startNode(const NodePlace &place);
+    /** Starts a node. @return its index */
+    std::size_t startNode(const NodeOptions &options);
 
     /**
-     * Wait until each running node names all of them in /v1/entries.
-     * @return whether they did in time; false at once, with its log on standard error, if a process ended by itself
+     * Waits until each running node lists all nodes in /v1/entries.
+     * @return whether that happened in time; false at once, with its log on standard error, if a process exited unexpectedly
      */
     bool waitReady(std::chrono::milliseconds timeout);
 
     /** @return a loopback address that no other process of this machine's fleets uses. */
     Address nextAddress();
 
-    /** Start any process. @return its index */
+    /** Starts any process. @return its index */
     std::size_t start(const std::string &name, std::vector<std::string> command, const Address &address);
 
-    /** @return the path of a new file that goes with the fleet. */
+    /** Writes a file that is removed with the fleet. @return its path */
     std::string writeFile(const std::string &name, const std::string &text);
 
-    /** @return the processes that ended though nobody told them to, with the last lines of their logs; each is told once. */
+    /** @return the processes that exited unexpectedly since the last call, each with the end of its log. */
     std::vector<std::string> takeEnded();
 
-    /** Send a signal: SIGKILL, SIGTERM, SIGSTOP, SIGCONT. */
+    /** Sends a signal: SIGKILL, SIGTERM, SIGSTOP, SIGCONT. */
     void signal(std::size_t index, int number);
 
-    /** Wait for a process that was told to stop. @return its exit status, or -1 if it did not end in time */
+    /** Waits for a process to exit. @return its exit status, or -1 if it did not exit normally or in time */
     int waitEnd(std::size_t index, std::chrono::milliseconds timeout);
 
-    /** Start an ended process again, as it was. */
+    /** Starts an exited process again with the same command. */
     void restart(std::size_t index);
 
     const Process &process(std::size_t index) const;
     std::vector<std::size_t> nodes() const;
     Address platform() const;
 
-    /** One HTTP call, waiting for its answer. @return status 0 if there was none */
+    /** The answer to an HTTP call; status 0 if none arrived. */
     struct Answer
     {
         int status = 0;
@@ -115,7 +116,7 @@
     std::vector<Process> processes;
     std::vector<std::size_t> nodeIndexes;
     std::size_t platformIndex = 0;
-    /** Over all fleets of this driver: the ports of one that has ended may not be free yet. */
+    /** Counts over all fleets of this driver: the ports of a fleet that has ended may not be free yet. */
     static inline std::uint16_t addresses = 0;
 };
 
--- a/Benchmarks/Support/OnlineLoad.h
+++ b/Benchmarks/Support/OnlineLoad.h
@@ -14,24 +14,24 @@
 namespace Dogwoodkeel
 {
 
-/** What interactive callers send. Arrivals are random and do not wait for answers. */
+/** The requests that interactive callers send. Arrivals are random and independent of the answers. */
 struct OnlineMix
 {
     std::string model;
-    /** Streamed completions a second, outside bursts and in them. */
+    /** Streamed completions per second, outside bursts and in them. */
     double requestsPerSecond = 0;
     double burstRequestsPerSecond = 0;
     std::chrono::milliseconds burstEvery{2000};
     std::chrono::milliseconds burstLength{500};
     std::uint32_t tokens = 16;
-    /** Of each prompt; half of them stand in every prompt alike. */
+    /** Size of each prompt; the first half is the same in all prompts. */
     std::size_t promptBytes = 512;
-    /** Lookups a second at a plain service, if it is named. */
+    /** The plain service that receives lookups. */
     std::string service;
     double lookupsPerSecond = 0;
 };
 
-/** What callers saw. */
+/** Measurements as the callers observe them. */
 struct OnlineFigures
 {
     Durations firstToken;
@@ -42,13 +42,13 @@
     std::uint64_t failed = 0;
 };
 
-/** Sends one mix to the nodes for a time, as many callers would. */
+/** Sends one mix of requests to the nodes for a time, in the manner of many independent callers. */
 class OnlineLoad
 {
 public:
     OnlineLoad(std::vector<Address> entries, OnlineMix mix, std::uint64_t seed);
 
-    /** @return what the requests saw that were sent within this time; returns when all are answered */
+    /** Sends requests for this time and waits for all answers. @return the measurements of these requests */
     OnlineFigures run(std::chrono::milliseconds time);
 
 private:
--- a/Benchmarks/Support/OpenLoad.cpp
+++ b/Benchmarks/Support/OpenLoad.cpp
@@ -11,23 +11,23 @@
 
 using Clock = std::chrono::steady_clock;
 
-/** How long past its deadline a caller still listens: what comes then counts as late, and what does not as lost. */
+/** How long after the deadline a caller still waits: an answer in that time counts as late, and a later one as lost. */
 constexpr std::chrono::seconds timeout{5};
 
 struct Call
 {
     std::uint64_t number = 0;
     Clock::time_point sent;
-    Clock::time_point lastSign;
+    Clock::time_point lastProgress;
     RequestOutcome outcome;
     std::string body;
     TimerId timer = 0;
 
-    void sign()
+    void recordProgress()
     {
         const Clock::time_point now = Clock::now();
-        this->outcome.longestGap = std::max<std::chrono::nanoseconds>(this->outcome.longestGap, now - this->lastSign);
-        this->lastSign = now;
+        this->outcome.longestGap = std::max<std::chrono::nanoseconds>(this->outcome.longestGap, now - this->lastProgress);
+        this->lastProgress = now;
     }
 };
 
@@ -56,7 +56,7 @@
     }
     if (this->due >= this->end) {
         this->isSending = false;
-        this->ended();
+        this->finishIfIdle();
         return;
     }
     const auto wait = std::chrono::ceil<std::chrono::milliseconds>(this->due - Clock::now());
@@ -70,34 +70,34 @@
     const auto call = std::make_shared<Call>();
     call->number = ++this->sent;
     call->sent = Clock::now();
-    call->lastSign = call->sent;
+    call->lastProgress = call->sent;
     ++this->open;
     HttpRequest request = this->kind.make(call->number);
     request.headers["Dogwoodkeel-Deadline-Ms"] = std::to_string(this->kind.deadline.count());
     const auto finish = [this, call] {
         this->loop.cancel(call->timer);
-        call->sign();
+        call->recordProgress();
         call->outcome.total = Clock::now() - call->sent;
         this->results.push_back(call->outcome);
         --this->open;
-        this->ended();
+        this->finishIfIdle();
     };
     ExchangeHooks hooks{
         .onHeaders =
             [call](int status, const HttpHeaders &headers) {
-                call->sign();
+                call->recordProgress();
                 call->outcome.status = status;
                 call->outcome.hasRetryAfter = headers.contains("Retry-After");
             },
         .onData =
             [call](std::string_view data) {
-                call->sign();
+                call->recordProgress();
                 call->body.append(data);
             },
         .onEnd =
-            [this, call, finish](ExchangeEnd how) {
+            [this, call, finish](ExchangeEnd end) {
                 call->outcome.isWhole
-                    = how == ExchangeEnd::Complete && call->outcome.status == 200 && this->kind.isWhole(call->number, call->body);
+                    = end == ExchangeEnd::Complete && call->outcome.status == 200 && this->kind.isWhole(call->number, call->body);
                 finish();
             },
     };
@@ -109,7 +109,7 @@
     });
 }
 
-void OpenLoad::ended()
+void OpenLoad::finishIfIdle()
 {
     if (!this->isSending && this->open == 0 && this->done) {
         this->loop.post(std::exchange(this->done, nullptr));
--- a/Benchmarks/Support/OpenLoad.h
+++ b/Benchmarks/Support/OpenLoad.h
@@ -16,40 +16,40 @@
 namespace Dogwoodkeel
 {
 
-/** What one caller saw of one request. */
+/** The outcome of one request, as its caller observes it. */
 struct RequestOutcome
 {
     int status = 0;
-    /** Whether the whole right answer came, in one unbroken piece. */
+    /** Whether the complete and correct answer arrived over one connection. */
     bool isWhole = false;
     bool hasRetryAfter = false;
     std::chrono::nanoseconds total{0};
-    /** Longest time without a sign of the answer, from the sending on. */
+    /** Longest time in which no part of the answer arrived, counted from the sending on. */
     std::chrono::nanoseconds longestGap{0};
 };
 
 /**
- * Sends requests at the times of a Poisson process, whatever becomes of the earlier ones, to a number of nodes in turn:
- * callers do not slow down because a system does.
+ * Generates an open load: sends requests to a number of nodes in turn, at the times of a Poisson process that does not depend
+ * on earlier requests, because callers do not slow down when the system does.
  */
 class OpenLoad
 {
 public:
-    /** What is sent. */
+    /** The kind of requests that are sent. */
     struct Kind
     {
         double perSecond = 0;
         std::chrono::milliseconds deadline{1000};
         /** Makes request number n, without its deadline. */
         std::function<HttpRequest(std::uint64_t)> make;
-        /** @return whether a body of status 200 is the whole right answer to request number n */
+        /** @return whether a body of status 200 is the complete and correct answer to request number n */
         std::function<bool(std::uint64_t, const std::string &)> isWhole;
     };
 
-    /** @param targets nodes, taken in turn */
+    /** @param targets nodes that are used in turn */
     OpenLoad(EventLoop &loop, std::vector<Address> targets, Kind kind, std::uint64_t seed);
 
-    /** Send from now on, for a time. @param done told when the last is answered or its deadline is long past */
+    /** Sends requests for a time. @param done called when the last request is answered or has timed out */
     void start(std::chrono::milliseconds duration, std::function<void()> done);
 
     const std::vector<RequestOutcome> &outcomes() const;
@@ -57,7 +57,7 @@
 private:
     void next();
     void send();
-    void ended();
+    void finishIfIdle();
 
     EventLoop &loop;
     HttpClient client;
--- a/Benchmarks/Support/ProcessUsage.cpp
+++ b/Benchmarks/Support/ProcessUsage.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** Fields of /proc/PID/stat behind the program's name, counted from 0. */
+/** Fields of /proc/PID/stat after the program's name, counted from 0. */
 constexpr int userTicksField = 11;
 constexpr int systemTicksField = 12;
 constexpr int residentPagesField = 21;
--- a/Benchmarks/Support/ProcessUsage.h
+++ b/Benchmarks/Support/ProcessUsage.h
@@ -8,7 +8,7 @@
 namespace Dogwoodkeel
 {
 
-/** What a process has used so far, as Linux tells it (proc(5)). */
+/** The resources that a process has used so far, as Linux reports them (proc(5)). */
 struct ProcessUsage
 {
     /** Processor time of all its threads. */
@@ -16,7 +16,7 @@
     /** Resident memory, in bytes. */
     std::uint64_t memoryBytes = 0;
 
-    /** @return the usage of a running process; zeros if it is gone. */
+    /** @return the usage of a running process; zeros if it does not exist any more. */
     static ProcessUsage of(pid_t pid);
 };
 
--- a/Benchmarks/Support/VirtualTime.h
+++ b/Benchmarks/Support/VirtualTime.h
@@ -10,7 +10,7 @@
 namespace Dogwoodkeel
 {
 
-/** Time that goes from event to event. */
+/** A clock for simulations: its time advances from one scheduled event to the next. */
 class VirtualTime final : public Clock
 {
 public:
@@ -24,14 +24,14 @@
         return {};
     }
 
-    /** Run an action later; actions of one moment run in the order of the calls. */
+    /** Schedules an action; actions that are due at the same time run in the order of the calls. */
     void after(std::chrono::duration<double> delay, std::function<void()> action)
     {
         const auto when = this->time + std::chrono::duration_cast<SteadyTime::duration>(delay);
         this->events.emplace(std::pair(when, ++this->count), std::move(action));
     }
 
-    /** Run what falls due, and stop at a moment. Something has to fall due behind it. */
+    /** Runs the actions that are due until a time. At least one action must be scheduled after it. */
     void runUntil(SteadyTime end)
     {
         while (this->events.begin()->first.first <= end) {
