--- a/Benchmarks/Measure/Replace.cpp
+++ b/Benchmarks/Measure/Replace.cpp
@@ -187,7 +187,7 @@
                 refused += count;
             }
             printFigure(prefix + "answered", static_cast<double>(tally.answered.count()), "requests");
-            printFigure(prefix + "cut", static_cast<double>(tally.cut), "requests");
+            printFigure(prefix + "cut", static_cast<double>(tally.interrupted), "requests");
             printFigure(prefix + "retried", static_cast<double>(tally.retried), "requests");
             printFigure(prefix + "refused", static_cast<double>(refused), "requests");
             printFigure(prefix + "p50", tally.answered.percentile(0.5), "ms");
--- a/Benchmarks/Measure/TokenPath.cpp
+++ b/Benchmarks/Measure/TokenPath.cpp
@@ -21,9 +21,9 @@
 constexpr const char *engineEvent
     = R"({"id":"cmpl-12","object":"chat.completion.chunk","model":"appraisal","choices":[{"index":0,"delta":{"content":"t873 "},"finish_reason":null}]})";
 
-double nanosecondsPerToken(SteadyClock::duration all)
+double nanosecondsPerToken(SteadyClock::duration total)
 {
-    return std::chrono::duration<double, std::nano>(all).count() / FLAGS_tokens;
+    return std::chrono::duration<double, std::nano>(total).count() / FLAGS_tokens;
 }
 
 } // namespace
--- a/Benchmarks/Measure/Yield.cpp
+++ b/Benchmarks/Measure/Yield.cpp
@@ -28,7 +28,7 @@
 constexpr int capacity = 8;
 const std::vector<std::string> domains{"one", "two", "three"};
 
-struct EngineEvent
+struct StreamEvent
 {
     std::chrono::microseconds at{0};
     std::string kind;
@@ -37,15 +37,15 @@
     bool isBatch = false;
 };
 
-std::vector<EngineEvent> eventsOf(const Address &engine, std::chrono::microseconds after)
+std::vector<StreamEvent> eventsOf(const Address &engine, std::chrono::microseconds after)
 {
-    std::vector<EngineEvent> events;
+    std::vector<StreamEvent> events;
     std::istringstream lines(LocalFleet::call(engine, "GET", "/notes").body);
     for (std::string line; std::getline(lines, line);) {
         std::istringstream words(line);
         long long at = 0;
         std::string id;
-        EngineEvent event;
+        StreamEvent event;
         words >> at >> event.kind >> event.streams >> id;
         event.at = std::chrono::microseconds(at);
         event.isBatch = id.starts_with("batch-");
@@ -65,10 +65,10 @@
     std::uint64_t foundNoSlot = 0;
 };
 
-void recordReactions(const std::vector<EngineEvent> &events, Reactions &reactions)
+void recordReactions(const std::vector<StreamEvent> &events, Reactions &reactions)
 {
     std::optional<std::chrono::microseconds> waiting;
-    for (const EngineEvent &event : events) {
+    for (const StreamEvent &event : events) {
         if (event.kind == "start" && !event.isBatch) {
             const bool isFull = event.streams >= capacity;
             ++(isFull ? reactions.foundNoSlot : reactions.foundSlot);
--- a/Benchmarks/Support/FollowingCallers.cpp
+++ b/Benchmarks/Support/FollowingCallers.cpp
@@ -148,7 +148,7 @@
                             if (isRefused) {
                                 ++tally.refused[reasonOf(response)];
                             } else if (!isComplete || !this->kinds[caller->kind].isWhole(response)) {
-                                ++tally.cut;
+                                ++tally.interrupted;
                             } else {
                                 tally.answered.add(std::chrono::steady_clock::now() - caller->sent);
                             }
--- a/Benchmarks/Support/FollowingCallers.h
+++ b/Benchmarks/Support/FollowingCallers.h
@@ -24,7 +24,7 @@
     /** Answers other than 200, by status and reason. */
     std::map<std::string, std::uint64_t> refused;
     /** Requests whose connection was lost after they were sent, or whose answer was incomplete. */
-    std::uint64_t cut = 0;
+    std::uint64_t interrupted = 0;
     /** Requests whose connection was refused and that were sent to the next address of the answer. */
     std::uint64_t retried = 0;
 };
