--- a/Benchmarks/Days/ceiling.py
+++ b/Benchmarks/Days/ceiling.py
@@ -2,16 +2,18 @@
 """Upper bound of the worth that a system could earn on a day: ceiling.py SITE DAY[:SEED]... [--kit FOLDER] [--jobs N]
 
 SITE: such as further/innbytte-takst. Run in the repository. Runs each day once with logs and a report, and prints for each its worth
-and an upper bound: of the whole day, and of the two worst windows.
+beside an upper bound: of all parts together, of the whole day, and of the two worst windows.
 
 The bound counts as lost only what no system that keeps its state in the platform's store alone could have served:
-- While all nodes are without power or killed, no request is answered. Streams that run at its start pause for longer than allowed (a
-  stream that may be resumed is late, another one is lost), and a request that arrives before its end, less the objective, is late.
-- Nodes that start while the store is unavailable know neither routes nor replicas: the time until its return counts as an outage of all nodes.
+- While all nodes are without power or killed, no request is answered. Streams that run when this outage starts pause for longer than
+  allowed (a stream that may be resumed is late, another one is lost), and a request that arrives before its end, less the objective,
+  is late.
+- Nodes that start while the store is unavailable know neither routes nor replicas: the time until its return counts
+  as an outage of all nodes.
 - A job that is sent while the store is unavailable, and could not be accepted within its objective, is late, or lost if the store
   returns only after the caller's deadline; a job may be accepted only once the store holds it.
-- A result that is due while the store is unavailable, or that was generated while it was unavailable before all nodes were lost, is not counted as
-  lost: it could have been generated earlier. So the bound is generous for batch jobs.
+- A result that is due while the store is unavailable, or that was generated while it was unavailable before all nodes were
+  lost, is not counted as lost: it could have been generated earlier. So the bound is generous for batch jobs.
 The bound also ignores the slots of replicas and the time on the network.
 """
 import argparse
--- a/Benchmarks/Measure/Yield.cpp
+++ b/Benchmarks/Measure/Yield.cpp
@@ -28,7 +28,8 @@
 constexpr int capacity = 8;
 const std::vector<std::string> domains{"one", "two", "three"};
 
-struct StreamEvent
+/** One line of the event record that a stand-in engine returns from /notes. */
+struct RecordedEvent
 {
     std::chrono::microseconds at{0};
     std::string kind;
@@ -37,15 +38,15 @@
     bool isBatch = false;
 };
 
-std::vector<StreamEvent> eventsOf(const Address &engine, std::chrono::microseconds after)
+std::vector<RecordedEvent> eventsOf(const Address &engine, std::chrono::microseconds after)
 {
-    std::vector<StreamEvent> events;
+    std::vector<RecordedEvent> events;
     std::istringstream lines(LocalFleet::call(engine, "GET", "/notes").body);
     for (std::string line; std::getline(lines, line);) {
         std::istringstream words(line);
         long long at = 0;
         std::string id;
-        StreamEvent event;
+        RecordedEvent event;
         words >> at >> event.kind >> event.streams >> id;
         event.at = std::chrono::microseconds(at);
         event.isBatch = id.starts_with("batch-");
@@ -65,10 +66,10 @@
     std::uint64_t foundNoSlot = 0;
 };
 
-void recordReactions(const std::vector<StreamEvent> &events, Reactions &reactions)
+void recordReactions(const std::vector<RecordedEvent> &events, Reactions &reactions)
 {
     std::optional<std::chrono::microseconds> waiting;
-    for (const StreamEvent &event : events) {
+    for (const RecordedEvent &event : events) {
         if (event.kind == "start" && !event.isBatch) {
             const bool isFull = event.streams >= capacity;
             ++(isFull ? reactions.foundNoSlot : reactions.foundSlot);
--- a/Benchmarks/Support/HistoryCaller.h
+++ b/Benchmarks/Support/HistoryCaller.h
@@ -52,7 +52,8 @@
     CallOutcome submitJob(const std::string &id, std::uint32_t items, std::size_t node, std::chrono::milliseconds timeout);
     CallOutcome cancelJob(const std::string &id, std::size_t node, std::chrono::milliseconds timeout);
 
-    /** A job's status and the number of its finished items, as jobStatus() reads them from a node. */
+    /** A job's status and the number of its finished items, as jobStatus() reads them; it returns nothing if they could not be
+     * read. */
     struct JobStatus
     {
         std::string status;
--- a/Benchmarks/Support/LocalFleet.h
+++ b/Benchmarks/Support/LocalFleet.h
@@ -98,7 +98,7 @@
     std::vector<std::size_t> nodes() const;
     Address platform() const;
 
-    /** The answer to an HTTP call; status 0 if none arrived. */
+    /** The answer to an HTTP call, for which call() waits; status 0 if none arrived. */
     struct Answer
     {
         int status = 0;
