--- a/Specification/JobRunners.pml
+++ b/Specification/JobRunners.pml
@@ -44,14 +44,14 @@
 #define holder (alive[LARGE] -> LARGE : LARGE_NEXT)
 #define isPresent(who) (who < NODES && alive[who])
 #define current (isOpen -> runner : NONE)
-#define isOurs(node) (sees[node] == node || (sees[node] != NONE && !isPresent(sees[node]) && node == holder))
+#define isLocal(node) (sees[node] == node || (sees[node] != NONE && !isPresent(sees[node]) && node == holder))
 
 /* What a node does as it reads the row, or sees that a member has gone. */
 inline decide(node)
 {
     if
-    :: isOurs(node) -> runs[node] = true
-    :: !isOurs(node) && sees[node] != NONE -> runs[node] = false
+    :: isLocal(node) -> runs[node] = true
+    :: !isLocal(node) && sees[node] != NONE -> runs[node] = false
     :: sees[node] == NONE -> runs[node] = false
     fi
 }
@@ -86,7 +86,7 @@
     :: !isCalm && runs[node] && spurious < 1 -> spurious++; runs[node] = false
 #ifndef NO_LOOK
     /* It looks again at what it knows. */
-    :: alive[node] && sees[node] != NONE && isOurs(node) && !runs[node] && isOpen -> runs[node] = true
+    :: alive[node] && sees[node] != NONE && isLocal(node) && !runs[node] && isOpen -> runs[node] = true
 #endif
     fi
 }
