--- a/Tests/ServiceGateway/TestJobStore.cpp
+++ b/Tests/ServiceGateway/TestJobStore.cpp
@@ -16,7 +16,7 @@
 StoreClock reportedClock(const Clock &clock)
 {
     StoreClock reported(clock);
-    reported.note(StoreTime(std::chrono::hours(1)));
+    reported.record(StoreTime(std::chrono::hours(1)));
     return reported;
 }
 
