--- a/Services/Gateway/PeerNetwork.cpp
+++ b/Services/Gateway/PeerNetwork.cpp
@@ -399,7 +399,7 @@
     }
     const bool hasSameSession = record->session == this->session && record->gossip != this->socket.address();
     if (hasSameSession) {
-        log(LogLevel::Warning, "another node has the same session number, drawing a new one", {{"key", row.key.key}});
+        log(LogLevel::Warning, "another node has the same session number", {{"key", row.key.key}});
         this->renewSession();
     }
     if (record->session != this->session && this->membership->view()->find(record->session) == nullptr) {
